--- a/internal/admission/budget/budget.go
+++ b/internal/admission/budget/budget.go
@@ -1,4 +1,4 @@
-// Package budget bounds retries to a share of the traffic, so that retries
+// Package budget limits retries to a fraction of the first attempts, so that retries
 // cannot multiply the load of a pool that fails.
 //
 //	b := budget.New()
@@ -11,23 +11,23 @@
 import "sync/atomic"
 
 const (
-	// unit is one retry in thousandths, the unit of the balance.
-	unit = 1000
-	// share is the part of a retry that a first attempt pays for.
-	share = unit / 10
-	// reserve lets a pool with little traffic retry at all. It is also the
-	// most that quiet times can save up.
-	reserve = 10 * unit
+	// retryCost is the price of one retry. The balance counts thousandths of a retry.
+	retryCost = 1000
+	// attemptCredit is what a first attempt adds to the balance, a tenth of a retry.
+	attemptCredit = retryCost / 10
+	// maxBalance is the initial balance, which lets a pool with little traffic retry
+	// at all, and the most that the balance can reach while no retries are needed.
+	maxBalance = 10 * retryCost
 )
 
-// Counters are sums since the start of a Budget.
+// Counters holds totals since the creation of a Budget.
 type Counters struct {
 	Attempts uint64
 	Retries  uint64
 	Denied   uint64
 }
 
-// Budget is the balance of one pool. It is safe for concurrent use.
+// Budget is the retry budget of one pool. It is safe for concurrent use.
 type Budget struct {
 	balance  atomic.Int64
 	attempts atomic.Uint64
@@ -35,10 +35,10 @@
 	denied   atomic.Uint64
 }
 
-// New returns a Budget with a full reserve.
+// New returns a Budget with the full balance.
 func New() *Budget {
 	b := &Budget{}
-	b.balance.Store(reserve)
+	b.balance.Store(maxBalance)
 	return b
 }
 
@@ -47,31 +47,31 @@
 	b.attempts.Add(1)
 	for {
 		old := b.balance.Load()
-		if old >= reserve {
+		if old >= maxBalance {
 			return
 		}
-		if b.balance.CompareAndSwap(old, min(old+share, reserve)) {
+		if b.balance.CompareAndSwap(old, min(old+attemptCredit, maxBalance)) {
 			return
 		}
 	}
 }
 
-// Withdraw returns whether a retry may start, and pays for it.
+// Withdraw reports whether a retry may start and, if so, deducts it from the balance.
 func (b *Budget) Withdraw() bool {
 	for {
 		old := b.balance.Load()
-		if old < unit {
+		if old < retryCost {
 			b.denied.Add(1)
 			return false
 		}
-		if b.balance.CompareAndSwap(old, old-unit) {
+		if b.balance.CompareAndSwap(old, old-retryCost) {
 			b.retries.Add(1)
 			return true
 		}
 	}
 }
 
-// Counters returns the sums so far.
+// Counters returns the current totals.
 func (b *Budget) Counters() Counters {
 	return Counters{
 		Attempts: b.attempts.Load(),
--- a/internal/admission/budget/budget_test.go
+++ b/internal/admission/budget/budget_test.go
@@ -8,9 +8,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/admission/budget"
 )
 
-// Guards against retries that multiply the load when everything fails, and
+// Guards against retries that multiply the load when all attempts fail, and
 // against a pool with little traffic that may not retry at all.
-func TestRetriesAreAShareOfTheTraffic(t *testing.T) {
+func TestRetriesAreProportionalToAttempts(t *testing.T) {
 	is := is.New(t)
 	b := budget.New()
 	for range 1000 {
@@ -19,6 +19,7 @@
 			b.Withdraw()
 		}
 	}
-	// A tenth and the reserve of 10, less what did not fit into it.
+	// A tenth of the attempts plus the initial balance of 10, less the credit above the
+	// maximum balance.
 	is.Equal(b.Counters(), budget.Counters{Attempts: 1000, Retries: 109, Denied: 2891})
 }
--- a/internal/admission/budget/fleet_test.go
+++ b/internal/admission/budget/fleet_test.go
@@ -13,18 +13,18 @@
 
 var limit = budget.Limit{Share: 0.2, Extra: 500, Window: 10 * time.Second}
 
-// instances share a limit through sums that are late.
+// instances share a limit by means of delayed sums.
 type instances struct {
 	clock  *fakeclock.Clock
 	random *rand.Rand
 	list   []*budget.Fleet
-	late   []budget.Count // sums of the last ticks
+	sums   []budget.Count // one per tick, oldest first
 }
 
 const (
 	tick = 50 * time.Millisecond
-	// lag is the age of the sums in ticks, 0.75 s.
-	lag = 15
+	// sumLag is the age of the sums in ticks, 0.75 s.
+	sumLag = 15
 )
 
 func newInstances(n int) *instances {
@@ -35,34 +35,35 @@
 	return s
 }
 
-// load is what the instances get and want.
+// load is the first attempts and the wanted retries of the instances.
 type load struct {
-	requests float64 // of each instance a second
-	retries  float64 // that each of some instances wants a second
-	some     int
-	cutOff   time.Duration // when the sums stop
+	requestRate float64       // per second and instance
+	retryRate   float64       // wanted per second by each retrying instance
+	retrying    int           // number of instances that retry
+	sumsUntil   time.Duration // time after which the instances receive no sums
 }
 
-// run returns the retries and the most of them in any 10 s.
-func (s *instances) run(d time.Duration, l load) (total, worst int) {
+// run applies l for d and returns the number of retries and the most of them in any
+// window.
+func (s *instances) run(d time.Duration, l load) (total, peak int) {
 	r := s.random
 	var window []int
 	for at := time.Duration(0); at < d; at += tick {
 		n := 0
 		var sum budget.Count
 		for i, f := range s.list {
-			if r.Float64() < l.requests*tick.Seconds() {
+			if r.Float64() < l.requestRate*tick.Seconds() {
 				f.Deposit()
 			}
-			if i < l.some && r.Float64() < l.retries*tick.Seconds() && f.Withdraw() {
+			if i < l.retrying && r.Float64() < l.retryRate*tick.Seconds() && f.Withdraw() {
 				n++
 			}
 			sum = sum.Add(f.Count())
 		}
-		s.late = append(s.late, sum)
-		if len(s.late) > lag && at < l.cutOff {
+		s.sums = append(s.sums, sum)
+		if len(s.sums) > sumLag && at < l.sumsUntil {
 			for _, f := range s.list {
-				f.SetSum(s.late[len(s.late)-lag], len(s.list))
+				f.SetSum(s.sums[len(s.sums)-sumLag], len(s.list))
 			}
 		}
 		s.clock.Advance(tick)
@@ -71,47 +72,47 @@
 		if len(window) > int(limit.Window/tick) {
 			window = window[1:]
 		}
-		in := 0
+		inWindow := 0
 		for _, k := range window {
-			in += k
+			inWindow += k
 		}
-		worst = max(worst, in)
+		peak = max(peak, inWindow)
 	}
-	return total, worst
+	return total, peak
 }
 
 // Guards against retries over the limit of the fleet when all instances want to
-// retry all the time, with sums that are late or that stop to come.
-func TestFleetKeepsTheLimit(t *testing.T) {
+// retry all the time, with sums that are delayed or stop arriving.
+func TestSharedStaysWithinLimit(t *testing.T) {
 	for _, n := range []int{15, 121, 540} {
-		for _, cutOff := range []time.Duration{time.Hour, 30 * time.Second} {
+		for _, sumsUntil := range []time.Duration{time.Hour, 30 * time.Second} {
 			is := is.New(t)
 			s := newInstances(n)
-			_, worst := s.run(60*time.Second, load{requests: 200 / float64(n), retries: 10, some: n, cutOff: cutOff})
-			most := limit.Share*200*limit.Window.Seconds() + limit.Extra
-			if float64(worst) > most {
-				t.Errorf("%d instances, sums until %s: %d retries in a window of %s, more than %.0f", n, cutOff, worst, limit.Window, most)
+			_, peak := s.run(60*time.Second, load{requestRate: 200 / float64(n), retryRate: 10, retrying: n, sumsUntil: sumsUntil})
+			allowed := limit.Share*200*limit.Window.Seconds() + limit.Extra
+			if float64(peak) > allowed {
+				t.Errorf("%d instances, sums until %s: %d retries in a window of %s, more than %.0f", n, sumsUntil, peak, limit.Window, allowed)
 			}
-			is.True(float64(worst) > most/3) // the limit is used
+			is.True(float64(peak) > allowed/3) // the limit is used
 		}
 	}
 }
 
-// Guards against retries denied to the instances that need them while others need
-// none: a tenth of the instances may use what all have.
-func TestFleetSpendsWhereNeeded(t *testing.T) {
+// Guards against denying retries to the instances that need them while the others need
+// none: a tenth of the instances may use the retries of all.
+func TestSharedSpendsWhereNeeded(t *testing.T) {
 	is := is.New(t)
 	s := newInstances(120)
-	s.run(15*time.Second, load{requests: 1.5, cutOff: time.Hour})
-	// By its own part alone each might send 7.2.
-	total, _ := s.run(10*time.Second, load{requests: 1.5, retries: 3, some: 12, cutOff: time.Hour})
+	s.run(15*time.Second, load{requestRate: 1.5, sumsUntil: time.Hour})
+	// With only its own share each instance could send 7.2.
+	total, _ := s.run(10*time.Second, load{requestRate: 1.5, retryRate: 3, retrying: 12, sumsUntil: time.Hour})
 	is.True(float64(total) > 1.5*12*7.2)
 }
 
-// Guards against a limit that both sides of a cut use in full: each instance keeps
-// to its part while it gets no sums, and a side that sees fewer instances than
-// before keeps to the part of those.
-func TestFleetWithoutNews(t *testing.T) {
+// Guards against both sides of a network partition using the full limit: an instance
+// that receives no sums uses only its own share, and a side that sees fewer instances
+// than before uses only the shares of those.
+func TestSharedWithoutSums(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
 	f := budget.NewFleet(c, limit, func() float64 { return 0 })
@@ -124,7 +125,7 @@
 			n++
 		}
 	}
-	is.Equal(n, 4) // nine tenths of 500 of 100 instances
+	is.Equal(n, 4) // nine tenths of the share of 500 retries for 100 instances
 	f.SetSum(budget.Count{Retries: 250}, 50)
 	c.Advance(limit.Window)
 	f.SetSum(budget.Count{Retries: 250}, 50)
@@ -136,8 +137,8 @@
 }
 
 // Guards against a burst of retries after a restart, when the controllers have not
-// counted all instances and what was sent before is forgotten.
-func TestFleetSettlesAfterTheStart(t *testing.T) {
+// counted all instances and the instances do not know what they sent before.
+func TestSharedLimitsStartupBurst(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
 	f := budget.NewFleet(c, limit, func() float64 { return 0 })
