--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission holds the types of the decision whether a request may start
-// now, has to wait, or is refused.
+// Package admission defines the types of admission control, which starts a request
+// at once, queues it or refuses it.
 package admission
 
 import (
@@ -9,36 +9,38 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// Ask describes a request that wants to start.
+// Ask describes a request that asks for admission.
 type Ask struct {
 	Request  fleet.RequestID
 	Account  fleet.AccountID
 	Weight   int
 	Priority fleet.Priority
 	Pool     fleet.PoolID
-	// Deadline is the time by which the caller wants the answer.
+	// Deadline is the time by which the caller needs the answer. Zero means none.
 	Deadline time.Time
-	// Expected is the expected time of the work once it has started.
+	// Expected is the expected service time once the request has started. Zero
+	// means that it is unknown.
 	Expected time.Duration
 }
 
-// Ticket is the right to run. Done must be called exactly once when the work
-// has ended.
+// Ticket is the permission to run a request. Done must be called exactly once,
+// when the request has ended.
 type Ticket interface {
 	Done()
 }
 
-// Movable is a Ticket of a Gate with a quiet-hours bound.
+// Movable is a Ticket of a Gate that enforces a quiet-hours limit.
 type Movable interface {
 	Ticket
-	// Moved returns a channel that is closed when the work has to leave this
-	// data centre, or be refused, because quiet hours have begun.
+	// Moved returns a channel that is closed when the request has to move to
+	// another data centre, or be refused, because quiet hours have begun.
 	Moved() <-chan struct{}
 }
 
-// Gate admits requests. Errors are of kind refusal.AccountLimit,
-// refusal.Overloaded, refusal.QuietHours, refusal.Deadline or refusal.Stopping
-// and all mean that the request was not run.
+// Gate admits requests. Enter blocks until the request may start. Its errors are
+// of kind refusal.AccountLimit, refusal.Overloaded, refusal.QuietHours,
+// refusal.Deadline or refusal.Stopping, and all of them mean that the request was
+// not run.
 type Gate interface {
-	Enter(ctx context.Context, a Ask) (Ticket, error)
+	Enter(ctx context.Context, r Ask) (Ticket, error)
 }
--- a/internal/admission/gate/collector.go
+++ b/internal/admission/gate/collector.go
@@ -7,21 +7,21 @@
 )
 
 var (
-	admittedDesc  = prometheus.NewDesc("bilberryrock_admission_admitted_total", "Requests that got a place.", []string{"pool"}, nil)
-	refusedDesc   = prometheus.NewDesc("bilberryrock_admission_refused_total", "Requests that were refused and not run, by reason.", []string{"pool", "code"}, nil)
-	abandonedDesc = prometheus.NewDesc("bilberryrock_admission_abandoned_total", "Requests whose caller went away while they waited.", []string{"pool"}, nil)
-	waitingDesc   = prometheus.NewDesc("bilberryrock_admission_waiting", "Requests that wait for a place.", []string{"pool"}, nil)
-	runningDesc   = prometheus.NewDesc("bilberryrock_admission_running", "Requests that have a place.", []string{"pool"}, nil)
-	placesDesc    = prometheus.NewDesc("bilberryrock_admission_places", "Places of this instance.", []string{"pool"}, nil)
-	limitedDesc   = prometheus.NewDesc("bilberryrock_admission_account_refused_total", "Requests over the share of their account, by limit.", []string{"limit"}, nil)
-	trackedDesc   = prometheus.NewDesc("bilberryrock_admission_tracked_accounts", "Accounts with state.", nil, nil)
+	admittedDesc       = prometheus.NewDesc("bilberryrock_admission_admitted_total", "Requests that got a place.", []string{"pool"}, nil)
+	refusedDesc        = prometheus.NewDesc("bilberryrock_admission_refused_total", "Requests that were refused and not run, by reason.", []string{"pool", "code"}, nil)
+	abandonedDesc      = prometheus.NewDesc("bilberryrock_admission_abandoned_total", "Requests whose caller went away while they waited.", []string{"pool"}, nil)
+	waitingDesc        = prometheus.NewDesc("bilberryrock_admission_waiting", "Requests that wait for a place.", []string{"pool"}, nil)
+	runningDesc        = prometheus.NewDesc("bilberryrock_admission_running", "Requests that have a place.", []string{"pool"}, nil)
+	permitsDesc        = prometheus.NewDesc("bilberryrock_admission_places", "Places of this instance.", []string{"pool"}, nil)
+	accountRefusedDesc = prometheus.NewDesc("bilberryrock_admission_account_refused_total", "Requests over the share of their account, by limit.", []string{"limit"}, nil)
+	trackedDesc        = prometheus.NewDesc("bilberryrock_admission_tracked_accounts", "Accounts with state.", nil, nil)
 )
 
 var _ prometheus.Collector = (*Gate)(nil)
 
 // Describe implements prometheus.Collector.
 func (g *Gate) Describe(out chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{admittedDesc, refusedDesc, abandonedDesc, waitingDesc, runningDesc, placesDesc, limitedDesc, trackedDesc} {
+	for _, d := range []*prometheus.Desc{admittedDesc, refusedDesc, abandonedDesc, waitingDesc, runningDesc, permitsDesc, accountRefusedDesc, trackedDesc} {
 		out <- d
 	}
 }
@@ -40,10 +40,10 @@
 		send(abandonedDesc, prometheus.CounterValue, float64(c.Abandoned), id)
 		send(waitingDesc, prometheus.GaugeValue, float64(c.Waiting), id)
 		send(runningDesc, prometheus.GaugeValue, float64(c.Running), id)
-		send(placesDesc, prometheus.GaugeValue, c.Places, id)
+		send(permitsDesc, prometheus.GaugeValue, c.Permits, id)
 	}
-	l := g.limit.Counters()
-	send(limitedDesc, prometheus.CounterValue, float64(l.RefusedRate), "rate")
-	send(limitedDesc, prometheus.CounterValue, float64(l.RefusedRunning), "inFlight")
+	l := g.limiter.Counters()
+	send(accountRefusedDesc, prometheus.CounterValue, float64(l.RefusedRate), "rate")
+	send(accountRefusedDesc, prometheus.CounterValue, float64(l.RefusedInFlight), "inFlight")
 	send(trackedDesc, prometheus.GaugeValue, float64(l.Tracked))
 }
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -1,14 +1,14 @@
-// Package gate implements admission.Gate. A request passes the limits of its
-// account first, then waits in the fair queue of its pool until the pool has a
-// free place, or is refused as soon as it is clear that it cannot finish before
-// its deadline.
+// Package gate implements admission.Gate. A request is first checked against the
+// limits of its account. It then waits in the fair queue of its pool for a permit,
+// and is refused as soon as it can no longer finish before its deadline.
 //
-// The number of places adapts to what the pool can run: it starts at the part of
-// the pool's slots that falls to this instance, grows while reports show free
-// slots and shrinks while they show waiting work. The quiet-hours bound limits
-// the places of all pools together.
+// A permit is the right to have one request in progress; metrics and error
+// messages call it a place. The number of permits of a pool is an adaptive
+// concurrency limit: it starts at this instance's share of the pool's slots, grows
+// while the load reports show free slots and shrinks while they show queued work.
+// The quiet-hours limit applies to the requests in progress of all pools together.
 //
-//	g := gate.New(clock, limiter, gate.WithBound(governor))
+//	g := gate.New(clock, limiter, gate.WithQuietLimit(governor))
 //	g.SetCapacity(poolID, lane.Capacity{Slots: 320, Instances: 15})
 //	ticket, err := g.Enter(ctx, ask)
 //	if err != nil {
@@ -29,42 +29,42 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/refusal"
 )
 
-// defaultQueue is the number of requests that may wait for one pool.
-const defaultQueue = 1024
+// defaultQueueLimit is the maximum number of requests that wait for one pool.
+const defaultQueueLimit = 1024
 
-// Gate admits requests. It is safe for concurrent use.
+// Gate implements admission.Gate. It is safe for concurrent use.
 type Gate struct {
-	clock fleet.Clock
-	limit *share.Limiter
-	bound lane.Bound
-	queue int
+	clock      fleet.Clock
+	limiter    *share.Limiter
+	quietLimit lane.QuietLimit
+	queueLimit int
 
 	mu       sync.RWMutex // guards lanes
-	lanes    map[fleet.PoolID]*guarded
+	lanes    map[fleet.PoolID]*lockedLane
 	stopping atomic.Bool
 	pending  atomic.Int64  // requests that wait or run
-	idle     chan struct{} // has an element after pending fell to zero
+	idle     chan struct{} // receives an element when pending falls to zero
 }
 
 var _ admission.Gate = (*Gate)(nil)
 
-// Option changes a Gate.
+// Option configures a Gate.
 type Option func(*Gate)
 
-// WithBound sets the quiet-hours bound. The default is none.
-func WithBound(b lane.Bound) Option { return func(g *Gate) { g.bound = b } }
+// WithBound sets the quiet-hours limit. The default is none.
+func WithBound(q lane.QuietLimit) Option { return func(g *Gate) { g.quietLimit = q } }
 
-// WithQueue sets the number of requests that may wait for one pool.
-func WithQueue(n int) Option { return func(g *Gate) { g.queue = n } }
+// WithQueue sets the maximum number of requests that wait for one pool.
+func WithQueue(n int) Option { return func(g *Gate) { g.queueLimit = n } }
 
-// New returns a Gate that asks limit about the accounts.
-func New(clock fleet.Clock, limit *share.Limiter, options ...Option) *Gate {
+// New returns a Gate that checks the limits of accounts with limiter.
+func New(clock fleet.Clock, limiter *share.Limiter, options ...Option) *Gate {
 	g := &Gate{
-		clock: clock,
-		limit: limit,
-		queue: defaultQueue,
-		lanes: make(map[fleet.PoolID]*guarded),
-		idle:  make(chan struct{}, 1),
+		clock:      clock,
+		limiter:    limiter,
+		queueLimit: defaultQueueLimit,
+		lanes:      make(map[fleet.PoolID]*lockedLane),
+		idle:       make(chan struct{}, 1),
 	}
 	for _, o := range options {
 		o(g)
@@ -74,45 +74,45 @@
 
 // Enter implements admission.Gate. All its errors mean that the request was not
 // run.
-func (g *Gate) Enter(ctx context.Context, a admission.Ask) (admission.Ticket, error) {
+func (g *Gate) Enter(ctx context.Context, r admission.Ask) (admission.Ticket, error) {
 	g.pending.Add(1)
 	if g.stopping.Load() {
-		g.leave()
+		g.decrementPending()
 		return nil, refusal.New(refusal.Stopping, "instance is stopping")
 	}
 	now := g.clock.Now()
-	if err := g.limit.Take(a.Account, now); err != nil {
-		g.leave()
+	if err := g.limiter.Acquire(r.Account, now); err != nil {
+		g.decrementPending()
 		return nil, err
 	}
-	l := g.lane(a.Pool)
-	w, err := l.enter(ctx, a, now)
+	l := g.lane(r.Pool)
+	w, err := l.enter(ctx, r, now)
 	if err != nil {
-		g.limit.Refund(a.Account)
-		g.leave()
+		g.limiter.Refund(r.Account)
+		g.decrementPending()
 		return nil, err
 	}
-	return &ticket{gate: g, lane: l, waiter: w, account: a.Account, began: g.clock.Now()}, nil
+	return &ticket{gate: g, lane: l, waiter: w, account: r.Account, started: g.clock.Now()}, nil
 }
 
-// SetCapacity tells what a pool can run. A controller calls it whenever new
-// reports have come.
-func (g *Gate) SetCapacity(p fleet.PoolID, c lane.Capacity) { g.lane(p).adapt(c) }
+// SetCapacity updates what is known of the capacity of a pool. A control loop calls
+// it whenever new load reports have arrived.
+func (g *Gate) SetCapacity(p fleet.PoolID, c lane.Capacity) { g.lane(p).setCapacity(c) }
 
-// Wake hands out places again after the bound changed, and asks work over the
-// bound to leave. A controller calls it a few times a second while a bound may
-// change.
+// Wake evicts requests over the quiet-hours limit and grants the permits that are
+// free. A control loop calls it a few times a second, because the limit changes
+// with time.
 func (g *Gate) Wake() {
-	if g.bound != nil {
-		g.bound.Move(g.clock.Now())
+	if g.quietLimit != nil {
+		g.quietLimit.Move(g.clock.Now())
 	}
-	for _, l := range g.all() {
+	for _, l := range g.allLanes() {
 		l.wake()
 	}
 }
 
-// Close refuses new requests and waits until none waits or runs. It returns the
-// error of ctx when that ends first; the work goes on then.
+// Close refuses new requests and blocks until none waits or runs. If ctx ends
+// first, Close returns its error and the requests go on.
 func (g *Gate) Close(ctx context.Context) error {
 	g.stopping.Store(true)
 	for g.pending.Load() > 0 {
@@ -122,14 +122,14 @@
 			return ctx.Err()
 		}
 	}
-	g.signal() // for another caller of Close
+	g.signalIdle() // for a concurrent call of Close
 	return nil
 }
 
-// Counters returns the sums and states of a pool.
+// Counters returns the counters and the current state of a pool.
 func (g *Gate) Counters(p fleet.PoolID) lane.Counters { return g.lane(p).counters() }
 
-// Pools returns the pools that have had a request or a capacity.
+// Pools returns the pools that had a request or for which a capacity was set.
 func (g *Gate) Pools() []fleet.PoolID {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -140,20 +140,20 @@
 	return ids
 }
 
-func (g *Gate) leave() {
+func (g *Gate) decrementPending() {
 	if g.pending.Add(-1) == 0 {
-		g.signal()
+		g.signalIdle()
 	}
 }
 
-func (g *Gate) signal() {
+func (g *Gate) signalIdle() {
 	select {
 	case g.idle <- struct{}{}:
 	default:
 	}
 }
 
-func (g *Gate) lane(p fleet.PoolID) *guarded {
+func (g *Gate) lane(p fleet.PoolID) *lockedLane {
 	g.mu.RLock()
 	l := g.lanes[p]
 	g.mu.RUnlock()
@@ -163,16 +163,16 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if l = g.lanes[p]; l == nil {
-		l = &guarded{clock: g.clock, lane: lane.New(p, g.queue, g.bound)}
+		l = &lockedLane{clock: g.clock, lane: lane.New(p, g.queueLimit, g.quietLimit)}
 		g.lanes[p] = l
 	}
 	return l
 }
 
-func (g *Gate) all() []*guarded {
+func (g *Gate) allLanes() []*lockedLane {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	lanes := make([]*guarded, 0, len(g.lanes))
+	lanes := make([]*lockedLane, 0, len(g.lanes))
 	for _, l := range g.lanes {
 		lanes = append(lanes, l)
 	}
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -21,16 +21,17 @@
 	"github.com/bilberryrock/bilberryrock/internal/quiet/governor"
 )
 
-// Inside of synctest.Test the system clock is a fake one.
+// newGate returns a Gate for one pool. Inside of synctest.Test the system clock is a
+// fake one.
 func newGate(slots float64) *gate.Gate {
-	limit := share.New(1)
-	limit.Configure(map[fleet.AccountID]document.Account{"limited": {ID: "limited", MaxInFlight: 1}})
-	g := gate.New(systemclock.Clock{}, limit)
+	limiter := share.New(1)
+	limiter.Configure(map[fleet.AccountID]document.Account{"limited": {ID: "limited", MaxInFlight: 1}})
+	g := gate.New(systemclock.Clock{}, limiter)
 	g.SetCapacity("pool", lane.Capacity{Slots: slots, Instances: 1})
 	return g
 }
 
-func ask(account string, wait, expected time.Duration) admission.Ask {
+func newRequest(account string, wait, expected time.Duration) admission.Ask {
 	return admission.Ask{
 		Account:  fleet.AccountID(account),
 		Pool:     "pool",
@@ -39,31 +40,31 @@
 	}
 }
 
-// Guards against work that is held although it cannot finish in time, and
-// against refusals of the wrong kind or without the time to come back.
+// Guards against queueing requests that cannot finish in time, and against
+// refusals of the wrong kind or without a time to retry after.
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGate(1)
 		ctx := context.Background()
 
-		_, err := g.Enter(ctx, ask("a", time.Second, 2*time.Second))
+		_, err := g.Enter(ctx, newRequest("a", time.Second, 2*time.Second))
 		is.Equal(refusal.KindOf(err), refusal.Deadline)
 
-		limited, err := g.Enter(ctx, ask("limited", time.Second, time.Second))
+		limited, err := g.Enter(ctx, newRequest("limited", time.Second, time.Second))
 		is.NoErr(err)
-		_, err = g.Enter(ctx, ask("limited", time.Second, time.Second))
+		_, err = g.Enter(ctx, newRequest("limited", time.Second, time.Second))
 		is.Equal(refusal.KindOf(err), refusal.AccountLimit)
 		is.True(err.(*refusal.Error).RetryAfter > 0)
 
 		began := time.Now()
-		_, err = g.Enter(ctx, ask("a", 3*time.Second, time.Second))
-		is.Equal(refusal.KindOf(err), refusal.Overloaded) // waited as long as it made sense
+		_, err = g.Enter(ctx, newRequest("a", 3*time.Second, time.Second))
+		is.Equal(refusal.KindOf(err), refusal.Overloaded) // after waiting until its latest start
 		is.True(err.(*refusal.Error).RetryAfter > 0)
 		is.Equal(time.Since(began), 2*time.Second+1)
 
 		limited.Done()
-		ticket, err := g.Enter(ctx, ask("a", 3*time.Second, time.Second))
+		ticket, err := g.Enter(ctx, newRequest("a", 3*time.Second, time.Second))
 		is.NoErr(err)
 		ticket.Done()
 		is.Equal(g.Counters("pool").Running, 0)
@@ -73,26 +74,26 @@
 	})
 }
 
-// Guards against work in progress over the quiet-hours bound, against refusals
-// that hide the reason, and against a gate that stays shut after the window.
+// Guards against exceeding the quiet-hours limit, against refusals of another kind
+// than QuietHours, and against a Gate that admits nothing after the window.
 func TestQuietHours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		start := time.Now().UTC()
-		bound := governor.New(0)
-		bound.SetWindows([]document.Window{{
+		quietLimit := governor.New(0)
+		quietLimit.SetWindows([]document.Window{{
 			Name:        "quiet",
 			Days:        []time.Weekday{start.Weekday()},
 			From:        start.Sub(start.Truncate(24*time.Hour)) + time.Minute,
 			To:          start.Sub(start.Truncate(24*time.Hour)) + 2*time.Minute,
 			MaxInFlight: 2,
 		}})
-		g := gate.New(systemclock.Clock{}, share.New(1), gate.WithBound(bound))
+		g := gate.New(systemclock.Clock{}, share.New(1), gate.WithBound(quietLimit))
 		g.SetCapacity("pool", lane.Capacity{Slots: 10, Instances: 1})
 		enter := func() (admission.Ticket, error) {
-			return g.Enter(context.Background(), ask("a", 5*time.Second, 3*time.Second))
+			return g.Enter(context.Background(), newRequest("a", 5*time.Second, 3*time.Second))
 		}
-		time.Sleep(58 * time.Second) // work of 3 s would run into the window
+		time.Sleep(58 * time.Second) // requests of 3 s would run into the window
 		var running []admission.Ticket
 		for range 2 {
 			ticket, err := enter()
@@ -102,24 +103,24 @@
 		_, err := enter()
 		is.Equal(refusal.KindOf(err), refusal.QuietHours)
 		is.True(err.(*refusal.Error).RetryAfter > 0)
-		// The work that is still there leaves when the bound becomes smaller.
-		bound.SetFleet("self", 2, nil)
+		// Requests in progress are evicted when the limit falls.
+		quietLimit.SetFleet("self", 2, nil)
 		g.Wake()
-		moved := 0
+		evicted := 0
 		for _, r := range running {
 			select {
 			case <-r.(admission.Movable).Moved():
-				moved++
+				evicted++
 			default:
 			}
 			r.Done()
 		}
-		is.Equal(moved, 1)
-		bound.SetFleet("self", 5, nil) // the bound of 2 leaves nothing for one of 5
+		is.Equal(evicted, 1)
+		quietLimit.SetFleet("self", 5, nil) // a limit of 2 divided by 5 instances leaves none
 		before := time.Now()
 		_, err = enter()
 		is.Equal(refusal.KindOf(err), refusal.QuietHours)
-		is.Equal(time.Since(before), time.Duration(0)) // without a wait
+		is.Equal(time.Since(before), time.Duration(0)) // refused without waiting
 		time.Sleep(2 * time.Minute)
 		for range 10 {
 			_, err = enter()
@@ -128,17 +129,17 @@
 	})
 }
 
-// Guards against places that leak when callers go away while they wait.
+// Guards against leaking permits when callers go away while they wait.
 func TestCancelWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGate(1)
-		first, err := g.Enter(context.Background(), ask("a", time.Minute, time.Second))
+		first, err := g.Enter(context.Background(), newRequest("a", time.Minute, time.Second))
 		is.NoErr(err)
 		ctx, cancel := context.WithCancel(context.Background())
 		for i := range 20 {
 			go func() {
-				ticket, err := g.Enter(ctx, ask(fmt.Sprint(i), time.Minute, time.Second))
+				ticket, err := g.Enter(ctx, newRequest(fmt.Sprint(i), time.Minute, time.Second))
 				if err == nil {
 					ticket.Done()
 				}
@@ -154,16 +155,16 @@
 	})
 }
 
-// Guards against a stop that interrupts or loses work in progress.
-func TestCloseWaits(t *testing.T) {
+// Guards against a shutdown that interrupts requests which run or wait.
+func TestCloseWaitsForRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGate(1)
-		running, err := g.Enter(context.Background(), ask("a", time.Minute, time.Second))
+		running, err := g.Enter(context.Background(), newRequest("a", time.Minute, time.Second))
 		is.NoErr(err)
 		waiting := make(chan error, 1)
 		go func() {
-			ticket, err := g.Enter(context.Background(), ask("b", time.Minute, time.Second))
+			ticket, err := g.Enter(context.Background(), newRequest("b", time.Minute, time.Second))
 			if err == nil {
 				ticket.Done()
 			}
@@ -173,7 +174,7 @@
 		closed := make(chan error, 1)
 		go func() { closed <- g.Close(context.Background()) }()
 		synctest.Wait()
-		_, err = g.Enter(context.Background(), ask("c", time.Minute, time.Second))
+		_, err = g.Enter(context.Background(), newRequest("c", time.Minute, time.Second))
 		is.Equal(refusal.KindOf(err), refusal.Stopping)
 		select {
 		case <-closed:
@@ -187,7 +188,7 @@
 }
 
 // Guards against a large account that starves a small one: the small one gets
-// its part although the other one keeps the queue full.
+// its fair share although the large one keeps the queue full.
 func TestSmallAccountIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -199,7 +200,7 @@
 			for time.Since(start) < 20*time.Second {
 				time.Sleep(every)
 				go func() {
-					ticket, err := g.Enter(context.Background(), ask(account, 2*time.Second, 100*time.Millisecond))
+					ticket, err := g.Enter(context.Background(), newRequest(account, 2*time.Second, 100*time.Millisecond))
 					if err != nil {
 						return
 					}
@@ -209,14 +210,14 @@
 				}()
 			}
 		}
-		go send("large", 5*time.Millisecond) // 200/s, five times what the pool can do
-		send("small", 100*time.Millisecond)  // 10/s, a quarter
+		go send("large", 5*time.Millisecond) // 200/s, five times the capacity of the pool
+		send("small", 100*time.Millisecond)  // 10/s, a quarter of the capacity
 		time.Sleep(5 * time.Second)
 		for len(done) > 0 {
 			served[<-done]++
 		}
 		is.True(served["small"] >= 195)
-		is.True(served["small"]+served["large"] >= 760) // 95% of 4 places * 10/s * 20 s
+		is.True(served["small"]+served["large"] >= 760) // 95% of 4 permits * 10/s * 20 s
 	})
 }
 
--- a/internal/admission/gate/wait.go
+++ b/internal/admission/gate/wait.go
@@ -11,68 +11,68 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/refusal"
 )
 
-// guarded is the lane of a pool under its lock.
-type guarded struct {
+// lockedLane is the lane of a pool with the lock that guards it.
+type lockedLane struct {
 	clock fleet.Clock
 	mu    sync.Mutex
 	lane  *lane.Lane
 }
 
-// enter waits for a place.
-func (g *guarded) enter(ctx context.Context, a admission.Ask, now time.Time) (*lane.Waiter, error) {
-	granted := make(chan error, 1)
-	w, err := g.join(a, now, granted)
+// enter blocks until the request has a permit, is refused or ctx ends.
+func (g *lockedLane) enter(ctx context.Context, r admission.Ask, now time.Time) (*lane.Waiter, error) {
+	result := make(chan error, 1)
+	w, err := g.join(r, now, result)
 	if err != nil {
 		return nil, err
 	}
-	var late <-chan time.Time
-	if at := w.LatestStart(); !at.IsZero() && len(granted) == 0 {
-		// One nanosecond later the request counts as late.
-		late = g.clock.After(at.Sub(now) + 1)
+	var expiry <-chan time.Time
+	if latest := w.LatestStart(); !latest.IsZero() && len(result) == 0 {
+		// The request expires one nanosecond after its latest start.
+		expiry = g.clock.After(latest.Sub(now) + 1)
 	}
 	for {
 		select {
-		case err := <-granted:
+		case err := <-result:
 			return w, err
-		case <-late:
-			late = nil
+		case <-expiry:
+			expiry = nil
 			g.wake()
 		case <-ctx.Done():
-			return nil, g.leave(w, granted, ctx.Err())
+			return nil, g.leave(w, result, ctx.Err())
 		}
 	}
 }
 
-func (g *guarded) join(a admission.Ask, now time.Time, granted chan<- error) (*lane.Waiter, error) {
+func (g *lockedLane) join(r admission.Ask, now time.Time, result chan<- error) (*lane.Waiter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lane.Join(a, now, func(err error) { granted <- err })
+	return g.lane.Join(r, now, func(err error) { result <- err })
 }
 
-// leave ends the wait of a caller that went away. A place that was handed out
-// meanwhile is returned.
-func (g *guarded) leave(w *lane.Waiter, granted <-chan error, cause error) error {
+// leave removes a request whose caller has gone away. A permit that was granted
+// in the meantime is returned.
+func (g *lockedLane) leave(w *lane.Waiter, result <-chan error, cause error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.lane.Leave(w) && <-granted == nil {
+	if !g.lane.Leave(w) && <-result == nil {
 		g.lane.Finish(w, 0, g.clock.Now())
 	}
 	return refusal.Because(refusal.Deadline, cause, "caller left the queue, not started")
 }
 
-func (g *guarded) wake() {
+func (g *lockedLane) wake() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lane.Wake(g.clock.Now())
 }
 
-func (g *guarded) adapt(c lane.Capacity) {
+func (g *lockedLane) setCapacity(c lane.Capacity) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lane.Adapt(c, g.clock.Now())
 }
 
-func (g *guarded) counters() lane.Counters {
+func (g *lockedLane) counters() lane.Counters {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lane.Counters()
@@ -83,21 +83,21 @@
 // ticket implements admission.Ticket.
 type ticket struct {
 	gate    *Gate
-	lane    *guarded
+	lane    *lockedLane
 	waiter  *lane.Waiter
 	account fleet.AccountID
-	began   time.Time
+	started time.Time
 }
 
-// Moved implements admission.Movable.
+// Moved implements admission.Evictable.
 func (t *ticket) Moved() <-chan struct{} { return t.waiter.Moved() }
 
 // Done implements admission.Ticket.
 func (t *ticket) Done() {
 	now := t.gate.clock.Now()
 	t.lane.mu.Lock()
-	t.lane.lane.Finish(t.waiter, now.Sub(t.began), now)
+	t.lane.lane.Finish(t.waiter, now.Sub(t.started), now)
 	t.lane.mu.Unlock()
-	t.gate.limit.Release(t.account)
-	t.gate.leave()
+	t.gate.limiter.Release(t.account)
+	t.gate.decrementPending()
 }
--- a/internal/admission/lane/lane.go
+++ b/internal/admission/lane/lane.go
@@ -1,13 +1,13 @@
 // Package lane admits the requests of one pool: a fair queue with deadlines in
-// front of a number of places that adapts to what the pool can run.
+// front of a concurrency limit that adapts to what the pool can run.
 //
-// Lane is pure state. The caller passes the time, holds a lock when it needs
-// one, and gets the outcome of a wait by a callback:
+// A Lane reads no clock and takes no lock. The caller passes the time, locks where
+// needed, and receives the result of a wait by a callback:
 //
 //	l := lane.New(pool, 1024, nil)
-//	w, err := l.Join(ask, now, func(err error) { granted <- err })
+//	w, err := l.Join(request, now, func(err error) { result <- err })
 //	...
-//	l.Finish(w, took, now)
+//	l.Finish(w, serviceTime, now)
 package lane
 
 import (
@@ -21,33 +21,33 @@
 )
 
 const (
-	// serviceWeight is the weight of the newest piece of work in the mean time
-	// of work and in its deviation.
-	serviceWeight = 0.05
-	// safety is the number of mean deviations by which work may take longer
-	// than the mean and still end before its deadline. With 0, 11% of the work
-	// of an overloaded pool was lost to deadlines.
-	safety = 3
-	// minRetry is the shortest time after which a refused caller is asked to
-	// come back.
-	minRetry = 100 * time.Millisecond
+	// ewmaWeight is the weight of the newest sample in the moving averages of
+	// the service time and of its deviation.
+	ewmaWeight = 0.05
+	// deviationMargin is the number of mean deviations by which a request may take
+	// longer than the mean and still finish before its deadline. With 0, 11% of the
+	// work of an overloaded pool was lost to missed deadlines.
+	deviationMargin = 3
+	// minRetryAfter is the shortest time after which a refused caller is told to
+	// retry.
+	minRetryAfter = 100 * time.Millisecond
 )
 
-// Bound limits the work in progress of all pools together. Implementations are
-// safe for concurrent use; quiet/governor has one.
-type Bound interface {
-	// Start returns whether work of the expected time may start at now. When it
-	// may, end is called once when the work has ended. move is called at most
-	// once, when the work has to leave.
-	Start(now time.Time, expected time.Duration, move func()) (end func(), ok bool)
-	// Move asks work over the bound to leave, and returns how much.
+// QuietLimit limits the requests in progress of all pools together for quiet
+// hours. Implementations are safe for concurrent use; package governor has one.
+type QuietLimit interface {
+	// Start reports whether a request of the expected duration may start at now.
+	// If so, the caller calls release once, when the request has ended. evict is
+	// called at most once, when the request has to leave.
+	Start(now time.Time, expected time.Duration, evict func()) (release func(), ok bool)
+	// Move evicts the requests over the limit and returns their number.
 	Move(now time.Time) int
-	// Retry returns the time for which no work can start at all, however much
-	// ends, or zero.
+	// Retry returns the time for which no request can start, even if all requests
+	// in progress end, or zero.
 	Retry(now time.Time) time.Duration
 }
 
-// Counters are sums since the start of a Lane, and its state now.
+// Counters holds totals since the creation of a Lane, and its current state.
 type Counters struct {
 	Admitted          uint64
 	RefusedOverloaded uint64
@@ -56,76 +56,76 @@
 	Abandoned         uint64 // the caller went away while waiting
 	Waiting           int
 	Running           int
-	Places            float64
+	Permits           float64
 }
 
-// String describes the state for a decision record.
+// String describes the current state for a decision record.
 func (c Counters) String() string {
-	return fmt.Sprintf("%d running on %.1f places, %d waiting", c.Running, c.Places, c.Waiting)
+	return fmt.Sprintf("%d running on %.1f places, %d waiting", c.Running, c.Permits, c.Waiting)
 }
 
 // Lane admits the requests of one pool. It is not safe for concurrent use.
 type Lane struct {
-	pool    fleet.PoolID
-	bound   Bound
-	waiting *queue.Queue
-	running int
-	places  places
-	bounded bool          // the bound kept work from starting at the last Wake
-	service time.Duration // mean time of work
-	spread  time.Duration // mean deviation from it
-	counts  Counters
+	pool                fleet.PoolID
+	quietLimit          QuietLimit
+	waiting             *queue.Queue
+	running             int
+	permits             concurrencyLimit
+	blockedByQuietLimit bool          // the quiet-hours limit kept a request from starting at the last Wake
+	meanServiceTime     time.Duration // moving average
+	meanDeviation       time.Duration // moving average of the distance to meanServiceTime
+	counters            Counters
 }
 
 // Waiter is a request that waits or runs.
 type Waiter struct {
-	item   queue.Item
-	notify func(error)
-	end    func() // of the bound, or nil
-	moved  chan struct{}
+	item    queue.Item
+	notify  func(error)
+	release func() // returned by QuietLimit.Start, or nil
+	evicted chan struct{}
 }
 
-// Moved returns a channel that is closed when the work has to leave because of
-// the bound. Without a bound it is nil.
-func (w *Waiter) Moved() <-chan struct{} { return w.moved }
+// Moved returns a channel that is closed when the request has to leave because of
+// the quiet-hours limit. Without such a limit it is nil.
+func (w *Waiter) Moved() <-chan struct{} { return w.evicted }
 
-// New returns a Lane for a pool with room for so many waiting requests. bound
-// may be nil.
-func New(p fleet.PoolID, room int, bound Bound) *Lane {
-	return &Lane{pool: p, bound: bound, waiting: queue.New(room), places: newPlaces()}
+// New returns a Lane for a pool in which at most queueLimit requests wait.
+// quietLimit may be nil.
+func New(p fleet.PoolID, queueLimit int, quietLimit QuietLimit) *Lane {
+	return &Lane{pool: p, quietLimit: quietLimit, waiting: queue.New(queueLimit), permits: newConcurrencyLimit()}
 }
 
-// Join lets a request wait for a place. notify is called once, perhaps before
-// Join returns, with nil when the request has a place or with the error of a
-// refusal. It is not called when Join returns an error or after Leave.
-func (l *Lane) Join(a admission.Ask, now time.Time, notify func(error)) (*Waiter, error) {
-	expected, reserve := a.Expected, time.Duration(0)
+// Join queues a request for a permit. notify is called once, possibly before Join
+// returns, with nil when the request has a permit or with the error of a refusal.
+// It is not called when Join returns an error or after Leave.
+func (l *Lane) Join(r admission.Ask, now time.Time, notify func(error)) (*Waiter, error) {
+	expected, margin := r.Expected, time.Duration(0)
 	if expected == 0 {
-		expected, reserve = l.service, safety*l.spread
+		expected, margin = l.meanServiceTime, deviationMargin*l.meanDeviation
 	}
 	w := &Waiter{notify: notify}
 	w.item = queue.Item{
-		Account:  a.Account,
-		Weight:   a.Weight,
-		Priority: a.Priority,
+		Account:  r.Account,
+		Weight:   r.Weight,
+		Priority: r.Priority,
 		Expected: expected,
-		Reserve:  reserve,
-		Deadline: a.Deadline,
-		Owner:    w,
+		Margin:   margin,
+		Deadline: r.Deadline,
+		Value:    w,
 	}
 	if err := l.rejectEarly(w, now); err != nil {
 		return nil, err
 	}
 	if !l.waiting.Push(&w.item) {
-		l.counts.RefusedOverloaded++
-		return nil, refusal.New(refusal.Overloaded, "queue of pool %q has no room for account %q", l.pool, a.Account).After(l.retry(l.wait(w)))
+		l.counters.RefusedOverloaded++
+		return nil, refusal.New(refusal.Overloaded, "queue of pool %q has no room for account %q", l.pool, r.Account).After(l.retryAfter(l.estimatedWait(w)))
 	}
 	l.Wake(now)
 	return w, nil
 }
 
-// LatestStart returns the time after which the work of w cannot finish before
-// its deadline. Without a deadline it is zero.
+// LatestStart returns the time after which w cannot finish before its deadline.
+// Without a deadline it is zero.
 func (w *Waiter) LatestStart() time.Time {
 	if w.item.Deadline.IsZero() {
 		return time.Time{}
@@ -133,128 +133,127 @@
 	return w.item.LatestStart()
 }
 
-// Leave takes w out of the queue because its caller went away. It returns false
-// when w does not wait any more.
+// Leave removes w from the queue because its caller has gone away. It returns false
+// when w no longer waits.
 func (l *Lane) Leave(w *Waiter) bool {
-	l.counts.Abandoned++
+	l.counters.Abandoned++
 	return l.waiting.Remove(&w.item)
 }
 
-// Finish returns the place of w. took is the time of the work, or zero when it
-// was not run.
-func (l *Lane) Finish(w *Waiter, took time.Duration, now time.Time) {
-	if w.end != nil {
-		w.end()
+// Finish returns the permit of w. serviceTime is zero when the request was not run.
+func (l *Lane) Finish(w *Waiter, serviceTime time.Duration, now time.Time) {
+	if w.release != nil {
+		w.release()
 	}
 	l.running--
-	if took > 0 {
-		l.learn(took)
+	if serviceTime > 0 {
+		l.recordServiceTime(serviceTime)
 	}
 	l.Wake(now)
 }
 
-func (l *Lane) learn(took time.Duration) {
-	if l.service == 0 {
-		l.service = took
+func (l *Lane) recordServiceTime(sample time.Duration) {
+	if l.meanServiceTime == 0 {
+		l.meanServiceTime = sample
 	}
-	off := took - l.service
-	l.service += time.Duration(serviceWeight * float64(off))
-	l.spread += time.Duration(serviceWeight * float64(max(off, -off)-l.spread))
+	deviation := sample - l.meanServiceTime
+	l.meanServiceTime += time.Duration(ewmaWeight * float64(deviation))
+	l.meanDeviation += time.Duration(ewmaWeight * float64(max(deviation, -deviation)-l.meanDeviation))
 }
 
-// Adapt takes over what is known of the pool.
+// Adapt updates what is known of the capacity of the pool.
 func (l *Lane) Adapt(c Capacity, now time.Time) {
-	l.places.adapt(c, now)
+	l.permits.adapt(c, now)
 	l.Wake(now)
 }
 
-// Wake refuses requests that became late and hands out free places.
+// Wake refuses requests that can no longer finish in time and grants free permits.
 func (l *Lane) Wake(now time.Time) {
 	for i := l.waiting.Expire(now); i != nil; i = l.waiting.Expire(now) {
-		i.Owner.(*Waiter).notify(l.late(now))
+		i.Value.(*Waiter).notify(l.lateError(now))
 	}
-	l.bounded = false
-	start := func(i *queue.Item) bool {
-		l.bounded = !l.begin(i, now)
-		return !l.bounded
+	l.blockedByQuietLimit = false
+	tryStart := func(i *queue.Item) bool {
+		l.blockedByQuietLimit = !l.acquireQuietLimit(i, now)
+		return !l.blockedByQuietLimit
 	}
-	for float64(l.running+1) <= l.places.limit {
-		i := l.waiting.Pop(start)
+	for float64(l.running+1) <= l.permits.limit {
+		i := l.waiting.Pop(tryStart)
 		if i == nil {
 			break
 		}
 		l.running++
-		l.counts.Admitted++
-		i.Owner.(*Waiter).notify(nil)
+		l.counters.Admitted++
+		i.Value.(*Waiter).notify(nil)
 	}
-	l.places.binding = l.places.binding || l.waiting.Len() > 0
+	l.permits.binding = l.permits.binding || l.waiting.Len() > 0
 }
 
-// Counters returns the sums and the state.
+// Counters returns the totals and the current state.
 func (l *Lane) Counters() Counters {
-	c := l.counts
+	c := l.counters
 	c.Waiting = l.waiting.Len()
 	c.Running = l.running
-	c.Places = l.places.limit
+	c.Permits = l.permits.limit
 	return c
 }
 
-// rejectEarly returns an error when the work could not finish in time.
+// rejectEarly returns an error when the request is not expected to finish in time.
 func (l *Lane) rejectEarly(w *Waiter, now time.Time) error {
 	if w.item.Deadline.IsZero() {
 		return nil
 	}
 	if now.After(w.item.LatestStart()) {
-		l.counts.RefusedDeadline++
+		l.counters.RefusedDeadline++
 		return refusal.New(refusal.Deadline, "work of %v cannot finish before the deadline, not started", w.item.Expected)
 	}
-	if l.bound != nil {
-		if d := l.bound.Retry(now); d > 0 && now.Add(d).After(w.item.LatestStart()) {
-			return l.quiet(d)
+	if l.quietLimit != nil {
+		if d := l.quietLimit.Retry(now); d > 0 && now.Add(d).After(w.item.LatestStart()) {
+			return l.quietHoursError(d)
 		}
 	}
-	wait := l.wait(w)
+	wait := l.estimatedWait(w)
 	if !now.Add(wait).After(w.item.LatestStart()) {
 		return nil
 	}
-	l.counts.RefusedOverloaded++
-	return refusal.New(refusal.Overloaded, "pool %q has %v of work waiting, too much for the deadline", l.pool, wait).After(l.retry(wait))
+	l.counters.RefusedOverloaded++
+	return refusal.New(refusal.Overloaded, "pool %q has %v of work waiting, too much for the deadline", l.pool, wait).After(l.retryAfter(wait))
 }
 
-func (l *Lane) wait(w *Waiter) time.Duration {
-	if float64(l.running+1) <= l.places.limit {
+func (l *Lane) estimatedWait(w *Waiter) time.Duration {
+	if float64(l.running+1) <= l.permits.limit {
 		return 0
 	}
-	return l.waiting.Wait(w.item.Account, w.item.Weight, w.item.Priority, l.places.limit)
+	return l.waiting.EstimatedWait(w.item.Account, w.item.Weight, w.item.Priority, l.permits.limit)
 }
 
-// begin asks the bound for one more piece of work.
-func (l *Lane) begin(i *queue.Item, now time.Time) bool {
-	if l.bound == nil {
+// acquireQuietLimit reports whether the quiet-hours limit allows one more request.
+func (l *Lane) acquireQuietLimit(i *queue.Item, now time.Time) bool {
+	if l.quietLimit == nil {
 		return true
 	}
-	w := i.Owner.(*Waiter)
-	moved := make(chan struct{})
-	end, ok := l.bound.Start(now, i.Expected+i.Reserve, func() { close(moved) })
-	w.end, w.moved = end, moved
+	w := i.Value.(*Waiter)
+	evicted := make(chan struct{})
+	release, ok := l.quietLimit.Start(now, i.Expected+i.Margin, func() { close(evicted) })
+	w.release, w.evicted = release, evicted
 	return ok
 }
 
-// late returns the error of work that waited until it could not finish any more.
-func (l *Lane) late(now time.Time) error {
-	if l.bounded {
-		return l.quiet(l.bound.Retry(now))
+// lateError returns the error of a request that waited past its latest start.
+func (l *Lane) lateError(now time.Time) error {
+	if l.blockedByQuietLimit {
+		return l.quietHoursError(l.quietLimit.Retry(now))
 	}
-	l.counts.RefusedOverloaded++
-	return refusal.New(refusal.Overloaded, "pool %q had no free place before the deadline, not started", l.pool).After(l.retry(0))
+	l.counters.RefusedOverloaded++
+	return refusal.New(refusal.Overloaded, "pool %q had no free place before the deadline, not started", l.pool).After(l.retryAfter(0))
 }
 
-func (l *Lane) quiet(wait time.Duration) error {
-	l.counts.RefusedQuietHours++
-	return refusal.New(refusal.QuietHours, "quiet hours bound the work in progress, not started").After(l.retry(wait))
+func (l *Lane) quietHoursError(wait time.Duration) error {
+	l.counters.RefusedQuietHours++
+	return refusal.New(refusal.QuietHours, "quiet hours bound the work in progress, not started").After(l.retryAfter(wait))
 }
 
-// retry returns the time after which a place is likely to be free.
-func (l *Lane) retry(wait time.Duration) time.Duration {
-	return max(wait, l.service, minRetry)
+// retryAfter returns the time after which a permit is likely to be free.
+func (l *Lane) retryAfter(wait time.Duration) time.Duration {
+	return max(wait, l.meanServiceTime, minRetryAfter)
 }
--- a/internal/admission/lane/places.go
+++ b/internal/admission/lane/places.go
@@ -3,88 +3,92 @@
 import "time"
 
 const (
-	// adaptEvery is the time between changes. Upstreams report once a second, so
-	// a change shows before the next one.
-	adaptEvery = time.Second
-	// unknownPlaces holds until the capacity of a pool is known.
-	unknownPlaces = 32
-	// firstHeadroom lets an instance use more than its even part from the
-	// start, because the load is never spread evenly.
-	firstHeadroom = 1.25
-	// fullLoad is the reported load per slot that is aimed at. It is above 1
-	// because instances that do not see each other's choices leave slots of one
-	// upstream idle while work waits at another one. 40 upstreams reached 94.8%
-	// of the bound with 1.4 and 98.1% with 1.8.
-	fullLoad = 1.8
-	// growth is the part of the even part that is added at a time.
-	growth = 0.05
-	// idleLoad is the load per slot below which slots are surely idle. Places
-	// that hold work back then grow by idleGrowth times. With growth alone, 3
-	// instances that got all requests of 15 stayed at 77% of the offered load.
-	idleLoad   = 0.9
-	idleGrowth = 1.25
-	// minGrowth is in places. Without it an even part of 0.8 places, as in a
-	// pool of 12 slots and 15 instances, grows by one place in 25 s only.
+	// adaptInterval is the time between adjustments. Upstreams report their load
+	// once a second, so an adjustment shows in the reports before the next one.
+	adaptInterval = time.Second
+	// initialLimit applies until the capacity of a pool is known.
+	initialLimit = 32
+	// initialHeadroom is the initial limit as a multiple of the even share. It is
+	// above 1 because the load is never spread evenly over the instances.
+	initialHeadroom = 1.25
+	// targetLoad is the targeted load per slot. It is above 1 because instances do
+	// not see each other's routing decisions and leave slots of one upstream idle
+	// while requests wait at another one. 40 upstreams reached 94.8% of the
+	// achievable goodput with 1.4 and 98.1% with 1.8.
+	targetLoad = 1.8
+	// growthFraction is the fraction of the even share that one adjustment adds.
+	growthFraction = 0.05
+	// idleLoad is the load per slot below which some slots are certainly idle. A
+	// binding limit is then also multiplied by idleGrowthFactor. With additive
+	// growth alone, 3 instances that received all requests of a fleet of 15 served
+	// 77% of the offered load.
+	idleLoad         = 0.9
+	idleGrowthFactor = 1.25
+	// minGrowth is the least growth of one adjustment, in permits. Without it an
+	// even share of 0.8 permits, as in a pool of 12 slots and 15 instances, takes
+	// 25 s to grow by one permit.
 	minGrowth = 0.2
-	// maxCut is the largest part that is taken away at a time.
-	maxCut = 0.2
-	// minPart is the part of the even part that is always kept.
-	minPart = 0.5
+	// maxDecrease is the largest fraction by which one adjustment lowers the limit.
+	maxDecrease = 0.2
+	// minShareFraction is the fraction of the even share below which the limit never
+	// falls.
+	minShareFraction = 0.5
 )
 
-// Capacity is what is known of a pool.
+// Capacity is what is known of the capacity and the load of a pool.
 type Capacity struct {
-	// Slots is the sum over the sound upstreams of the pool.
+	// Slots is the sum of the slots of the healthy upstreams of the pool.
 	Slots float64
-	// Instances is the number of instances that send work to the pool, this
+	// Instances is the number of instances that send requests to the pool, this
 	// one included.
 	Instances int
-	// Reported is the sum of running and waiting work in the last reports.
+	// Reported is the number of running and waiting requests in the last load
+	// reports.
 	Reported float64
-	// Known is the number of slots whose upstreams reported lately. Zero means
-	// that Reported says nothing.
+	// Known is the number of slots whose upstreams reported recently. If it is
+	// zero, ReportedLoad is not valid.
 	Known float64
 }
 
-// places is the number of requests that may run at once. Additive growth and
-// multiplicative cuts let instances that do not know each other's number arrive
-// at equal parts (Chiu and Jain, 1989).
-type places struct {
-	limit   float64
-	known   bool
-	adapted time.Time
-	binding bool // work has waited since the last change
+// concurrencyLimit is the number of permits. Additive increase and multiplicative
+// decrease make instances that do not know each other's limits converge to equal
+// shares (Chiu and Jain, 1989).
+type concurrencyLimit struct {
+	limit         float64
+	capacityKnown bool
+	adjustedAt    time.Time
+	binding       bool // requests have waited since the last adjustment
 }
 
-func newPlaces() places { return places{limit: unknownPlaces} }
+func newConcurrencyLimit() concurrencyLimit { return concurrencyLimit{limit: initialLimit} }
 
-func (p *places) adapt(c Capacity, now time.Time) {
+func (p *concurrencyLimit) adapt(c Capacity, now time.Time) {
 	if c.Slots <= 0 {
 		return
 	}
-	part := c.Slots / float64(max(c.Instances, 1))
-	if !p.known {
-		p.known = true
-		p.limit = part * firstHeadroom
+	evenShare := c.Slots / float64(max(c.Instances, 1))
+	if !p.capacityKnown {
+		p.capacityKnown = true
+		p.limit = evenShare * initialHeadroom
 	}
-	if c.Known > 0 && now.Sub(p.adapted) >= adaptEvery {
-		p.follow(c.Reported/c.Known, part)
-		p.adapted = now
+	if c.Known > 0 && now.Sub(p.adjustedAt) >= adaptInterval {
+		p.adjust(c.Reported/c.Known, evenShare)
+		p.adjustedAt = now
 		p.binding = false
 	}
-	p.limit = min(max(p.limit, part*minPart, 1), max(c.Slots*fullLoad, 1))
+	p.limit = min(max(p.limit, evenShare*minShareFraction, 1), max(c.Slots*targetLoad, 1))
 }
 
-func (p *places) follow(load, part float64) {
-	if load > fullLoad {
-		p.limit *= 1 - min(maxCut, (load-fullLoad)/load)
+func (p *concurrencyLimit) adjust(load, evenShare float64) {
+	if load > targetLoad {
+		p.limit *= 1 - min(maxDecrease, (load-targetLoad)/load)
 		return
 	}
 	if !p.binding {
 		return
 	}
-	p.limit += max(part*growth, minGrowth)
+	p.limit += max(evenShare*growthFraction, minGrowth)
 	if load < idleLoad {
-		p.limit *= idleGrowth
+		p.limit *= idleGrowthFactor
 	}
 }
--- a/internal/admission/queue/level.go
+++ b/internal/admission/queue/level.go
@@ -9,26 +9,26 @@
 // level is the fair queue of one priority.
 type level struct {
 	priority fleet.Priority
-	// virtual is the start tag of the item that was handed out last.
-	virtual float64
-	flows   map[fleet.AccountID]*flow
-	active  flowHeap // flows with items
-	work    float64  // sum of the costs of all items
-	weight  float64  // sum of the weights of active flows
+	// virtualTime is the start tag of the last item returned by Pop.
+	virtualTime  float64
+	flows        map[fleet.AccountID]*flow
+	active       flowHeap // flows with items
+	work         float64  // sum of the costs of all items, in seconds
+	activeWeight float64  // sum of the weights of active flows
 }
 
-// flow is the queue of one account, first in, first out.
+// flow is the FIFO queue of one account.
 type flow struct {
-	account    fleet.AccountID
-	level      *level
-	weight     float64
-	counted    float64 // weight as it is part of level.weight
-	head, tail *Item
-	count      int
-	work       float64
-	start      float64 // start tag of head
-	finish     float64 // finish tag of the item before head
-	position   int
+	account       fleet.AccountID
+	level         *level
+	weight        float64
+	countedWeight float64 // weight as included in level.activeWeight
+	head, tail    *Item
+	count         int
+	work          float64 // sum of the costs of the items, in seconds
+	startTag      float64 // start tag of head
+	finishTag     float64 // finish tag of the item before head
+	heapIndex     int
 }
 
 func (l *level) flow(a fleet.AccountID) *flow {
@@ -36,30 +36,30 @@
 	if f != nil {
 		return f
 	}
-	if len(l.flows) > keptFlows {
+	if len(l.flows) > flowSweepThreshold {
 		l.sweep()
 	}
-	f = &flow{account: a, level: l, weight: 1, position: -1}
+	f = &flow{account: a, level: l, weight: 1, heapIndex: -1}
 	l.flows[a] = f
 	return f
 }
 
-// sweep drops idle flows whose past no longer matters.
+// sweep drops idle flows whose finish tag no longer affects the order.
 func (l *level) sweep() {
 	for a, f := range l.flows {
-		if f.count == 0 && f.finish <= l.virtual {
+		if f.count == 0 && f.finishTag <= l.virtualTime {
 			delete(l.flows, a)
 		}
 	}
 }
 
-// ahead returns the work that goes before a new item of a: the items of a, and
-// as much per weight of the other accounts.
-func (l *level) ahead(a fleet.AccountID, weight float64) float64 {
-	own, others := 0.0, l.weight
+// workAhead returns the work, in seconds, that is served before a new item of a: the
+// items of a, and as much per unit of weight of the other active accounts.
+func (l *level) workAhead(a fleet.AccountID, weight float64) float64 {
+	own, others := 0.0, l.activeWeight
 	if f := l.flows[a]; f != nil && f.count > 0 {
 		own = f.work
-		others -= f.counted
+		others -= f.countedWeight
 	}
 	return min(l.work, own+own/weight*others)
 }
@@ -79,18 +79,18 @@
 	if f.count > 1 {
 		return
 	}
-	f.start = max(l.virtual, f.finish)
-	f.counted = f.weight
-	l.weight += f.counted
+	f.startTag = max(l.virtualTime, f.finishTag)
+	f.countedWeight = f.weight
+	l.activeWeight += f.countedWeight
 	heap.Push(&l.active, f)
 }
 
-// advance charges f for its head, which is handed out.
+// advance charges f for its head i, which Pop is about to remove.
 func (l *level) advance(f *flow, i *Item) {
-	l.virtual = f.start
-	f.finish = f.start + i.cost()/f.weight
-	f.start = max(l.virtual, f.finish)
-	heap.Fix(&l.active, f.position)
+	l.virtualTime = f.startTag
+	f.finishTag = f.startTag + i.cost()/f.weight
+	f.startTag = max(l.virtualTime, f.finishTag)
+	heap.Fix(&l.active, f.heapIndex)
 }
 
 func (l *level) remove(i *Item) {
@@ -113,10 +113,10 @@
 		return
 	}
 	f.work = 0
-	l.weight -= f.counted
-	heap.Remove(&l.active, f.position)
+	l.activeWeight -= f.countedWeight
+	heap.Remove(&l.active, f.heapIndex)
 	if len(l.active) == 0 {
-		l.work, l.weight = 0, 0 // no rounding errors are carried on
+		l.work, l.activeWeight = 0, 0 // don't accumulate rounding errors
 	}
 }
 
@@ -125,20 +125,20 @@
 func (h flowHeap) Len() int { return len(h) }
 
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].start != h[j].start {
-		return h[i].start < h[j].start
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
 	return h[i].account < h[j].account
 }
 
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].position, h[j].position = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.position = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
@@ -147,7 +147,7 @@
 	f := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	f.position = -1
+	f.heapIndex = -1
 	return f
 }
 
@@ -158,12 +158,12 @@
 
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].position, h[j].position = i, j
+	h[i].expiryIndex, h[j].expiryIndex = i, j
 }
 
 func (h *expiryHeap) Push(x any) {
 	i := x.(*Item)
-	i.position = len(*h)
+	i.expiryIndex = len(*h)
 	*h = append(*h, i)
 }
 
@@ -172,6 +172,6 @@
 	i := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	i.position = -1
+	i.expiryIndex = -1
 	return i
 }
--- a/internal/admission/queue/queue_test.go
+++ b/internal/admission/queue/queue_test.go
@@ -23,18 +23,18 @@
 
 func always(*queue.Item) bool { return true }
 
-// Guards against items that are lost, handed out twice or after they became
-// late, and against a queue beyond its bound, under any order of calls.
+// Guards against items that are lost, returned twice or returned after their latest
+// start, and against a queue that exceeds its limit, under any order of calls.
 func TestNothingLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue.New(20)
 		now := fakeclock.Start
-		in := map[*queue.Item]bool{}
+		queued := map[*queue.Item]bool{}
 		takeOut := func(i *queue.Item) {
-			if !in[i] {
+			if !queued[i] {
 				t.Fatal("item was not in the queue")
 			}
-			delete(in, i)
+			delete(queued, i)
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "call") {
@@ -49,7 +49,7 @@
 					i.Deadline = now.Add(5 * time.Second)
 				}
 				if q.Push(i) {
-					in[i] = true
+					queued[i] = true
 				}
 			case 2:
 				now = now.Add(time.Second)
@@ -57,36 +57,36 @@
 					takeOut(i)
 				}
 				i := q.Pop(always)
-				if i == nil && len(in) > 0 {
-					t.Fatal("nothing handed out although items wait")
+				if i == nil && len(queued) > 0 {
+					t.Fatal("Pop returned nil although items wait")
 				}
 				if i != nil {
 					takeOut(i)
 				}
 				if i != nil && !i.Deadline.IsZero() && now.After(i.LatestStart()) {
-					t.Fatal("a late item was handed out")
+					t.Fatal("Pop returned an item after its latest start")
 				}
 			case 3:
-				for i := range in {
+				for i := range queued {
 					takeOut(i)
 					if !q.Remove(i) || q.Remove(i) {
-						t.Fatal("Remove does not tell whether the item waited")
+						t.Fatal("Remove does not report whether the item was in the queue")
 					}
 					break
 				}
 			case 4:
 				q.Pop(func(*queue.Item) bool { return false })
 			}
-			if q.Len() != len(in) || q.Len() > 20 {
-				t.Fatalf("queue holds %d items, expected %d", q.Len(), len(in))
+			if q.Len() != len(queued) || q.Len() > 20 {
+				t.Fatalf("queue holds %d items, expected %d", q.Len(), len(queued))
 			}
 		}
 	})
 }
 
-// Guards against parts that do not follow the weights, against a high priority
-// that starves a low one, and against a large account that fills the queue.
-func TestParts(t *testing.T) {
+// Guards against shares that are not proportional to the weights, against a high
+// priority that starves a low one, and against a large account that fills the queue.
+func TestWeightsPrioritiesAndBound(t *testing.T) {
 	is := is.New(t)
 	q := queue.New(1000)
 	push := func(account string, weight int, p fleet.Priority, n int) (pushed int) {
@@ -97,7 +97,7 @@
 		}
 		return pushed
 	}
-	is.Equal(push("large", 1, 0, 5000), 500) // half of the room at most
+	is.Equal(push("large", 1, 0, 5000), 500) // at most half of the room
 	is.Equal(push("heavy", 3, 0, 300), 300)
 	is.Equal(push("urgent", 1, 5, 100), 100)
 	count := map[fleet.AccountID]int{}
@@ -105,9 +105,9 @@
 		count[q.Pop(always).Account]++
 	}
 	is.Equal(count["urgent"], 100)
-	is.True(count["heavy"] >= 74 && count["heavy"] <= 76) // three quarters of the rest
+	is.True(count["heavy"] >= 74 && count["heavy"] <= 76) // three quarters of the other 100
 	is.True(count["large"] >= 24 && count["large"] <= 26)
-	// While urgent work keeps coming, one turn in 16 goes to the others.
+	// While urgent items keep arriving, one item in 16 is of the lower priority.
 	push("urgent", 1, 5, 100)
 	low := 0
 	for range 64 {
--- a/internal/admission/share/exchange.go
+++ b/internal/admission/share/exchange.go
@@ -13,86 +13,88 @@
 )
 
 const (
-	// maxEntries bounds a summary to less than 1 KB.
+	// maxEntries is the maximum number of entries of a summary. It keeps a summary
+	// below 1 KB.
 	maxEntries = 60
-	// headerSize is in bytes: number of instances.
+	// headerSize is the size of the number of instances, in bytes.
 	headerSize = 2
-	// entrySize is in bytes: hash of the account, demand, share with asksBit,
-	// reserved places.
-	entrySize = 8 + 4 + 2 + 2
-	shareUnit = 1<<15 - 1
-	asksBit   = 1 << 15
+	// entrySize is the size, in bytes, of the hash of the account, the demand, the
+	// share with highDemandBit and the number of reserved permits.
+	entrySize     = 8 + 4 + 2 + 2
+	shareUnit     = 1<<15 - 1
+	highDemandBit = 1 << 15
 )
 
-// entry is what a summary says of one hot account.
+// entry describes one hot account in a summary.
 type entry struct {
 	hash     uint64
 	demand   float64
 	share    float64
-	reserved int // places in use or kept
-	// asks tells that the sender comes near its even share. An account that
-	// nobody asks for goes back to even shares.
-	asks bool
+	reserved int // permits in use or held
+	// highDemand tells that the sender uses more than hotThreshold of its even share
+	// or refused requests for lack of permits. An account without high demand at any
+	// instance returns to even shares.
+	highDemand bool
 }
 
 // peer is another instance, or another data centre as a whole.
 type peer struct {
-	at        time.Time
-	instances int
-	remote    bool // a data centre
-	entries   map[uint64]entry
+	receivedAt time.Time
+	instances  int
+	remote     bool // it is a data centre
+	entries    map[uint64]entry
 }
 
-// Summary returns the demand and the shares of the hot accounts for the other
-// instances. Its form is private to this package.
+// Summary returns the demand and the shares of the hot accounts, encoded for the other
+// instances. The encoding is private to this package.
 func (l *Limiter) Summary() []byte {
-	return encode(1, l.hot())
+	return encode(1, l.hotEntries())
 }
 
-// GroupSummary returns the sums over this instance and the ones that it hears of
-// by Absorb, those of its data centre. One instance of a data centre sends it to
-// the other data centres.
+// GroupSummary returns a Summary aggregated over this instance and those whose
+// summaries it got by ReceiveSummary, which are those of its data centre. One
+// instance of a data centre sends it to the other data centres.
 func (l *Limiter) GroupSummary(now time.Time) []byte {
-	hot := l.hot()
+	hot := l.hotEntries()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	local := l.local(now)
+	local := l.localPeers(now)
 	instances := 1
-	sums := make(map[uint64]entry)
+	totals := make(map[uint64]entry)
 	for _, p := range local {
 		instances += p.instances
-		for sum := range p.entries {
-			sums[sum] = entry{hash: sum}
+		for accountHash := range p.entries {
+			totals[accountHash] = entry{hash: accountHash}
 		}
 	}
 	for _, e := range hot {
-		sums[e.hash] = e
+		totals[e.hash] = e
 	}
-	for sum := range sums {
-		sums[sum] = l.sum(sums[sum], local)
+	for accountHash := range totals {
+		totals[accountHash] = l.addLocalPeers(totals[accountHash], local)
 	}
-	all := make([]entry, 0, len(sums))
-	for _, e := range sums {
+	all := make([]entry, 0, len(totals))
+	for _, e := range totals {
 		all = append(all, e)
 	}
 	sortByDemand(all)
 	return encode(instances, all[:min(len(all), maxEntries)])
 }
 
-// sum adds what the other instances of the data centre say of an account.
-func (l *Limiter) sum(e entry, local []*peer) entry {
+// addLocalPeers adds the entries of the other instances of the data centre to e.
+func (l *Limiter) addLocalPeers(e entry, local []*peer) entry {
 	if e.share == 0 {
-		e.share = l.part()
+		e.share = l.evenShare()
 	}
 	for _, p := range local {
 		o, ok := p.entries[e.hash]
 		if !ok {
-			o.share = l.part()
+			o.share = l.evenShare()
 		}
 		e.demand += o.demand
 		e.share += o.share
 		e.reserved += o.reserved
-		e.asks = e.asks || o.asks
+		e.highDemand = e.highDemand || o.highDemand
 	}
 	return e
 }
@@ -109,40 +111,40 @@
 	return data
 }
 
-// packedShare returns the share, rounded up, with asksBit.
+// packedShare returns the share, rounded up, with highDemandBit.
 func (e entry) packedShare() uint16 {
 	packed := uint16(math.Ceil(min(e.share, 1) * shareUnit))
-	if e.asks {
-		packed |= asksBit
+	if e.highDemand {
+		packed |= highDemandBit
 	}
 	return packed
 }
 
-// Absorb takes over the Summary of another instance. In a fleet with group
-// summaries it is one of the same data centre.
+// Absorb stores the Summary of another instance. In a fleet with group summaries it
+// is an instance of the same data centre.
 func (l *Limiter) Absorb(from fleet.InstanceID, data []byte, now time.Time) error {
-	return l.absorb(string(from), false, data, now)
+	return l.receive(string(from), false, data, now)
 }
 
-// AbsorbGroup takes over the GroupSummary of another data centre.
+// AbsorbGroup stores the GroupSummary of another data centre.
 func (l *Limiter) AbsorbGroup(from fleet.DataCentreID, data []byte, now time.Time) error {
-	return l.absorb(string(from), true, data, now)
+	return l.receive(string(from), true, data, now)
 }
 
-func (l *Limiter) absorb(from string, remote bool, data []byte, now time.Time) error {
+func (l *Limiter) receive(from string, remote bool, data []byte, now time.Time) error {
 	if len(data) < headerSize || (len(data)-headerSize)%entrySize != 0 || len(data) > headerSize+maxEntries*entrySize {
-		return errors.Errorf("usage summary of %q has %d bytes", from, len(data))
+		return errors.Errorf("usage summary of %q has an invalid length of %d bytes", from, len(data))
 	}
 	instances := int(binary.BigEndian.Uint16(data))
 	data = data[headerSize:]
 	entries := make(map[uint64]entry, len(data)/entrySize)
 	for ; len(data) > 0; data = data[entrySize:] {
 		e := entry{
-			hash:     binary.BigEndian.Uint64(data),
-			demand:   float64(math.Float32frombits(binary.BigEndian.Uint32(data[8:]))),
-			share:    float64(binary.BigEndian.Uint16(data[12:])&^asksBit) / shareUnit,
-			asks:     data[12]&(asksBit>>8) != 0,
-			reserved: int(binary.BigEndian.Uint16(data[14:])),
+			hash:       binary.BigEndian.Uint64(data),
+			demand:     float64(math.Float32frombits(binary.BigEndian.Uint32(data[8:]))),
+			share:      float64(binary.BigEndian.Uint16(data[12:])&^highDemandBit) / shareUnit,
+			highDemand: data[12]&(highDemandBit>>8) != 0,
+			reserved:   int(binary.BigEndian.Uint16(data[14:])),
 		}
 		if e.demand >= 0 && e.demand < math.MaxFloat32 {
 			entries[e.hash] = e
@@ -150,21 +152,21 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.peers[origin{from, remote}] = &peer{at: now, instances: instances, remote: remote, entries: entries}
+	l.peers[sender{from, remote}] = &peer{receivedAt: now, instances: instances, remote: remote, entries: entries}
 	return nil
 }
 
-// Tick recomputes the shares. It is called about once a second.
+// Tick recomputes the shares. Call it about once a second.
 func (l *Limiter) Tick(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	elapsed := now.Sub(l.ticked).Seconds()
-	if l.ticked.IsZero() || elapsed <= 0 {
+	elapsed := now.Sub(l.lastTick).Seconds()
+	if l.lastTick.IsZero() || elapsed <= 0 {
 		elapsed = 1
 	}
-	l.ticked = now
-	fresh := l.fresh(now)
-	l.track(fresh, now)
+	l.lastTick = now
+	fresh := l.freshPeers(now)
+	l.trackHotAccounts(fresh, now)
 	limits := *l.limits.Load()
 	for i := range l.shards {
 		h := &l.shards[i]
@@ -177,11 +179,12 @@
 		}
 		h.mu.Unlock()
 	}
-	l.trim()
+	l.demoteUnlisted()
 }
 
-// hot returns the entries of the hot accounts, those with the most demand first.
-func (l *Limiter) hot() []entry {
+// hotEntries returns the entries of at most maxEntries hot accounts, sorted by
+// descending demand.
+func (l *Limiter) hotEntries() []entry {
 	var all []entry
 	limits := *l.limits.Load()
 	for i := range l.shards {
@@ -189,7 +192,7 @@
 		h.mu.Lock()
 		for id, a := range h.accounts {
 			if a.hot {
-				all = append(all, entry{hash: hash(id), demand: a.demand, share: a.share, reserved: a.reserved(limits[id]), asks: a.asks})
+				all = append(all, entry{hash: hash(id), demand: a.demand, share: a.share, reserved: a.reserved(limits[id]), highDemand: a.highDemand})
 			}
 		}
 		h.mu.Unlock()
@@ -207,12 +210,12 @@
 	})
 }
 
-// fresh returns the peers that were heard lately, in a fixed order, and forgets
-// those long silent.
-func (l *Limiter) fresh(now time.Time) []*peer {
-	var heard []origin
+// freshPeers returns the peers whose summary is not older than peerTimeout, in a fixed
+// order, and removes the others.
+func (l *Limiter) freshPeers(now time.Time) []*peer {
+	var heard []sender
 	for o, p := range l.peers {
-		if now.Sub(p.at) <= silence {
+		if now.Sub(p.receivedAt) <= peerTimeout {
 			heard = append(heard, o)
 			continue
 		}
@@ -231,10 +234,10 @@
 	return fresh
 }
 
-// local returns the fresh peers of the same data centre.
-func (l *Limiter) local(now time.Time) []*peer {
+// localPeers returns the fresh peers of the same data centre.
+func (l *Limiter) localPeers(now time.Time) []*peer {
 	var local []*peer
-	for _, p := range l.fresh(now) {
+	for _, p := range l.freshPeers(now) {
 		if !p.remote {
 			local = append(local, p)
 		}
@@ -242,44 +245,44 @@
 	return local
 }
 
-// track starts state for accounts that are hot elsewhere, so that this instance
-// gives up what it does not need.
-func (l *Limiter) track(fresh []*peer, now time.Time) {
+// trackHotAccounts creates state for accounts that are hot at a peer, so that this
+// instance gives up the part of its share that it does not need.
+func (l *Limiter) trackHotAccounts(fresh []*peer, now time.Time) {
 	limits := *l.limits.Load()
 	for _, p := range fresh {
-		for sum := range p.entries {
-			id, ok := l.hashes[sum]
+		for accountHash := range p.entries {
+			id, ok := l.accountByHash[accountHash]
 			if !ok {
 				continue
 			}
 			h := l.shard(id)
 			h.mu.Lock()
-			l.account(h, id, limits[id], now)
+			l.accountState(h, id, limits[id], now)
 			h.mu.Unlock()
 		}
 	}
 }
 
-// update moves demand, heat and share of an account.
+// update recomputes the demand and the share of an account and whether it is hot.
 func (l *Limiter) update(id fleet.AccountID, a *account, limit document.Account, fresh []*peer, elapsed float64, now time.Time) {
 	a.demand += demandWeight * (float64(a.arrivals)/elapsed - a.demand)
 	a.arrivals = 0
-	a.asks = a.blocked || a.near(limit, l.part())
+	a.highDemand = a.blocked || a.nearEvenShare(limit, l.evenShare())
 	a.blocked = false
-	if l.part() < 1 && len(fresh) > 0 && (a.asks || asked(fresh, hash(id))) {
+	if l.evenShare() < 1 && len(fresh) > 0 && (a.highDemand || highDemandAtPeer(fresh, hash(id))) {
 		a.hot = true
-		a.fraction = l.fraction(id, a, limit, fresh)
-		l.move(id, a, fresh, now)
+		a.roundUp = l.keepRoundUp(id, a, limit, fresh)
+		l.adjustShare(id, a, fresh, now)
 		return
 	}
 	a.hot = false
-	a.fraction = true
-	a.share = l.part()
+	a.roundUp = true
+	a.share = l.evenShare()
 }
 
-// move brings the share nearer to what the demand asks for.
-func (l *Limiter) move(id fleet.AccountID, a *account, fresh []*peer, now time.Time) {
-	v := l.view(id, a, fresh)
+// adjustShare moves the share towards its target, which follows the demand.
+func (l *Limiter) adjustShare(id fleet.AccountID, a *account, fresh []*peer, now time.Time) {
+	v := l.fleetView(id, a, fresh)
 	if v.target < a.share*(1-deadBand) {
 		a.share = v.target
 		return
@@ -287,59 +290,59 @@
 	if v.target <= a.share {
 		return
 	}
-	if now.Sub(a.grown) < settleTime {
+	if now.Sub(a.grownAt) < growthInterval {
 		return
 	}
-	room := max(1-v.used-a.share, 0)
+	room := max(1-v.othersShare-a.share, 0)
 	want := v.target - a.share
-	a.share += min(want, room*want/max(v.wanted, want))
-	a.grown = now
+	a.share += min(want, room*want/max(v.totalGrowth, want))
+	a.grownAt = now
 }
 
-// view is what an instance knows about the shares of one account.
-type view struct {
-	used   float64 // shares of all others
-	target float64 // share that the own demand asks for
-	wanted float64 // growth that all instances want
+// fleetView summarizes the shares of one account over the fleet.
+type fleetView struct {
+	othersShare float64 // sum of the shares of all other instances
+	target      float64 // share of this instance that corresponds to its demand
+	totalGrowth float64 // sum of the increases that all instances need to reach their targets
 }
 
-func (l *Limiter) view(id fleet.AccountID, a *account, fresh []*peer) view {
-	part := l.part()
-	group := 1.0
+func (l *Limiter) fleetView(id fleet.AccountID, a *account, fresh []*peer) fleetView {
+	evenShare := l.evenShare()
+	heard := 1.0
 	for _, p := range fresh {
-		group += float64(p.instances)
+		heard += float64(p.instances)
 	}
-	absent := max(float64(l.instances.Load())-group, 0)
-	v := view{used: absent * part}
+	unheard := max(float64(l.instances.Load())-heard, 0)
+	v := fleetView{othersShare: unheard * evenShare}
 	demand := a.demand
 	for _, p := range fresh {
 		demand += p.entries[hash(id)].demand
 	}
-	divided := max(1-absent*part-group*floorShare*part, 0)
+	distributable := max(1-unheard*evenShare-heard*floorShare*evenShare, 0)
 	target := func(own, instances float64) float64 {
 		if demand <= 0 {
-			return part * instances
+			return evenShare * instances
 		}
-		return floorShare*part*instances + divided*own/demand
+		return floorShare*evenShare*instances + distributable*own/demand
 	}
 	v.target = target(a.demand, 1)
-	v.wanted = max(v.target-a.share, 0)
+	v.totalGrowth = max(v.target-a.share, 0)
 	for _, p := range fresh {
 		e, ok := p.entries[hash(id)]
 		if !ok {
-			e.share = part * float64(p.instances)
+			e.share = evenShare * float64(p.instances)
 		}
-		v.used += e.share
-		v.wanted += max(target(e.demand, float64(p.instances))-e.share, 0)
+		v.othersShare += e.share
+		v.totalGrowth += max(target(e.demand, float64(p.instances))-e.share, 0)
 	}
 	return v
 }
 
-// trim returns accounts that do not fit into a summary to the even share, which
-// the others assume for accounts that are not listed.
-func (l *Limiter) trim() {
+// demoteUnlisted limits the share of accounts that do not fit into a summary to the
+// even share, which the others assume for accounts that are not listed.
+func (l *Limiter) demoteUnlisted() {
 	listed := make(map[uint64]bool, maxEntries)
-	for _, e := range l.hot() {
+	for _, e := range l.hotEntries() {
 		listed[e.hash] = true
 	}
 	for i := range l.shards {
@@ -348,49 +351,50 @@
 		for id, a := range h.accounts {
 			if a.hot && !listed[hash(id)] {
 				a.hot = false
-				a.share = min(a.share, l.part())
+				a.share = min(a.share, l.evenShare())
 			}
 		}
 		h.mu.Unlock()
 	}
 }
 
-// near returns whether the use comes near the even share.
-func (a *account) near(limit document.Account, part float64) bool {
-	if limit.RequestRate > 0 && a.demand > hotShare*part*limit.RequestRate {
+// nearEvenShare reports whether the use exceeds hotThreshold of the even share.
+func (a *account) nearEvenShare(limit document.Account, evenShare float64) bool {
+	if limit.RequestRate > 0 && a.demand > hotThreshold*evenShare*limit.RequestRate {
 		return true
 	}
-	return limit.MaxInFlight > 0 && float64(a.inFlight) > hotShare*part*float64(limit.MaxInFlight)
+	return limit.MaxInFlight > 0 && float64(a.inFlight) > hotThreshold*evenShare*float64(limit.MaxInFlight)
 }
 
 func (a *account) idle() bool {
 	return !a.hot && a.inFlight == 0 && a.demand < idleDemand
 }
 
-func asked(fresh []*peer, sum uint64) bool {
+func highDemandAtPeer(fresh []*peer, accountHash uint64) bool {
 	for _, p := range fresh {
-		if p.entries[sum].asks {
+		if p.entries[accountHash].highDemand {
 			return true
 		}
 	}
 	return false
 }
 
-// fraction returns whether this instance keeps the place that the fraction of
-// its share stands for. Instances take and give up such places at random, as many
-// as there are free or too many, and keep one while requests come.
-func (l *Limiter) fraction(id fleet.AccountID, a *account, limit document.Account, fresh []*peer) bool {
+// keepRoundUp returns the next value of a.roundUp. Instances start and stop to round
+// up at random, with probabilities that on average use up the free permits or give up
+// the excess ones. Unless there are too many, an instance keeps rounding up while
+// requests arrive.
+func (l *Limiter) keepRoundUp(id fleet.AccountID, a *account, limit document.Account, fresh []*peer) bool {
 	own := a.reserved(limit)
 	total := own
 	for _, p := range fresh {
 		total += p.entries[hash(id)].reserved
 	}
 	room := float64(limit.MaxInFlight - total)
-	if !a.fraction {
-		return l.draw() < room/(lagTicks*float64(l.instances.Load()))
+	if !a.roundUp {
+		return l.random() < room/(propagationTicks*float64(l.instances.Load()))
 	}
 	if a.demand < idleDemand && a.inFlight == 0 {
 		return false
 	}
-	return room >= 0 || l.draw() >= -room/float64(max(total, 1))
+	return room >= 0 || l.random() >= -room/float64(max(total, 1))
 }
--- a/internal/admission/share/share.go
+++ b/internal/admission/share/share.go
@@ -1,26 +1,28 @@
 // Package share enforces the limits of client accounts over all instances
 // without a call to another instance.
 //
-// Each instance holds a share of every limit. Without news it is one part in as
-// many as there are instances. For an account whose demand comes near its limit
-// the instances exchange short summaries by gossip and move the shares to where
-// the demand is, down to a floor that lets every instance start some work.
+// Each instance holds a share of every limit. By default it is the even share, 1/n
+// of the limit in a fleet of n instances. For an account whose demand approaches
+// its limit the instances exchange short summaries by gossip and move the shares to
+// where the demand is, down to a floor that lets every instance start some requests.
 //
-// The shares that are in use are part of the summaries. A share shrinks at once,
-// and grows only into room that the others have shown to be free, so the sum
-// stays at the limit but for the time that a summary takes. An instance that
-// hears nobody falls back to one part, and the others assume that it did.
+// The summaries include the current shares. A share shrinks at once, and grows
+// only by what the summaries of the other instances leave free, so the sum of the
+// shares exceeds the limit at most for the time that a summary takes to arrive. An
+// instance that receives no summaries falls back to the even share, and the others
+// assume that it did.
 //
-// In a large fleet an instance hears the others of its data centre one by one and
-// each other data centre as a group, so the messages do not grow with the fleet.
+// In a large fleet an instance receives a summary of each instance of its own data
+// centre and one aggregated summary of each other data centre, so the messages do
+// not grow with the fleet.
 //
 // Rounding adds a bounded error: every instance may have one request in progress
-// beyond its share until it hears of those of the others, and save up one request
-// of the rate.
+// beyond its share until it learns of the requests of the others, and may save up
+// one request of the rate.
 //
 //	l := share.New(15)
 //	l.Configure(config.Accounts)
-//	if err := l.Take(account, now); err != nil {
+//	if err := l.Acquire(account, now); err != nil {
 //		return err // of kind refusal.AccountLimit
 //	}
 //	defer l.Release(account)
@@ -41,40 +43,45 @@
 
 const (
 	shardCount = 64
-	// floorShare is the part of a limit that is divided evenly whatever the
-	// demand is.
+	// floorShare is the fraction of a limit that is divided evenly, independently
+	// of the demand.
 	floorShare = 0.1
-	// deadBand is the part of a share by which the demand has to ask for a
-	// smaller one. Without it noise in the demand kept 7% of a limit unused, because
-	// shares shrink at once and grow later.
+	// deadBand is the fraction of a share by which its target has to be smaller
+	// before the share shrinks. Without it noise in the demand kept 7% of a limit
+	// unused, because shares shrink at once and grow later.
 	deadBand = 0.15
-	// hotShare is the part of the even share whose use makes an account hot.
-	hotShare = 0.5
-	// demandWeight is the weight of the newest interval in the demand.
+	// hotThreshold is the fraction of the even share above which the use of an
+	// account counts as high demand and makes the account hot.
+	hotThreshold = 0.5
+	// demandWeight is the weight of the newest interval in the moving average of
+	// the demand.
 	demandWeight = 0.3
-	// idleDemand is in requests a second. An account below it is forgotten.
+	// idleDemand is the demand, in requests per second, below which the state of an
+	// account is dropped.
 	idleDemand = 0.01
-	// silence is the age of a summary at which its sender counts as cut off.
-	silence = 5 * time.Second
-	// settleTime is the time between two growths of a share, in which the first
-	// one becomes known to the others.
-	settleTime = 2 * time.Second
-	// lagTicks is the number of ticks until the others see a place that was
-	// taken here.
-	lagTicks = 2
-	// defaultBurst is in seconds of the rate.
-	defaultBurst = 1.0
-	// minRetry is the shortest time after which a refused caller is asked to
-	// come back.
-	minRetry = 100 * time.Millisecond
+	// peerTimeout is the age of a summary above which its sender counts as
+	// unreachable.
+	peerTimeout = 5 * time.Second
+	// growthInterval is the least time between two increases of a share, so that the
+	// others learn of the first one before the second.
+	growthInterval = 2 * time.Second
+	// propagationTicks is the number of ticks until the other instances see a permit
+	// that this instance has reserved.
+	propagationTicks = 2
+	// defaultBurstSeconds is the burst, in seconds of the request rate, of accounts
+	// without a configured burst.
+	defaultBurstSeconds = 1.0
+	// minRetryAfter is the shortest time after which a refused caller is told to
+	// retry.
+	minRetryAfter = 100 * time.Millisecond
 )
 
-// Counters are sums since the start of a Limiter.
+// Counters holds totals since the creation of a Limiter.
 type Counters struct {
-	Taken          uint64
-	RefusedRate    uint64
-	RefusedRunning uint64
-	// Tracked is the number of accounts with state now.
+	Admitted        uint64
+	RefusedRate     uint64
+	RefusedInFlight uint64
+	// Tracked is the number of accounts that have state now.
 	Tracked int
 }
 
@@ -83,14 +90,14 @@
 	limits    atomic.Pointer[map[fleet.AccountID]document.Account]
 	instances atomic.Int64
 	shards    [shardCount]shard
-	draw      func() float64
+	random    func() float64
 
-	mu     sync.Mutex // guards the fields below
-	peers  map[origin]*peer
-	hashes map[uint64]fleet.AccountID
-	ticked time.Time
+	mu            sync.Mutex // guards the fields below
+	peers         map[sender]*peer
+	accountByHash map[uint64]fleet.AccountID
+	lastTick      time.Time
 
-	taken, refusedRate, refusedRunning atomic.Uint64
+	admitted, refusedRate, refusedInFlight atomic.Uint64
 }
 
 type shard struct {
@@ -100,39 +107,39 @@
 
 // account is the state of one account with recent requests.
 type account struct {
-	tokens   float64
-	filled   time.Time
-	inFlight int
-	// fraction tells that the place that the fraction of the share stands for
-	// may be used now.
-	fraction bool
-	blocked  bool // refused for want of a place since the last tick
-	arrivals int
-	demand   float64 // requests a second
-	share    float64
-	grown    time.Time
-	hot      bool // part of the summaries
-	asks     bool // near its even share here
+	tokens     float64
+	refilledAt time.Time
+	inFlight   int
+	// roundUp tells that the number of permits, which is generally not whole, is
+	// rounded up.
+	roundUp    bool
+	blocked    bool // a request was refused since the last tick because all permits were in use
+	arrivals   int
+	demand     float64 // requests per second, moving average
+	share      float64
+	grownAt    time.Time
+	hot        bool // listed in the summaries
+	highDemand bool // uses more than hotThreshold of the even share here, or was blocked
 }
 
-// origin is the sender of a summary, an instance or a data centre.
-type origin struct {
+// sender identifies the sender of a summary, an instance or a data centre.
+type sender struct {
 	id     string
 	remote bool
 }
 
-// Option changes a Limiter.
+// Option configures a Limiter.
 type Option func(*Limiter)
 
 // WithRandom sets the source of random numbers in [0, 1). The default is
 // math/rand/v2.
-func WithRandom(draw func() float64) Option {
-	return func(l *Limiter) { l.draw = draw }
+func WithRandom(random func() float64) Option {
+	return func(l *Limiter) { l.random = random }
 }
 
-// New returns a Limiter for one of a number of instances.
+// New returns a Limiter for one instance of a fleet of that many instances.
 func New(instances int, options ...Option) *Limiter {
-	l := &Limiter{peers: make(map[origin]*peer), draw: rand.Float64}
+	l := &Limiter{peers: make(map[sender]*peer), random: rand.Float64}
 	for _, o := range options {
 		o(l)
 	}
@@ -144,57 +151,58 @@
 	return l
 }
 
-// SetInstances sets the number of instances that share the limits. It should
-// not fall while an instance may only be cut off.
+// SetInstances sets the number of instances that share the limits. n should not
+// decrease while a missing instance may only be partitioned.
 func (l *Limiter) SetInstances(n int) { l.instances.Store(int64(max(n, 1))) }
 
 // Configure replaces the limits.
 func (l *Limiter) Configure(accounts map[fleet.AccountID]document.Account) {
-	hashes := make(map[uint64]fleet.AccountID, len(accounts))
+	byHash := make(map[uint64]fleet.AccountID, len(accounts))
 	for id := range accounts {
-		hashes[hash(id)] = id
+		byHash[hash(id)] = id
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hashes = hashes
+	l.accountByHash = byHash
 	l.limits.Store(&accounts)
 }
 
-// Take admits one request of an account, or returns an error of kind
-// refusal.AccountLimit with the time after which a resend may succeed.
-func (l *Limiter) Take(id fleet.AccountID, now time.Time) error {
+// Acquire admits one request of an account, or returns an error of kind
+// refusal.AccountLimit with the time after which a retry may succeed.
+func (l *Limiter) Acquire(id fleet.AccountID, now time.Time) error {
 	limit := (*l.limits.Load())[id]
 	h := l.shard(id)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := l.account(h, id, limit, now)
+	a := l.accountState(h, id, limit, now)
 	a.arrivals++
-	if limit.MaxInFlight > 0 && !a.mayRun(limit) {
+	if limit.MaxInFlight > 0 && !a.mayStart(limit) {
 		a.blocked = true
-		l.refusedRunning.Add(1)
-		return refusal.New(refusal.AccountLimit, "account %q has %d requests in progress here, its share of %d", id, a.inFlight, limit.MaxInFlight).After(minRetry)
+		l.refusedInFlight.Add(1)
+		return refusal.New(refusal.AccountLimit, "account %q has %d requests in progress here, its share of %d", id, a.inFlight, limit.MaxInFlight).After(minRetryAfter)
 	}
-	if wait := a.spend(limit, now); wait > 0 {
+	if wait := a.takeToken(limit, now); wait > 0 {
 		l.refusedRate.Add(1)
 		return refusal.New(refusal.AccountLimit, "account %q is over its share of %g requests/s", id, limit.RequestRate).After(wait)
 	}
 	a.inFlight++
-	l.taken.Add(1)
+	l.admitted.Add(1)
 	return nil
 }
 
-// Release ends a request that Take admitted.
-func (l *Limiter) Release(id fleet.AccountID) { l.end(id, 0) }
+// Release ends a request that Acquire admitted.
+func (l *Limiter) Release(id fleet.AccountID) { l.release(id, 0) }
 
-// Refund ends a request that Take admitted and that was not run.
-func (l *Limiter) Refund(id fleet.AccountID) { l.end(id, 1) }
+// Refund ends a request that Acquire admitted and that was not run. It gives back the
+// token of the request rate.
+func (l *Limiter) Refund(id fleet.AccountID) { l.release(id, 1) }
 
-// Counters returns the sums so far.
+// Counters returns the current totals.
 func (l *Limiter) Counters() Counters {
 	c := Counters{
-		Taken:          l.taken.Load(),
-		RefusedRate:    l.refusedRate.Load(),
-		RefusedRunning: l.refusedRunning.Load(),
+		Admitted:        l.admitted.Load(),
+		RefusedRate:     l.refusedRate.Load(),
+		RefusedInFlight: l.refusedInFlight.Load(),
 	}
 	for i := range l.shards {
 		l.shards[i].mu.Lock()
@@ -204,7 +212,7 @@
 	return c
 }
 
-// Share returns the part of the limits of an account that this instance holds.
+// Share returns the fraction of the limits of an account that this instance holds.
 func (l *Limiter) Share(id fleet.AccountID) float64 {
 	h := l.shard(id)
 	h.mu.Lock()
@@ -212,10 +220,10 @@
 	if a := h.accounts[id]; a != nil {
 		return a.share
 	}
-	return l.part()
+	return l.evenShare()
 }
 
-func (l *Limiter) end(id fleet.AccountID, tokens float64) {
+func (l *Limiter) release(id fleet.AccountID, refund float64) {
 	h := l.shard(id)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -224,73 +232,74 @@
 		return
 	}
 	a.inFlight--
-	a.tokens += tokens
+	a.tokens += refund
 }
 
-// part returns the share of an instance that has no news.
-func (l *Limiter) part() float64 { return 1 / float64(l.instances.Load()) }
+// evenShare returns the share of an instance that received no summaries.
+func (l *Limiter) evenShare() float64 { return 1 / float64(l.instances.Load()) }
 
 func (l *Limiter) shard(id fleet.AccountID) *shard {
 	return &l.shards[hash(id)%shardCount]
 }
 
-// account returns the state of id, whose shard is locked.
-func (l *Limiter) account(h *shard, id fleet.AccountID, limit document.Account, now time.Time) *account {
+// accountState returns the state of id and creates it if necessary. h is the shard of
+// id and locked.
+func (l *Limiter) accountState(h *shard, id fleet.AccountID, limit document.Account, now time.Time) *account {
 	a := h.accounts[id]
 	if a != nil {
 		return a
 	}
-	a = &account{share: l.part(), filled: now, fraction: true}
+	a = &account{share: l.evenShare(), refilledAt: now, roundUp: true}
 	a.tokens = a.burst(limit)
 	h.accounts[id] = a
 	return a
 }
 
-// mayRun returns whether one more request may be in progress here. Within the
-// whole places of the share it may. The fraction that is left over counts as a
-// place at times; without that an account with fewer places than there are
-// instances could not start anything.
-func (a *account) mayRun(limit document.Account) bool {
-	return a.inFlight < a.places(limit)
+// mayStart reports whether one more request may start here. The number of permits of
+// the share is at times rounded up; otherwise an account with fewer permits than
+// there are instances could not start any request.
+func (a *account) mayStart(limit document.Account) bool {
+	return a.inFlight < a.permits(limit)
 }
 
-// places returns the requests that may be in progress here.
-func (a *account) places(limit document.Account) int {
+// permits returns the number of requests that may be in progress here.
+func (a *account) permits(limit document.Account) int {
 	exact := float64(limit.MaxInFlight) * a.share
 	whole := int(exact)
-	if a.fraction && exact > float64(whole) {
+	if a.roundUp && exact > float64(whole) {
 		whole++
 	}
 	return whole
 }
 
-// reserved returns the places that the others must not use.
+// reserved returns the number of permits that the other instances must not use.
 func (a *account) reserved(limit document.Account) int {
-	return max(a.inFlight, a.places(limit))
+	return max(a.inFlight, a.permits(limit))
 }
 
+// burst returns the greatest number of tokens that the account saves up here.
 func (a *account) burst(limit document.Account) float64 {
 	b := float64(limit.Burst)
 	if b == 0 {
-		b = limit.RequestRate * defaultBurst
+		b = limit.RequestRate * defaultBurstSeconds
 	}
 	return max(1, b*a.share)
 }
 
-// spend takes a token and returns zero, or the time until there is one.
-func (a *account) spend(limit document.Account, now time.Time) time.Duration {
+// takeToken takes a token and returns zero, or returns the time until there is one.
+func (a *account) takeToken(limit document.Account, now time.Time) time.Duration {
 	if limit.RequestRate <= 0 {
 		return 0
 	}
 	rate := limit.RequestRate * a.share
-	a.tokens = min(a.tokens+rate*max(now.Sub(a.filled), 0).Seconds(), a.burst(limit))
-	a.filled = now
+	a.tokens = min(a.tokens+rate*max(now.Sub(a.refilledAt), 0).Seconds(), a.burst(limit))
+	a.refilledAt = now
 	if a.tokens >= 1 {
 		a.tokens--
 		return 0
 	}
 	wait := time.Duration((1 - a.tokens) / rate * float64(time.Second))
-	return max(wait, minRetry)
+	return max(wait, minRetryAfter)
 }
 
 func hash(id fleet.AccountID) uint64 { return xxhash.Sum64String(string(id)) }
--- a/internal/admission/share/share_test.go
+++ b/internal/admission/share/share_test.go
@@ -19,21 +19,21 @@
 	limitRate = 300.0 // requests a second of the account
 )
 
-// fleetOf is a number of limiters that exchange summaries once a second, each
-// of which arrives a second late.
-type fleetOf struct {
-	random     *rand.Rand
-	groups     int // data centres that exchange group summaries, or 0
-	now        time.Time
-	limiters   []*share.Limiter
-	late       [][]byte
-	lateGroups [][]byte // sent by the first instance of each data centre
+// testFleet is a number of limiters that exchange summaries once a second. Each
+// summary arrives one second late.
+type testFleet struct {
+	random         *rand.Rand
+	groups         int // data centres that exchange group summaries, or 0
+	now            time.Time
+	limiters       []*share.Limiter
+	summaries      [][]byte
+	groupSummaries [][]byte // sent by the first instance of each data centre
 }
 
-func newFleet(seed uint64) *fleetOf {
-	f := &fleetOf{random: rand.New(rand.NewPCG(seed, 3)), now: fakeclock.Start}
-	f.late = make([][]byte, instances)
-	f.lateGroups = make([][]byte, instances)
+func newFleet(seed uint64) *testFleet {
+	f := &testFleet{random: rand.New(rand.NewPCG(seed, 3)), now: fakeclock.Start}
+	f.summaries = make([][]byte, instances)
+	f.groupSummaries = make([][]byte, instances)
 	for range instances {
 		l := share.New(instances, share.WithRandom(f.random.Float64))
 		l.Configure(map[fleet.AccountID]document.Account{"a": {ID: "a", RequestRate: limitRate, Burst: 300}})
@@ -42,11 +42,11 @@
 	return f
 }
 
-// run sends rate requests a second to the first `to` instances for a time and
-// returns the mean of the admitted rate and the highest over five seconds, both
-// as parts of the limit. Instances before and from `cut` on hear each other only
-// among themselves.
-func (f *fleetOf) run(length time.Duration, rate float64, to, cut int) (mean, peak float64) {
+// run sends rate requests per second to the first targets instances and returns the
+// mean admitted rate and the highest mean over five seconds, both as fractions of
+// the limit. Instances below split and those from split on receive summaries of their
+// own side only.
+func (f *testFleet) run(length time.Duration, rate float64, targets, split int) (mean, peak float64) {
 	const step = 10 * time.Millisecond
 	var admitted []float64
 	for s := range int(length / time.Second) {
@@ -57,14 +57,14 @@
 				if f.random.Float64() > n {
 					continue
 				}
-				l := f.limiters[f.random.IntN(to)]
-				if l.Take("a", f.now) == nil {
+				l := f.limiters[f.random.IntN(targets)]
+				if l.Acquire("a", f.now) == nil {
 					admitted[s]++
 					l.Release("a")
 				}
 			}
 		}
-		f.exchange(cut)
+		f.exchange(split)
 	}
 	sum := 0.0
 	for s, n := range admitted {
@@ -76,70 +76,69 @@
 	return sum / float64(len(admitted)) / limitRate, peak
 }
 
-func (f *fleetOf) exchange(cut int) {
+func (f *testFleet) exchange(split int) {
 	for i, l := range f.limiters {
 		for j := range f.limiters {
-			if i == j || (i < cut) != (j < cut) || f.late[j] == nil {
+			if i == j || (i < split) != (j < split) || f.summaries[j] == nil {
 				continue
 			}
 			if f.groups == 0 || i%f.groups == j%f.groups {
-				_ = l.Absorb(fleet.InstanceID(fmt.Sprint(j)), f.late[j], f.now)
+				_ = l.Absorb(fleet.InstanceID(fmt.Sprint(j)), f.summaries[j], f.now)
 			} else if j < f.groups {
-				_ = l.AbsorbGroup(fleet.DataCentreID(fmt.Sprint(j)), f.lateGroups[j], f.now)
+				_ = l.AbsorbGroup(fleet.DataCentreID(fmt.Sprint(j)), f.groupSummaries[j], f.now)
 			}
 		}
 		l.Tick(f.now)
 	}
 	for i, l := range f.limiters {
-		f.late[i] = l.Summary()
-		f.lateGroups[i] = l.GroupSummary(f.now)
+		f.summaries[i] = l.Summary()
+		f.groupSummaries[i] = l.GroupSummary(f.now)
 	}
 }
 
-// Guards against shares whose sum leaves the limit when the demand moves or the
-// instances are cut off from each other, and against shares that stay where
-// there is no demand.
+// Guards against shares whose sum deviates from the limit when the demand moves or the
+// instances are partitioned, and against shares that stay at instances without demand.
 func TestSharesFollowDemand(t *testing.T) {
 	for seed := range uint64(6) {
 		f := newFleet(seed)
 		f.groups = 3 * int(seed%2)
 		phases := []struct {
-			name    string
-			length  time.Duration
-			rate    float64
-			to, cut int
-			low     float64 // least mean
-			high    float64 // highest over five seconds
+			name           string
+			length         time.Duration
+			rate           float64
+			targets, split int
+			minMean        float64 // lowest mean admitted rate
+			maxPeak        float64 // highest mean over five seconds
 		}{
-			{"even", 30 * time.Second, 2 * limitRate, instances, 0, 0.97, 1.2}, // the burst is a fifth of five seconds,
+			{"even", 30 * time.Second, 2 * limitRate, instances, 0, 0.97, 1.2}, // the burst adds a fifth to five seconds
 			{"moves to three", 10 * time.Second, 2 * limitRate, 3, 0, 0.5, 1.06},
-			{"on three", 30 * time.Second, 2 * limitRate, 3, 0, 0.88, 1.06}, // the floor of idle instances is 8%,
+			{"on three", 30 * time.Second, 2 * limitRate, 3, 0, 0.88, 1.06}, // idle instances hold a floor of 8%
 			{"moves to all", 10 * time.Second, 2 * limitRate, instances, 0, 0.6, 1.1},
 			{"cut", 30 * time.Second, 2 * limitRate, instances, 5, 0.95, 1.06},
 			{"healed", 30 * time.Second, 2 * limitRate, instances, 0, 0.95, 1.06},
 			{"idle", 30 * time.Second, 0, instances, 0, 0, 0},
 		}
 		for _, p := range phases {
-			mean, peak := f.run(p.length, p.rate, p.to, p.cut)
+			mean, peak := f.run(p.length, p.rate, p.targets, p.split)
 			t.Logf("seed %d, %d groups, %s: mean %.3f, highest %.3f of the limit", seed, f.groups, p.name, mean, peak)
-			if mean < p.low || peak > p.high {
-				t.Errorf("seed %d, %s: mean %.3f, goal at least %.2f; highest %.3f, goal at most %.2f", seed, p.name, mean, p.low, peak, p.high)
+			if mean < p.minMean || peak > p.maxPeak {
+				t.Errorf("seed %d, %s: mean %.3f, goal at least %.2f; highest %.3f, goal at most %.2f", seed, p.name, mean, p.minMean, peak, p.maxPeak)
 			}
 		}
-		is.New(t).Equal(f.limiters[0].Counters().Tracked, 0) // idle accounts are forgotten
+		is.New(t).Equal(f.limiters[0].Counters().Tracked, 0) // state of idle accounts is dropped
 	}
 }
 
-// Guards against an account with fewer places than instances that has one request
+// Guards against an account with fewer permits than instances that has one request
 // in progress on each of them, or none at all.
-func TestFewPlaces(t *testing.T) {
+func TestFewerPermitsThanInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
 	for _, l := range f.limiters {
 		l.Configure(map[fleet.AccountID]document.Account{"a": {ID: "a", MaxInFlight: 6}})
 	}
 	ends := map[time.Time][]*share.Limiter{}
-	running, most, sum := 0, 0, 0
+	running, peak, sum := 0, 0, 0
 	const steps = 3000
 	for step := range steps {
 		f.now = f.now.Add(10 * time.Millisecond)
@@ -149,7 +148,7 @@
 		}
 		delete(ends, f.now)
 		l := f.limiters[f.random.IntN(instances)]
-		if l.Take("a", f.now) == nil {
+		if l.Acquire("a", f.now) == nil {
 			end := f.now.Add(time.Duration(1+f.random.IntN(500)) * 10 * time.Millisecond)
 			ends[end] = append(ends[end], l)
 			running++
@@ -159,15 +158,16 @@
 		}
 		if step >= 1000 {
 			sum += running
-			most = max(most, running)
+			peak = max(peak, running)
 		}
 	}
-	t.Logf("%.1f requests in progress on average, at most %d, limit 6", float64(sum)/(steps-1000), most)
-	is.True(sum/(steps-1000) >= 5) // used
-	is.True(most <= 7)             // one over, until the others hear of it
+	t.Logf("%.1f requests in progress on average, at most %d, limit 6", float64(sum)/(steps-1000), peak)
+	is.True(sum/(steps-1000) >= 5) // the limit is used
+	is.True(peak <= 7)             // one above the limit, until the others learn of it
 }
 
-// Guards against summaries and state that grow with the number of accounts.
+// Guards against summaries that grow with the number of accounts, and against state
+// that is kept for idle ones.
 func TestBoundedAt42000Accounts(t *testing.T) {
 	is := is.New(t)
 	accounts := map[fleet.AccountID]document.Account{}
@@ -179,7 +179,7 @@
 	l.Configure(accounts)
 	now := fakeclock.Start
 	for id := range accounts {
-		if l.Take(id, now) == nil {
+		if l.Acquire(id, now) == nil {
 			l.Release(id)
 		}
 	}
@@ -198,7 +198,7 @@
 	l := share.New(instances)
 	now := time.Now()
 	for i := range 42000 {
-		_ = l.Take(fleet.AccountID(fmt.Sprint(i)), now)
+		_ = l.Acquire(fleet.AccountID(fmt.Sprint(i)), now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -207,7 +207,7 @@
 	}
 }
 
-// BenchmarkConfigureAt42000Accounts measures what a new revision costs.
+// BenchmarkConfigureAt42000Accounts measures the cost of a new configuration revision.
 func BenchmarkConfigureAt42000Accounts(b *testing.B) {
 	l := share.New(instances)
 	accounts := make(map[fleet.AccountID]document.Account)
