--- a/internal/report/output/brief.go
+++ b/internal/report/output/brief.go
@@ -6,17 +6,19 @@
 )
 
 // Brief returns a core that writes errors without the stack traces that
-// github.com/pkg/errors adds to them. They fill most of a line and name source files,
-// which tell operators nothing.
-func Brief(c zapcore.Core) zapcore.Core { return brief{c} }
+// github.com/pkg/errors adds to them. The traces fill most of a line and name source
+// files, which is of no use to operators.
+func Brief(c zapcore.Core) zapcore.Core { return stacklessCore{c} }
 
-type brief struct{ zapcore.Core }
+type stacklessCore struct{ zapcore.Core }
 
 // With implements zapcore.Core.
-func (b brief) With(fields []zapcore.Field) zapcore.Core { return brief{b.Core.With(shorten(fields))} }
+func (b stacklessCore) With(fields []zapcore.Field) zapcore.Core {
+	return stacklessCore{b.Core.With(errorsAsText(fields))}
+}
 
 // Check implements zapcore.Core.
-func (b brief) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (b stacklessCore) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if b.Enabled(e.Level) {
 		return c.AddCore(e, b)
 	}
@@ -24,12 +26,12 @@
 }
 
 // Write implements zapcore.Core.
-func (b brief) Write(e zapcore.Entry, fields []zapcore.Field) error {
-	return b.Core.Write(e, shorten(fields))
+func (b stacklessCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
+	return b.Core.Write(e, errorsAsText(fields))
 }
 
-// shorten returns fields with the text of each error in its place.
-func shorten(fields []zapcore.Field) []zapcore.Field {
+// errorsAsText returns fields with each error replaced by its text.
+func errorsAsText(fields []zapcore.Field) []zapcore.Field {
 	copied := false
 	for i, f := range fields {
 		err, ok := f.Interface.(error)
--- a/internal/report/output/brief_test.go
+++ b/internal/report/output/brief_test.go
@@ -11,9 +11,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/report/output"
 )
 
-// TestBriefErrors guards against stack traces in the log, and against errors that are
-// lost with them.
-func TestBriefErrors(t *testing.T) {
+// TestOmitStackTraces guards against stack traces in the log, and against dropping the
+// errors along with them.
+func TestOmitStackTraces(t *testing.T) {
 	is := is.New(t)
 	core, lines := observer.New(zap.InfoLevel)
 	log := zap.New(output.Brief(core)).With(zap.NamedError("earlier", errors.New("first")))
--- a/internal/report/output/output.go
+++ b/internal/report/output/output.go
@@ -1,11 +1,13 @@
-// Package output writes log lines so that nobody waits for the reader of the log.
+// Package output writes log lines asynchronously, so that a slow reader of the log
+// does not block the callers.
 //
 //	out := output.New(os.Stdout, clock)
 //	defer out.Close()
 //	core := zapcore.NewCore(encoder, out, level)
 //
-// Lines wait in a bounded buffer until one goroutine writes them. While the reader
-// is slow or gone, further lines are dropped and counted.
+// Lines are held in a bounded buffer until one goroutine writes them. While the
+// buffer is full because the reader is slow or gone, further lines are dropped and
+// counted.
 package output
 
 import (
@@ -20,39 +22,41 @@
 )
 
 const (
-	// bufferBytes bounds the lines that wait. Under load a gateway writes less than half
+	// bufferBytes is the size of the buffer. Under load a gateway writes less than half
 	// of it in half a second, as its log is sampled.
 	bufferBytes = 256 << 10
-	// closeLimit bounds the wait for the last lines.
-	closeLimit = 300 * time.Millisecond
+	// closeTimeout is the longest time that Close waits for the last lines to be written.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// Option changes a Writer.
+// Option configures a Writer.
 type Option func(*Writer)
 
-// Delay lets lines wait for further ones, since one write for many lines costs less
-// processor time than one for each. A process that is killed loses what waits.
+// Delay sets the time for which lines are buffered before they are written. One write
+// for many lines takes less CPU time than one for each. A process that is killed loses
+// the buffered lines.
 func Delay(d time.Duration) Option { return func(o *Writer) { o.delay = d } }
 
 // Writer implements zapcore.WriteSyncer. It is safe for concurrent use.
 type Writer struct {
-	clock fleet.Clock
-	delay time.Duration
-	begun chan struct{} // the buffer is not empty any more
-	now   chan struct{} // lines must not wait
-	done  chan struct{} // closed after the last write
-
-	mu      sync.Mutex
-	pending []byte // whole lines
-	dropped int    // lines since the last write
-	total   int64  // dropped lines of all time
-	closed  bool
+	clock    fleet.Clock
+	delay    time.Duration
+	nonEmpty chan struct{} // signals that the buffer is not empty
+	flush    chan struct{} // requests a write without delay
+	done     chan struct{} // closed after the last write
+
+	mu           sync.Mutex
+	pending      []byte // whole lines
+	dropped      int    // lines since the last write
+	droppedTotal int64  // lines dropped since the creation
+	closed       bool
 }
 
-// New returns a Writer to w, which nobody else writes to. Callers close it.
+// New returns a Writer that writes to w. Nothing else may write to w. The caller must
+// close the Writer.
 func New(w io.Writer, c fleet.Clock, options ...Option) *Writer {
 	o := &Writer{
-		clock: c, begun: make(chan struct{}, 1), now: make(chan struct{}, 1), done: make(chan struct{}),
+		clock: c, nonEmpty: make(chan struct{}, 1), flush: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	for _, p := range options {
 		p(o)
@@ -62,23 +66,23 @@
 		var lines []byte
 		for {
 			select {
-			case <-o.begun:
+			case <-o.nonEmpty:
 				select {
-				case <-o.now:
+				case <-o.flush:
 				case <-c.After(o.delay):
 				}
-			case <-o.now:
+			case <-o.flush:
 			}
 			var lost int
 			var closed bool
-			lines, lost, closed = o.take(lines)
+			lines, lost, closed = o.swapBuffer(lines)
 			if lost > 0 {
 				lines = fmt.Appendf(lines, `{"level":"warn","ts":%q,"msg":"Log lines were dropped.","lines":%d}`+"\n",
 					c.Now().UTC().Format(time.RFC3339Nano), lost)
 			}
 			if len(lines) > 0 {
 				if _, err := w.Write(lines); err != nil {
-					o.lose(lines) // there is no other place to report it than the count
+					o.countLost(lines) // the log itself fails, so that only the counter can report it
 				}
 			}
 			if closed {
@@ -89,27 +93,27 @@
 	return o
 }
 
-// Write takes one line. It never waits and never fails.
+// Write buffers one line. It never blocks and never returns an error.
 func (o *Writer) Write(line []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.pending)+len(line) > bufferBytes || o.closed {
 		o.dropped++
-		o.total++
+		o.droppedTotal++
 		return len(line), nil
 	}
 	o.pending = append(o.pending, line...)
-	wake(o.begun)
+	notify(o.nonEmpty)
 	return len(line), nil
 }
 
-// Sync has the lines written at once, and does not wait for it.
+// Sync triggers a write of the buffered lines and does not wait for it.
 func (o *Writer) Sync() error {
-	wake(o.now)
+	notify(o.flush)
 	return nil
 }
 
-// Collector serves the number of dropped lines.
+// Collector returns a collector of the number of dropped lines.
 func (o *Writer) Collector() prometheus.Collector {
 	return prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "bilberryrock_log_lines_dropped_total", Help: "Log lines that were not written.",
@@ -120,23 +124,24 @@
 func (o *Writer) Dropped() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.total
+	return o.droppedTotal
 }
 
-// Close writes the last lines, and gives up if the reader does not take them.
+// Close writes the buffered lines. It gives up after closeTimeout if the reader does not
+// accept them.
 func (o *Writer) Close() {
 	o.mu.Lock()
 	o.closed = true
 	o.mu.Unlock()
-	wake(o.now)
+	notify(o.flush)
 	select {
 	case <-o.done:
-	case <-o.clock.After(closeLimit):
+	case <-o.clock.After(closeTimeout):
 	}
 }
 
-// take exchanges the pending lines for an empty buffer.
-func (o *Writer) take(empty []byte) (lines []byte, dropped int, closed bool) {
+// swapBuffer returns the pending lines and makes empty the new buffer.
+func (o *Writer) swapBuffer(empty []byte) (lines []byte, dropped int, closed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	lines, dropped = o.pending, o.dropped
@@ -144,8 +149,8 @@
 	return lines, dropped, o.closed
 }
 
-// lose counts lines that could not be written.
-func (o *Writer) lose(lines []byte) {
+// countLost counts lines that could not be written as dropped.
+func (o *Writer) countLost(lines []byte) {
 	n := 0
 	for _, c := range lines {
 		if c == '\n' {
@@ -154,10 +159,10 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.total += int64(n)
+	o.droppedTotal += int64(n)
 }
 
-func wake(c chan struct{}) {
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/internal/report/output/output_test.go
+++ b/internal/report/output/output_test.go
@@ -12,29 +12,29 @@
 	"github.com/bilberryrock/bilberryrock/internal/report/output"
 )
 
-// reader is the other end of an output: it takes each write when a test lets it.
-type reader struct {
+// blockingWriter blocks each Write until the test receives from writes.
+type blockingWriter struct {
 	writes chan string
 	err    error
 }
 
-func (r *reader) Write(b []byte) (int, error) {
+func (r *blockingWriter) Write(b []byte) (int, error) {
 	r.writes <- string(b)
 	return len(b), r.err
 }
 
-// TestWriteNeverWaits guards against callers that wait for a reader who does not
-// read, and against lines that are lost without a word.
+// TestWriteNeverWaits guards against callers that block on a reader that does not
+// read, and against lines that are dropped without a notice.
 func TestWriteNeverWaits(t *testing.T) {
 	is := is.New(t)
-	r := &reader{writes: make(chan string)}
+	r := &blockingWriter{writes: make(chan string)}
 	o := output.New(r, fakeclock.New(fakeclock.Start), output.Delay(time.Second))
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	_, err := o.Write([]byte("first\n"))
 	is.NoErr(err)
 	is.NoErr(o.Sync())
 	const lines = 1000
-	for range lines { // the goroutine stands in its first write
+	for range lines { // the goroutine is blocked in its first write
 		_, err := o.Write(line)
 		is.NoErr(err)
 	}
@@ -52,10 +52,10 @@
 	<-closed
 }
 
-// TestCloseWritesTheRest guards against the last lines of a process that are lost.
-func TestCloseWritesTheRest(t *testing.T) {
+// TestCloseFlushes guards against losing the last lines of a process.
+func TestCloseFlushes(t *testing.T) {
 	is := is.New(t)
-	r := &reader{writes: make(chan string, 1)}
+	r := &blockingWriter{writes: make(chan string, 1)}
 	o := output.New(r, fakeclock.New(fakeclock.Start), output.Delay(time.Second))
 	_, err := o.Write([]byte("last\n"))
 	is.NoErr(err)
@@ -63,11 +63,11 @@
 	is.Equal(<-r.writes, "last\n")
 }
 
-// TestFailedWriteIsCounted guards against an output that stops, or hides what was
-// lost, when its reader is gone.
+// TestFailedWriteIsCounted guards against a Writer that stops, or does not count the
+// lost lines, when its reader is gone.
 func TestFailedWriteIsCounted(t *testing.T) {
 	is := is.New(t)
-	r := &reader{writes: make(chan string, 1), err: errors.New("broken pipe")}
+	r := &blockingWriter{writes: make(chan string, 1), err: errors.New("broken pipe")}
 	o := output.New(r, fakeclock.New(fakeclock.Start), output.Delay(time.Second))
 	for _, s := range []string{"one\ntwo\n", "three\n"} {
 		_, err := o.Write([]byte(s))
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,7 +1,8 @@
-// Package report holds the records of decisions that operators can ask for.
+// Package report defines the decision records that operators can query.
 //
-// Each request has one Record. Parts add an Entry for each decision: what was
-// known and how old it was, what was weighed, what was chosen and why.
+// Each request has one Record. Components add an Entry for each decision: the state
+// it was based on and the age of that state, the alternatives, the choice and its
+// reason.
 package report
 
 import (
@@ -10,18 +11,18 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// Entry is one decision.
+// Entry describes one decision.
 type Entry struct {
 	At time.Time `json:"at"`
-	// Part is the part that decided, such as "routing" or "admission".
+	// Part is the component that decided, such as "routing" or "admission".
 	Part string `json:"part"`
-	// Known says what was known and how old it was.
+	// Known describes the state that the decision is based on, and its age.
 	Known string `json:"known,omitempty"`
-	// Weighed lists the alternatives.
+	// Weighed lists the alternatives that were considered.
 	Weighed string `json:"weighed,omitempty"`
 	Chosen  string `json:"chosen"`
 	Reason  string `json:"reason,omitempty"`
-	// Next says what would have been done next.
+	// Next describes the step that would have followed.
 	Next string `json:"next,omitempty"`
 }
 
@@ -33,9 +34,10 @@
 	Entries []Entry         `json:"entries"`
 }
 
-// Trail keeps records. Implementations are safe for concurrent use and bounded.
+// Trail stores records. Implementations are safe for concurrent use and bound their
+// memory.
 type Trail interface {
-	// Open starts the record of id for an account of a team.
+	// Open creates the record of id for an account of a team.
 	Open(id string, account fleet.AccountID, team fleet.TeamID)
 	// Add appends e to the record of id.
 	Add(id string, e Entry)
--- a/internal/report/trail/trail.go
+++ b/internal/report/trail/trail.go
@@ -1,13 +1,13 @@
-// Package trail keeps the newest decision records in bounded memory.
+// Package trail stores the newest decision records in bounded memory.
 //
-// Records are spread over shards with one lock each. A shard that is full drops
+// Records are distributed over shards with one lock each. A shard that is full evicts
 // its oldest records:
 //
 //	var t report.Trail = trail.New(trail.WithBytes(16 << 20))
 //	t.Open(id, account, team)
-//	t.Add(id, report.Entry{Part: "admission", Chosen: "queued"})
+//	t.Add(id, report.Entry{Component: "admission", Chosen: "queued"})
 //
-// Operators ask through For, which shows a team its own records only.
+// Queries of operators go through FindForTeam, which shows a team only its own records.
 package trail
 
 import (
@@ -22,17 +22,17 @@
 )
 
 const (
-	// DefaultBytes bounds the memory of all records.
+	// DefaultBytes is the default bound of the memory of all records.
 	DefaultBytes = 16 << 20
-	// MaxEntries is the number of entries that a record keeps. Later entries
+	// MaxEntries is the maximum number of entries of a record. Further entries
 	// replace those in the middle, so that the start and the end of a long
-	// request stay.
+	// request are kept.
 	MaxEntries = 64
-	// MaxText is the number of bytes that are kept of each text of an entry.
+	// MaxText is the number of bytes to which the texts of an entry are truncated.
 	MaxText = 512
 
 	shardCount     = 64 // a power of two, so that a mask selects the shard
-	firstEntries   = 16 // entries at the start of a record that are never replaced
+	headEntries    = 16 // entries at the start of a record that are never replaced
 	recordOverhead = 320
 	entryOverhead  = 136
 )
@@ -49,7 +49,7 @@
 	limit   int
 	bytes   int
 	records map[string]*record
-	// ring holds the ids from the oldest at head on.
+	// ring is a ring buffer of the ids of the records, with the oldest at head.
 	ring       []string
 	head, size int
 }
@@ -60,10 +60,10 @@
 	dropped int
 }
 
-// Option changes a Trail.
+// Option configures a Trail.
 type Option func(*Trail)
 
-// WithBytes replaces DefaultBytes.
+// WithBytes sets the bound of the memory of all records, instead of DefaultBytes.
 func WithBytes(n int) Option {
 	return func(t *Trail) {
 		for i := range t.shards {
@@ -85,13 +85,13 @@
 	return t
 }
 
-func (t *Trail) of(id string) *shard {
+func (t *Trail) shardOf(id string) *shard {
 	return &t.shards[xxhash.Sum64String(id)&(shardCount-1)]
 }
 
-// Open starts the record of id. A record that exists is left as it is.
+// Open creates the record of id. An existing record is not changed.
 func (t *Trail) Open(id string, a fleet.AccountID, team fleet.TeamID) {
-	s := t.of(id)
+	s := t.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.records[id]; ok || len(id) > MaxText {
@@ -102,13 +102,13 @@
 	s.records[id] = r
 	s.push(id)
 	s.bytes += r.bytes
-	s.shrink()
+	s.evict()
 }
 
 // Add appends e to the record of id. Without a record it does nothing.
 func (t *Trail) Add(id string, e report.Entry) {
 	e = truncate(e)
-	s := t.of(id)
+	s := t.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.records[id]
@@ -118,12 +118,12 @@
 	before := r.bytes
 	r.add(e)
 	s.bytes += r.bytes - before
-	s.shrink()
+	s.evict()
 }
 
 // Find returns a copy of the record of id.
 func (t *Trail) Find(id string) (report.Record, bool) {
-	s := t.of(id)
+	s := t.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.records[id]
@@ -135,48 +135,48 @@
 	return found, true
 }
 
-// For returns a copy of the record of id when it belongs to a team. Another
+// FindForTeam returns a copy of the record of id when it belongs to a team. Another
 // team's record looks like one that does not exist.
-func (t *Trail) For(team fleet.TeamID, id string) (report.Record, bool) {
+func (t *Trail) FindForTeam(team fleet.TeamID, id string) (report.Record, bool) {
 	r, ok := t.Find(id)
-	if !ok || !Visible(r, team) {
+	if !ok || !VisibleTo(r, team) {
 		return report.Record{}, false
 	}
 	return r, true
 }
 
-// Visible reports whether a team may see r. Records without a team are visible to
+// VisibleTo reports whether a team may see r. Records without a team are visible to
 // no team.
-func Visible(r report.Record, team fleet.TeamID) bool {
+func VisibleTo(r report.Record, team fleet.TeamID) bool {
 	return team != "" && r.Team == team
 }
 
 func (r *record) add(e report.Entry) {
 	if len(r.Entries) == MaxEntries {
-		r.bytes -= sizeOf(r.Entries[firstEntries])
-		r.Entries = slices.Delete(r.Entries, firstEntries, firstEntries+1)
+		r.bytes -= sizeOf(r.Entries[headEntries])
+		r.Entries = slices.Delete(r.Entries, headEntries, headEntries+1)
 		r.dropped++
 	}
 	r.Entries = append(r.Entries, e)
 	r.bytes += sizeOf(e)
 }
 
-// entries returns a copy that tells how many entries were dropped.
+// entries returns a copy of the entries, with a note of how many were dropped.
 func (r *record) entries() []report.Entry {
 	list := slices.Clone(r.Entries)
 	if r.dropped == 0 {
 		return list
 	}
 	note := report.Entry{
-		At:     list[firstEntries].At,
+		At:     list[headEntries].At,
 		Part:   "trail",
 		Chosen: fmt.Sprintf("%d entries before this one were dropped", r.dropped),
 	}
-	return slices.Insert(list, firstEntries, note)
+	return slices.Insert(list, headEntries, note)
 }
 
-// shrink drops the oldest records until the shard is within its limit.
-func (s *shard) shrink() {
+// evict removes the oldest records until the shard is within its limit.
+func (s *shard) evict() {
 	for s.bytes > s.limit && s.size > 0 {
 		id := s.pop()
 		s.bytes -= s.records[id].bytes
--- a/internal/report/trail/trail_test.go
+++ b/internal/report/trail/trail_test.go
@@ -12,22 +12,22 @@
 	"github.com/matryer/is"
 )
 
-// TestTeams guards against a team that sees the record of another.
+// TestTeams guards against showing a team the record of another.
 func TestTeams(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Open("1", "shop", "felt")
 	l.Add("1", report.Entry{Chosen: "upstream a"})
-	l.Open("1", "stall", "wool") // an id that is taken stays with its first owner
+	l.Open("1", "stall", "wool") // an existing record keeps its account and team
 	l.Open("2", "", "")
-	r, ok := l.For("felt", "1")
+	r, ok := l.FindForTeam("felt", "1")
 	is.True(ok)
 	is.Equal(r.Account, fleet.AccountID("shop"))
 	is.Equal(len(r.Entries), 1)
 	for _, team := range []fleet.TeamID{"wool", ""} {
-		_, ok = l.For(team, "1")
+		_, ok = l.FindForTeam(team, "1")
 		is.True(!ok)
-		_, ok = l.For(team, "2")
+		_, ok = l.FindForTeam(team, "2")
 		is.True(!ok)
 	}
 	r.Entries[0].Chosen = "changed"
@@ -69,17 +69,17 @@
 	for i := range 1000 {
 		long.Add("long", report.Entry{Chosen: fmt.Sprint(i)})
 	}
-	kept = long.of("long").bytes
+	kept = long.shardOf("long").bytes
 	sum := recordOverhead + 2*len("long") + len("a") + len("t")
-	for _, e := range long.of("long").records["long"].Entries {
+	for _, e := range long.shardOf("long").records["long"].Entries {
 		sum += sizeOf(e)
 	}
 	is.Equal(kept, sum)
 	r, _ := long.Find("long")
 	is.Equal(len(r.Entries), MaxEntries+1)
-	is.Equal(r.Entries[firstEntries-1].Chosen, "15")
-	is.Equal(r.Entries[firstEntries].Chosen, "936 entries before this one were dropped")
-	is.Equal(r.Entries[firstEntries+1].Chosen, "952")
+	is.Equal(r.Entries[headEntries-1].Chosen, "15")
+	is.Equal(r.Entries[headEntries].Chosen, "936 entries before this one were dropped")
+	is.Equal(r.Entries[headEntries+1].Chosen, "952")
 	is.Equal(r.Entries[MaxEntries].Chosen, "999")
 	long.Add("unknown", report.Entry{})
 	_, ok = long.Find("unknown")
@@ -106,7 +106,7 @@
 	group.Wait()
 }
 
-// BenchmarkRecord measures one request with six decisions.
+// BenchmarkRecord measures the cost of a request with six decisions.
 func BenchmarkRecord(b *testing.B) {
 	l := New()
 	e := report.Entry{Part: "routing", Known: "load 120 ms old", Weighed: "w3 0.41, w17 0.47", Chosen: "w3", Reason: "lowest score"}
