--- a/internal/gateway/exchange/endless_test.go
+++ b/internal/gateway/exchange/endless_test.go
@@ -16,24 +16,24 @@
 	"github.com/bilberryrock/bilberryrock/internal/gateway/exchange"
 )
 
-// endlessBytes is more than the socket buffers of a connection hold, so an upstream
-// that has written as much was read without a bound.
+// endlessBytes exceeds what the socket buffers of a connection hold. If an upstream could
+// write this much, the client read it without a limit.
 const endlessBytes = 64 << 20
 
-// endless is an upstream that answers a request with start and then with more again
-// and again until the connection is closed. cut receives whether that was before
-// endlessBytes were written.
-type endless struct {
-	listener net.Listener
-	cut      chan bool
+// endlessUpstream answers a request with start and then repeats more until the connection
+// is closed or endlessBytes are written. closedEarly receives whether the connection was
+// closed before that.
+type endlessUpstream struct {
+	listener    net.Listener
+	closedEarly chan bool
 }
 
-func newEndless(t *testing.T, start, more string) *endless {
+func newEndlessUpstream(t *testing.T, start, more string) *endlessUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	t.Cleanup(func() { _ = l.Close() })
-	e := &endless{listener: l, cut: make(chan bool, 1)}
+	e := &endlessUpstream{listener: l, closedEarly: make(chan bool, 1)}
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
@@ -48,18 +48,18 @@
 		for n := 0; n < endlessBytes && err == nil; n += len(block) {
 			_, err = io.WriteString(c, block)
 		}
-		e.cut <- err != nil
+		e.closedEarly <- err != nil
 	}()
 	return e
 }
 
-func (e *endless) target() exchange.Target {
+func (e *endlessUpstream) target() exchange.Target {
 	return exchange.Target{ID: "u1", Address: e.listener.Addr().String()}
 }
 
-// Guards against a daemon that runs out of memory, or waits for its deadline, while
-// an upstream sends a head that has no end. The request was sent, so it may have run.
-func TestEndlessHead(t *testing.T) {
+// Guards against running out of memory, or waiting for the deadline, while an upstream
+// sends a status line or headers without end. The request was sent, so it may have run.
+func TestEndlessHeader(t *testing.T) {
 	for _, c := range []struct{ name, start, more string }{
 		{"status line", "HTTP/1.1 200 ", "OK"},
 		{"no status line", "", "x"},
@@ -69,24 +69,24 @@
 		{"blank lines", "", "\r\n"},
 		{"interim answers", "", "HTTP/1.1 102 Processing\r\n\r\n"},
 		{"interim answers with headers", "", "HTTP/1.1 103 Early Hints\r\nA: a\r\n\r\n"},
-		{"answers to other requests", "", text("9", "late")},
+		{"answers to other requests", "", response("9", "late")},
 		{"body of an answer to another request", "HTTP/1.1 200 OK\r\nId: 9\r\nContent-Length: 99999999999\r\n\r\n", "x"},
 		{"chunks of an answer to another request", "HTTP/1.1 200 OK\r\nId: 9\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			e := newEndless(t, c.start, c.more)
+			e := newEndlessUpstream(t, c.start, c.more)
 			_, err := exchange.New(systemclock.Clock{}).Send(context.Background(), e.target(), request("1"))
 			var x *exchange.Error
 			is.True(errors.As(err, &x))
 			is.True(x.Sent)
 			is.True(!x.Refused)
-			is.True(<-e.cut)
+			is.True(<-e.closedEarly)
 		})
 	}
 }
 
-// Guards against parts of a body that are no content and have no end.
+// Guards against reading chunk framing without end, which is not part of the content.
 func TestEndlessChunks(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, c := range []struct{ name, start, more string }{
@@ -98,26 +98,26 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			e := newEndless(t, c.start, c.more)
+			e := newEndlessUpstream(t, c.start, c.more)
 			x, err := exchange.New(systemclock.Clock{}).Send(context.Background(), e.target(), request("1"))
 			is.NoErr(err)
 			_, err = io.Copy(io.Discard, x.Response.Body)
 			is.True(err != nil)
 			x.Close()
-			is.True(<-e.cut)
+			is.True(<-e.closedEarly)
 		})
 	}
 }
 
-// Guards against a bound on heads that also counts the bytes of bodies, or of the
-// answers before on the same connection.
-func TestBodiesAreLongerThanHeads(t *testing.T) {
+// Guards against a header limit that also counts the bytes of bodies, or of earlier
+// responses on the same connection.
+func TestHeaderLimitExcludesBodies(t *testing.T) {
 	is := is.New(t)
 	body := strings.Repeat("x", 100<<10)
-	long := func(id string) string {
+	longResponse := func(id string) string {
 		return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nA: " + strings.Repeat("a", 20<<10) + "\r\nContent-Length: 102400\r\n\r\n" + body
 	}
-	p := newPeer(t, long("1"), long("1")+long("2"))
+	p := newFakeUpstream(t, longResponse("1"), longResponse("1")+longResponse("2"))
 	c := exchange.New(systemclock.Clock{})
 	for _, id := range []string{"1", "2"} {
 		b, err := send(t, c, p, id)
@@ -128,13 +128,13 @@
 	is.Equal(conns, 1)
 }
 
-// Guards against log lines that are as long as what an upstream sent instead of an
-// answer.
-func TestErrorsQuoteLittle(t *testing.T) {
+// Guards against errors and log lines that quote all of the garbage that an upstream sent
+// instead of a response.
+func TestErrorExcerptsAreShort(t *testing.T) {
 	garbage := strings.Repeat("\x01", 20<<10)
-	for _, text := range []string{garbage + "\r\n\r\n", "HTTP/1.1 200 OK\r\n" + garbage + "\r\n\r\n", "HTTP/1.1 " + garbage + "\r\n\r\n"} {
+	for _, response := range []string{garbage + "\r\n\r\n", "HTTP/1.1 200 OK\r\n" + garbage + "\r\n\r\n", "HTTP/1.1 " + garbage + "\r\n\r\n"} {
 		is := is.New(t)
-		_, err := send(t, exchange.New(systemclock.Clock{}), newPeer(t, text), "1")
+		_, err := send(t, exchange.New(systemclock.Clock{}), newFakeUpstream(t, response), "1")
 		is.True(err != nil)
 		is.True(len(err.Error()) < 512)
 	}
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -1,10 +1,10 @@
-// Package exchange sends single HTTP/1.1 requests to upstreams over kept
-// connections. Unlike net/http it never repeats a request by itself, and an
-// error tells whether any byte was sent.
+// Package exchange sends individual HTTP/1.1 requests to upstreams over
+// persistent connections. Unlike net/http it never retries a request by itself,
+// and its errors report whether any byte was sent.
 //
 //	x, err := client.Send(ctx, target, request)
 //	if err != nil {
-//		return err // errors.As(err, *exchange.Error) tells what was sent
+//		return err // an *exchange.Error reports whether anything was sent
 //	}
 //	defer x.Close()
 //	body, err := x.ReadBody(limit)
@@ -34,41 +34,42 @@
 )
 
 const (
-	// connectTimeout bounds the time to open a connection, which takes a few
-	// milliseconds. A lost packet is sent again after a second, so another
-	// upstream is faster.
+	// connectTimeout bounds the time to open a connection, which normally takes a
+	// few milliseconds. TCP retransmits a lost SYN only after a second, so trying
+	// another upstream is faster.
 	connectTimeout = 400 * time.Millisecond
-	// idleLimit is how long a connection is kept when the upstream says nothing,
-	// and idleMargin the time before the stated end at which it is not used any
-	// more.
-	idleLimit  = 4 * time.Second
-	idleMargin = time.Second
-	// userTimeout ends a connection whose sent bytes are not acknowledged.
-	userTimeout = 2 * time.Second
-	// maxStray bounds the answers to earlier requests and the interim answers that are
-	// passed over.
-	maxStray = 3
-	// strayBytes bounds the body of such an answer.
-	strayBytes = 256 << 10
-	// bufferBytes is the size of the read buffer of a connection.
-	bufferBytes = 4 << 10
-	// maxHeadBytes bounds the status line and the headers of an answer, which
-	// http.ReadResponse reads to their end however long they are. Heads of upstreams
-	// have less than 1 KiB. A head of short header lines takes up to 40 times its
-	// length in memory, so a larger bound would be felt on small machines.
-	maxHeadBytes = 32 << 10
-	// noBound lets a connection be read without a bound, because the reader of a
-	// body has its own.
-	noBound = -1
-	// drainBytes and drainTime bound the body of an answer whose content is not used.
-	// A refusal has less than 1 KiB, which is sent together with its head. One that
-	// is longer or later costs its request more time than a new connection costs.
-	drainBytes = 16 << 10
-	drainTime  = 100 * time.Millisecond
+	// idleTimeout is how long an idle connection is kept if the upstream sends no
+	// Keep-Alive header. idleMargin is how long before the end of the idle timeout
+	// the connection is no longer used.
+	idleTimeout = 4 * time.Second
+	idleMargin  = time.Second
+	// tcpUserTimeout closes a connection whose sent bytes are not acknowledged.
+	tcpUserTimeout = 2 * time.Second
+	// maxResponses bounds the number of responses that are read in search of the
+	// matching one: responses to earlier requests and interim (1xx) responses are skipped.
+	maxResponses = 3
+	// maxSkippedBodyBytes bounds the body of a skipped response.
+	maxSkippedBodyBytes = 256 << 10
+	// readBufferBytes is the size of the read buffer of a connection.
+	readBufferBytes = 4 << 10
+	// maxHeaderBytes bounds the status line and the headers of a response, because
+	// http.ReadResponse has no limit of its own. Upstreams send less than 1 KiB of
+	// them. Many short header lines take up to 40 times their length in memory, so a
+	// higher limit would strain small machines.
+	maxHeaderBytes = 32 << 10
+	// unlimited is the conn.readLimit for bodies, whose readers have their own limit.
+	unlimited = -1
+	// maxDrainBytes and drainTimeout bound the reading of a body whose content is not
+	// used. A refusal has less than 1 KiB, which is sent together with its headers.
+	// Waiting for a longer or later body would delay the request by more than opening
+	// a new connection does.
+	maxDrainBytes = 16 << 10
+	drainTimeout  = 100 * time.Millisecond
 )
 
-// errLongHead tells that an upstream sends a head without an end.
-var errLongHead = errors.Errorf("the head has more than %d bytes", maxHeadBytes)
+// errHeaderTooLarge is returned if the status line and headers of a response exceed
+// maxHeaderBytes.
+var errHeaderTooLarge = errors.Errorf("response header exceeds %d bytes", maxHeaderBytes)
 
 // Target is the upstream that a request goes to.
 type Target struct {
@@ -76,120 +77,124 @@
 	Address string
 }
 
-// Request is one request as it goes over the wire.
+// Request is one request as it is sent to an upstream.
 type Request struct {
 	Method string
-	// URI is the path with the query as the client sent it.
+	// URI is the path and the query as the client sent them.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID names the request, and AnswerID returns the id that an answer bears. Without
-	// AnswerID each answer counts as the one to this request.
+	// ID identifies the request, and ResponseID returns the request ID that a response
+	// carries. If ResponseID is nil, any response is taken as the one to this request.
 	ID       fleet.RequestID
 	AnswerID func(h http.Header) fleet.RequestID
-	// Prepare is called once a connection is open, right before the request is written,
-	// and may complete the header. After an error the request is not sent.
+	// BeforeWrite is called once a connection is open, right before the request is
+	// written, and may add headers. If it returns an error the request is not sent.
 	Prepare func(h http.Header) error
-	// Single asks for a connection that is opened for this request and closed after
-	// it. Upstreams may repeat an answer late, and the id does not tell the copy from
-	// the answer if there is none, or if the request was sent to the upstream before.
+	// DedicatedConn requests a new connection that is closed after this request.
+	// Upstreams may send a late duplicate of a response. The ID doesn't distinguish the
+	// duplicate from the response if there is no ID, or if the request was sent to the
+	// same upstream before.
 	Single bool
 }
 
-// owns reports whether an answer is the one to the request. One without an id is an
-// error on a connection that was used before.
-func (r Request) owns(h http.Header, fresh bool) (bool, error) {
+// matches reports whether a response belongs to the request. A response without an ID
+// is an error on a reused connection.
+func (r Request) matches(h http.Header, fresh bool) (bool, error) {
 	if r.AnswerID == nil {
 		return true, nil
 	}
 	id := r.AnswerID(h)
 	if id == "" && r.ID != "" && !fresh {
-		return false, errors.New("an answer without an id came on a connection that was used before")
+		return false, errors.New("received a response without a request ID on a reused connection")
 	}
 	return id == r.ID || id == "", nil
 }
 
 // Error is a failed attempt.
 type Error struct {
-	// Sent tells that at least one byte was written, so that the upstream may run
-	// the request.
+	// Sent reports that at least one byte was written, so the upstream may run the
+	// request.
 	Sent bool
-	// Refused tells that no connection could be opened.
+	// ConnectFailed reports that no connection could be opened.
 	Refused bool
 	cause   error
 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *Error) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Unsent reports whether an attempt failed before any byte was written, so that the
-// upstream certainly did not get the request.
+// Unsent reports whether an attempt failed before any byte was written, which means
+// that the upstream did not receive the request.
 func Unsent(err error) bool {
 	var x *Error
 	return errors.As(err, &x) && !x.Sent
 }
 
-// Refused reports whether an attempt failed because no connection could be opened.
+// ConnectFailed reports whether an attempt failed because no connection could be opened.
 func Refused(err error) bool {
 	var x *Error
 	return errors.As(err, &x) && x.Refused
 }
 
-// Client keeps the connections to all upstreams. It is safe for concurrent use.
+// Client sends requests and keeps idle connections to all upstreams for reuse. It is
+// safe for concurrent use.
 type Client struct {
 	clock fleet.Clock
 	dial  Dial
 
-	mu   sync.Mutex
-	idle map[Target][]*conn
-	most func(Target) int // connections to keep
+	mu      sync.Mutex
+	idle    map[Target][]*conn
+	maxIdle func(Target) int // limit of idle connections to a target
 }
 
+// conn is a connection to an upstream.
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	until  time.Time // the connection is not used after it
-	// bound is the number of bytes that may still be read, or noBound.
-	bound int
+	reader       *bufio.Reader
+	idleDeadline time.Time // the connection is not reused after it
+	// readLimit is the number of bytes that may still be read, or unlimited.
+	readLimit int
 }
 
-// Read implements net.Conn. What the buffer holds when a head begins doesn't count.
+// Read implements net.Conn. Bytes that were buffered before readLimit was set are not
+// counted.
 func (k *conn) Read(b []byte) (int, error) {
-	if k.bound == noBound {
+	if k.readLimit == unlimited {
 		return k.Conn.Read(b)
 	}
-	if k.bound == 0 {
-		return 0, errLongHead
+	if k.readLimit == 0 {
+		return 0, errHeaderTooLarge
 	}
-	n, err := k.Conn.Read(b[:min(len(b), k.bound)])
-	k.bound -= n
+	n, err := k.Conn.Read(b[:min(len(b), k.readLimit)])
+	k.readLimit -= n
 	return n, err
 }
 
 // Dial opens a connection to an address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Option changes a Client at its construction.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithDial replaces how connections are opened.
+// WithDial sets the function that opens connections.
 func WithDial(d Dial) Option { return func(c *Client) { c.dial = d } }
 
-// DialTCP opens a connection with the time limits of this package.
+// DialTCP opens a TCP connection with the timeouts of this package.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: control}
+	d := net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: setUserTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// New returns a Client without connections.
+// New returns a Client that has no connections yet.
 func New(clock fleet.Clock, options ...Option) *Client {
 	c := &Client{
 		clock: clock, dial: DialTCP, idle: make(map[Target][]*conn),
-		most: func(Target) int { return math.MaxInt },
+		maxIdle: func(Target) int { return math.MaxInt },
 	}
 	for _, o := range options {
 		o(c)
@@ -197,38 +202,39 @@
 	return c
 }
 
-func control(_, _ string, c syscall.RawConn) error {
-	var failed error
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
-// Exchange is a request whose answer has begun.
+// Exchange is a request whose response headers were received.
 type Exchange struct {
 	Response *http.Response
-	// Fresh tells that the connection was opened for this request.
-	Fresh  bool
-	client *Client
-	target Target
-	conn   *conn
-	single bool
-	stop   func() bool
-	kept   bool
+	// Fresh reports that the connection was opened for this request.
+	Fresh     bool
+	client    *Client
+	target    Target
+	conn      *conn
+	dedicated bool
+	stop      func() bool
+	released  bool
 }
 
-// Send writes the request and reads the head of the answer. Cancelling ctx closes
-// the connection at any time until Keep or Close.
+// Send writes the request and reads the headers of the response. Until Keep or Close
+// is called, cancelling ctx closes the connection.
 func (c *Client) Send(ctx context.Context, t Target, r Request) (*Exchange, error) {
-	k, fresh, err := c.take(ctx, t, r.Single)
+	k, fresh, err := c.acquire(ctx, t, r.Single)
 	if err != nil {
 		return nil, &Error{Refused: true, cause: err}
 	}
-	if err := r.prepare(ctx); err != nil {
+	if err := r.beforeWrite(ctx); err != nil {
 		_ = k.Close()
 		return nil, &Error{cause: errors.Wrapf(err, "upstream %s at %s", t.ID, t.Address)}
 	}
@@ -236,8 +242,8 @@
 	n, err := k.Write(r.encode())
 	if err == nil {
 		var p *http.Response
-		if p, err = k.answer(r, fresh); err == nil {
-			return &Exchange{Response: p, Fresh: fresh, client: c, target: t, conn: k, single: r.Single, stop: stop}, nil
+		if p, err = k.readResponse(r, fresh); err == nil {
+			return &Exchange{Response: p, Fresh: fresh, client: c, target: t, conn: k, dedicated: r.Single, stop: stop}, nil
 		}
 	}
 	stop()
@@ -248,10 +254,11 @@
 	return nil, &Error{Sent: n > 0, cause: errors.Wrapf(err, "upstream %s at %s", t.ID, t.Address)}
 }
 
-// take returns a kept connection, unless a new one is asked for, or opens one.
-func (c *Client) take(ctx context.Context, t Target, fresh bool) (*conn, bool, error) {
+// acquire returns an idle connection, or opens a new one if there is none or if fresh is
+// set. The second result reports whether the connection is new.
+func (c *Client) acquire(ctx context.Context, t Target, fresh bool) (*conn, bool, error) {
 	for !fresh {
-		k := c.pop(t)
+		k := c.popIdle(t)
 		if k == nil {
 			break
 		}
@@ -264,12 +271,14 @@
 	if err != nil {
 		return nil, false, errors.Wrapf(err, "connect to upstream %s", t.ID)
 	}
-	k := &conn{Conn: n, bound: noBound}
-	k.reader = bufio.NewReaderSize(k, bufferBytes)
+	k := &conn{Conn: n, readLimit: unlimited}
+	k.reader = bufio.NewReaderSize(k, readBufferBytes)
 	return k, true, nil
 }
 
-func (c *Client) pop(t Target) *conn {
+// popIdle removes and returns the idle connection to t that was used last, or nil. It
+// closes those past their deadline.
+func (c *Client) popIdle(t Target) *conn {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -278,7 +287,7 @@
 		k := ks[len(ks)-1]
 		ks = ks[:len(ks)-1]
 		c.idle[t] = ks
-		if now.Before(k.until) {
+		if now.Before(k.idleDeadline) {
 			return k
 		}
 		_ = k.Close()
@@ -286,8 +295,8 @@
 	return nil
 }
 
-// usable reports whether a kept connection is open and silent. Bytes that came
-// without a request belong to none, and the connection with them is closed.
+// usable reports whether an idle connection is open and has no unread bytes. Bytes that
+// arrived on an idle connection belong to no request, so the connection is not reused.
 func (k *conn) usable() bool {
 	if k.reader.Buffered() > 0 {
 		return false
@@ -300,48 +309,48 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = e == unix.EAGAIN
+		noData = e == unix.EAGAIN
 		return true
 	})
-	return err == nil && silent
+	return err == nil && noData
 }
 
-// answer reads the head of the answer to r, and passes over complete answers to
+// readResponse reads the headers of the response to r. It skips complete responses to
 // earlier requests.
-func (k *conn) answer(r Request, fresh bool) (*http.Response, error) {
-	for range maxStray {
-		k.bound = maxHeadBytes
+func (k *conn) readResponse(r Request, fresh bool) (*http.Response, error) {
+	for range maxResponses {
+		k.readLimit = maxHeaderBytes
 		p, err := http.ReadResponse(k.reader, &http.Request{Method: r.Method})
-		k.bound = noBound
+		k.readLimit = unlimited
 		if err != nil {
-			return nil, errors.Wrap(excerpt.Error(err), "read the answer")
+			return nil, errors.Wrap(excerpt.Error(err), "read response")
 		}
 		if p.StatusCode < http.StatusOK {
 			continue
 		}
-		own, err := r.owns(p.Header, fresh)
+		match, err := r.matches(p.Header, fresh)
 		if err != nil {
 			return nil, err
 		}
-		if own {
+		if match {
 			return p, nil
 		}
 		if p.Close || p.ContentLength < 0 && len(p.TransferEncoding) == 0 {
-			return nil, errors.New("the answer belongs to another request")
+			return nil, errors.New("response belongs to another request")
 		}
-		if n, err := io.Copy(io.Discard, io.LimitReader(p.Body, strayBytes)); err != nil || n == strayBytes {
-			return nil, errors.New("the answer belongs to another request")
+		if n, err := io.Copy(io.Discard, io.LimitReader(p.Body, maxSkippedBodyBytes)); err != nil || n == maxSkippedBodyBytes {
+			return nil, errors.New("response belongs to another request")
 		}
 	}
-	return nil, errors.Errorf("no answer to the request among the first %d", maxStray)
+	return nil, errors.Errorf("no matching response among the first %d", maxResponses)
 }
 
-// prepare returns an error if the request must not be sent any more.
-func (r Request) prepare(ctx context.Context) error {
+// beforeWrite calls BeforeWrite. It returns an error if the request must not be sent.
+func (r Request) beforeWrite(ctx context.Context) error {
 	if ctx.Err() != nil || r.Prepare == nil {
 		return ctx.Err()
 	}
@@ -352,7 +361,7 @@
 	var b bytes.Buffer
 	b.Grow(1<<10 + len(r.Body))
 	b.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = r.Header.Write(&b) // a Buffer does not fail
+	_ = r.Header.Write(&b) // writing to a bytes.Buffer never fails
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
@@ -361,100 +370,103 @@
 	return b.Bytes()
 }
 
-// ReadBody returns the whole body. A body of more than limit bytes is an error.
+// ReadBody returns the whole body. It fails if the body exceeds limit bytes.
 func (x *Exchange) ReadBody(limit int64) ([]byte, error) {
 	if x.Response.ContentLength > limit && x.Response.Body != http.NoBody {
-		return nil, errors.Errorf("the answer has %d bytes, more than %d", x.Response.ContentLength, limit)
+		return nil, errors.Errorf("response body has %d bytes, limit is %d", x.Response.ContentLength, limit)
 	}
 	body, err := io.ReadAll(io.LimitReader(x.Response.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
-		err = errors.Errorf("the answer has more than %d bytes", limit)
+		err = errors.Errorf("response body exceeds %d bytes", limit)
 	}
 	return body, err
 }
 
-// Drain reads a body that is not used and keeps the connection. It closes the
-// connection, and returns why, if the body is long or does not end soon.
+// Drain discards the body and keeps the connection for reuse. If the body is longer
+// than maxDrainBytes or doesn't end within drainTimeout, it closes the connection and
+// returns an error.
 func (x *Exchange) Drain() error {
-	err := x.conn.SetReadDeadline(time.Now().Add(drainTime))
+	err := x.conn.SetReadDeadline(time.Now().Add(drainTimeout))
 	if err == nil {
-		_, err = x.ReadBody(drainBytes)
+		_, err = x.ReadBody(maxDrainBytes)
 	}
 	if err == nil {
 		err = x.conn.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
 		x.Close()
-		return errors.Wrap(err, "read the rest of the answer")
+		return errors.Wrap(err, "drain response body")
 	}
 	x.Keep()
 	return nil
 }
 
-// Keep returns the connection for further requests, or closes the one of a single
-// request. It must be called only after the whole body was read.
+// Keep makes the connection available to further requests, or closes it if it is
+// dedicated or can't be reused. It must be called only after the whole body was read.
 func (x *Exchange) Keep() {
 	p := x.Response
-	until, ok := x.client.keepUntil(p)
-	if !x.stop() || x.single || p.Close || !ok || x.conn.reader.Buffered() > 0 {
+	idleDeadline, ok := x.client.connDeadline(p)
+	if !x.stop() || x.dedicated || p.Close || !ok || x.conn.reader.Buffered() > 0 {
 		_ = x.conn.Close()
-		x.kept = true
+		x.released = true
 		return
 	}
-	x.kept = true
-	x.conn.until = until
+	x.released = true
+	x.conn.idleDeadline = idleDeadline
 	c := x.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[x.target]) >= c.most(x.target) {
+	if len(c.idle[x.target]) >= c.maxIdle(x.target) {
 		_ = x.conn.Close()
 		return
 	}
 	c.idle[x.target] = append(c.idle[x.target], x.conn)
 }
 
-func (c *Client) keepUntil(p *http.Response) (time.Time, bool) {
-	limit := idleLimit
+// connDeadline returns the time until which a connection may be reused, and whether it
+// may be reused at all. The upstream may set its idle timeout in a Keep-Alive header.
+func (c *Client) connDeadline(p *http.Response) (time.Time, bool) {
+	timeout := idleTimeout
 	if s := p.Header.Get("Keep-Alive"); s != "" {
 		_, after, _ := strings.Cut(s, "timeout=")
 		digits, _, _ := strings.Cut(after, ",")
 		if n, err := strconv.Atoi(strings.TrimSpace(digits)); err == nil {
-			limit = time.Duration(n) * time.Second
+			timeout = time.Duration(n) * time.Second
 		}
 	}
-	return c.clock.Now().Add(limit - idleMargin), limit > idleMargin
+	return c.clock.Now().Add(timeout - idleMargin), timeout > idleMargin
 }
 
-// Close closes the connection unless it was kept.
+// Close closes the connection unless Keep was called.
 func (x *Exchange) Close() {
 	x.stop()
-	if !x.kept {
-		x.kept = true
+	if !x.released {
+		x.released = true
 		_ = x.conn.Close()
 	}
 }
 
-// Limit bounds the connections that are kept to each target, and closes those beyond.
-// The connections in use have no bound here.
-func (c *Client) Limit(most func(Target) int) {
+// SetMaxIdle sets the limit of idle connections to each target, and closes those beyond
+// it. Connections in use are not limited.
+func (c *Client) SetMaxIdle(maxIdle func(Target) int) {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.most = most
+	c.maxIdle = maxIdle
 	for t, ks := range c.idle {
-		n := most(t)
-		var rest []*conn
+		limit := maxIdle(t)
+		var kept []*conn
 		for _, k := range ks {
-			if len(rest) >= n || !now.Before(k.until) {
+			if len(kept) >= limit || !now.Before(k.idleDeadline) {
 				_ = k.Close()
 				continue
 			}
-			rest = append(rest, k)
+			kept = append(kept, k)
 		}
-		if len(rest) == 0 {
+		if len(kept) == 0 {
 			delete(c.idle, t)
 			continue
 		}
-		c.idle[t] = rest
+		c.idle[t] = kept
 	}
 }
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -19,20 +19,20 @@
 	"github.com/bilberryrock/bilberryrock/internal/gateway/exchange"
 )
 
-// peer is an upstream that answers each request on a connection with the next
-// text, and closes the connection at an empty one.
-type peer struct {
-	listener net.Listener
-	mu       sync.Mutex
-	texts    []string
-	requests int
-	conns    int
+// fakeUpstream answers each request with the next of its responses, and closes the
+// connection if that is empty or if none is left.
+type fakeUpstream struct {
+	listener  net.Listener
+	mu        sync.Mutex
+	responses []string
+	requests  int
+	conns     int
 }
 
-func newPeer(t *testing.T, texts ...string) *peer {
+func newFakeUpstream(t *testing.T, responses ...string) *fakeUpstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	p := &peer{listener: l, texts: texts}
+	p := &fakeUpstream{listener: l, responses: responses}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -49,7 +49,7 @@
 	return p
 }
 
-func (p *peer) serve(c net.Conn) {
+func (p *fakeUpstream) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -58,37 +58,37 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, q.Body)
-		text := p.next()
-		if text == "" {
+		response := p.nextResponse()
+		if response == "" {
 			return
 		}
-		_, _ = io.WriteString(c, text)
+		_, _ = io.WriteString(c, response)
 	}
 }
 
-func (p *peer) next() string {
+func (p *fakeUpstream) nextResponse() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests++
-	if len(p.texts) == 0 {
+	if len(p.responses) == 0 {
 		return ""
 	}
-	text := p.texts[0]
-	p.texts = p.texts[1:]
-	return text
+	response := p.responses[0]
+	p.responses = p.responses[1:]
+	return response
 }
 
-func (p *peer) counts() (requests, conns int) {
+func (p *fakeUpstream) counts() (requests, conns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.requests, p.conns
 }
 
-func (p *peer) target() exchange.Target {
+func (p *fakeUpstream) target() exchange.Target {
 	return exchange.Target{ID: "u1", Address: p.listener.Addr().String()}
 }
 
-func text(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
@@ -99,7 +99,7 @@
 	}
 }
 
-func send(t *testing.T, c *exchange.Client, p *peer, id string) (string, error) {
+func send(t *testing.T, c *exchange.Client, p *fakeUpstream, id string) (string, error) {
 	t.Helper()
 	x, err := c.Send(context.Background(), p.target(), request(id))
 	if err != nil {
@@ -114,10 +114,10 @@
 	return string(b), nil
 }
 
-// Guards against a new connection for each request.
-func TestConnectionsAreKept(t *testing.T) {
+// Guards against opening a new connection for each request.
+func TestConnectionsAreReused(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, text("1", "one"), text("2", "two"))
+	p := newFakeUpstream(t, response("1", "one"), response("2", "two"))
 	c := exchange.New(systemclock.Clock{})
 	b, err := send(t, c, p, "1")
 	is.NoErr(err)
@@ -129,11 +129,11 @@
 	is.Equal(conns, 1)
 }
 
-// Guards against an answer that goes to another request: a late second answer to
-// the request before is passed over.
-func TestStrayAnswerIsPassedOver(t *testing.T) {
+// Guards against returning the response of another request: a late duplicate of the
+// previous response must be skipped.
+func TestUnmatchedResponseIsSkipped(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, text("1", "one"), text("1", "late")+text("2", "two"))
+	p := newFakeUpstream(t, response("1", "one"), response("1", "late")+response("2", "two"))
 	c := exchange.New(systemclock.Clock{})
 	_, err := send(t, c, p, "1")
 	is.NoErr(err)
@@ -142,10 +142,10 @@
 	is.Equal(b, "two")
 }
 
-// Guards against bytes after an answer that are read as the next one.
-func TestConnectionWithBytesLeftIsNotKept(t *testing.T) {
+// Guards against reading stray bytes after a response as the next response.
+func TestConnectionWithUnreadBytesIsClosed(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, text("1", "one")+"garbage", text("2", "two"))
+	p := newFakeUpstream(t, response("1", "one")+"garbage", response("2", "two"))
 	c := exchange.New(systemclock.Clock{})
 	_, err := send(t, c, p, "1")
 	is.NoErr(err)
@@ -156,11 +156,11 @@
 	is.Equal(conns, 2)
 }
 
-// Guards against a request that is sent again although the upstream may have run
-// it: a closed connection is an error that says that bytes were sent.
-func TestNothingIsSentAgain(t *testing.T) {
+// Guards against repeating a request that the upstream may have run: if the upstream
+// closes the connection, Send must return an error that reports that bytes were sent.
+func TestRequestIsNotRepeated(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, text("1", "one"), "")
+	p := newFakeUpstream(t, response("1", "one"), "")
 	c := exchange.New(systemclock.Clock{})
 	_, err := send(t, c, p, "1")
 	is.NoErr(err)
@@ -173,10 +173,10 @@
 	is.Equal(requests, 2)
 }
 
-// Guards against a failed connection that counts as a request that may have run.
-func TestRefusedConnection(t *testing.T) {
+// Guards against reporting a failure to connect as a request that may have run.
+func TestConnectFailure(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t)
+	p := newFakeUpstream(t)
 	is.NoErr(p.listener.Close())
 	_, err := send(t, exchange.New(systemclock.Clock{}), p, "1")
 	var x *exchange.Error
@@ -185,40 +185,40 @@
 	is.True(!x.Sent)
 }
 
-// Guards against a truncated answer that looks complete.
-func TestTruncatedAnswer(t *testing.T) {
+// Guards against a truncated response that looks complete.
+func TestTruncatedResponse(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, strings.Replace(text("1", "one"), "Length: 3", "Length: 9", 1), "")
+	p := newFakeUpstream(t, strings.Replace(response("1", "one"), "Length: 3", "Length: 9", 1), "")
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	x, err := exchange.New(systemclock.Clock{}).Send(ctx, p.target(), request("1"))
 	is.NoErr(err)
-	cancel() // closes the connection in the middle of the body
+	cancel() // closes the connection before the end of the body
 	_, err = io.ReadAll(x.Response.Body)
 	is.True(err != nil)
 	x.Close()
 }
 
-// Guards against connections to upstreams that are gone, which another one may
-// take the address of.
-func TestForget(t *testing.T) {
+// Guards against keeping connections to upstreams that are gone: another upstream may
+// take over the address.
+func TestConnectionsOfRemovedUpstreamAreClosed(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, text("1", "one"), text("2", "two"))
+	p := newFakeUpstream(t, response("1", "one"), response("2", "two"))
 	c := exchange.New(systemclock.Clock{})
 	_, err := send(t, c, p, "1")
 	is.NoErr(err)
-	c.Limit(func(exchange.Target) int { return 0 })
+	c.SetMaxIdle(func(exchange.Target) int { return 0 })
 	_, err = send(t, c, p, "2")
 	is.NoErr(err)
 	_, conns := p.counts()
 	is.Equal(conns, 2)
 }
 
-// Guards against answers to HEAD that fail because of the length of a body that they
-// don't have.
-func TestLengthWithoutBody(t *testing.T) {
+// Guards against rejecting a response to HEAD because its Content-Length exceeds the
+// limit, although it has no body.
+func TestHeadResponseWithContentLength(t *testing.T) {
 	is := is.New(t)
 	head := "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 99999999\r\n\r\n"
-	p := newPeer(t, head, head)
+	p := newFakeUpstream(t, head, head)
 	c := exchange.New(systemclock.Clock{})
 	for range 2 {
 		q := request("1")
@@ -234,14 +234,14 @@
 	is.Equal(conns, 1)
 }
 
-// unnamed is a refusal that bears no id.
-const unnamed = "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n"
+// responseWithoutID is a refusal that carries no request ID.
+const responseWithoutID = "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n"
 
-// Guards against a late refusal without an id that is taken for the answer to the next
-// request, which then counts as not run though it runs.
-func TestUnnamedAnswerOnKeptConnection(t *testing.T) {
+// Guards against taking a late refusal without an ID for the response to the next
+// request, which would then count as not run although the upstream runs it.
+func TestResponseWithoutIDOnReusedConnection(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, text("1", "one"), unnamed+text("2", "two"))
+	p := newFakeUpstream(t, response("1", "one"), responseWithoutID+response("2", "two"))
 	c := exchange.New(systemclock.Clock{})
 	_, err := send(t, c, p, "1")
 	is.NoErr(err)
@@ -250,21 +250,21 @@
 	is.True(!exchange.Unsent(err)) // it may have run
 }
 
-// Guards against a request that waits for another answer after a refusal without an id
-// that can only be its own.
-func TestUnnamedAnswerOnNewConnection(t *testing.T) {
+// Guards against waiting for another response after a refusal without an ID on a new
+// connection, where it can only belong to this request.
+func TestResponseWithoutIDOnNewConnection(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, unnamed)
+	p := newFakeUpstream(t, responseWithoutID)
 	x, err := exchange.New(systemclock.Clock{}).Send(context.Background(), p.target(), request("1"))
 	is.NoErr(err)
 	defer x.Close()
 	is.Equal(x.Response.StatusCode, http.StatusServiceUnavailable)
 }
 
-// Guards against a single request on a connection that others used, or use after it.
-func TestSingleRequestSharesNoConnection(t *testing.T) {
+// Guards against sharing a dedicated connection with earlier or later requests.
+func TestDedicatedConnection(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, text("1", "one"), text("1", "two"), text("3", "three"))
+	p := newFakeUpstream(t, response("1", "one"), response("1", "two"), response("3", "three"))
 	c := exchange.New(systemclock.Clock{})
 	_, err := send(t, c, p, "1")
 	is.NoErr(err)
@@ -279,17 +279,17 @@
 	_, err = send(t, c, p, "3")
 	is.NoErr(err)
 	_, conns := p.counts()
-	is.Equal(conns, 2) // the third request uses the connection of the first
+	is.Equal(conns, 2) // the third request reuses the connection of the first
 }
 
-// Guards against unused connections beyond the limit, which upstreams answer with
-// resets of those in use.
-func TestKeptConnectionsAreLimited(t *testing.T) {
+// Guards against keeping idle connections beyond the limit: upstreams with too many
+// connections reset those in use.
+func TestIdleConnectionsAreLimited(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, text("1", "one"), text("1", "two"), text("1", "three"), text("1", "four"))
+	p := newFakeUpstream(t, response("1", "one"), response("1", "two"), response("1", "three"), response("1", "four"))
 	c := exchange.New(systemclock.Clock{})
-	c.Limit(func(exchange.Target) int { return 1 })
-	for _, most := range []int{2, 3} {
+	c.SetMaxIdle(func(exchange.Target) int { return 1 })
+	for _, wantConns := range []int{2, 3} {
 		var xs []*exchange.Exchange
 		for range 2 {
 			x, err := c.Send(context.Background(), p.target(), request("1"))
@@ -302,6 +302,6 @@
 			x.Keep()
 		}
 		_, conns := p.counts()
-		is.Equal(conns, most)
+		is.Equal(conns, wantConns)
 	}
 }
