--- a/internal/gateway/path/path.go
+++ b/internal/gateway/path/path.go
@@ -1,10 +1,11 @@
-// Package path chooses the engines that a request passes through, so that each
-// layer runs once and in order.
+// Package path selects the engines that process a request, so that each layer of
+// the model runs once and in order.
 //
-// A Planner is given the engines in use from time to time. Choose then returns
-// the cheapest path by the time of the layers on each card, the transfers
-// between engines and data centres, and the requests that this instance has on
-// each engine. Engines that failed are passed over for a while.
+// A Planner receives the list of available engines from time to time. Choose
+// returns the cheapest path, by the time that the layers take on each card, the
+// transfers between engines and data centres, and the requests that this instance
+// and the other gateways have on each engine. Engines that failed are temporarily
+// excluded.
 package path
 
 import (
@@ -23,64 +24,71 @@
 )
 
 const (
-	// maxHops is the longest path that engines accept.
+	// maxHops is the length of the longest path that engines accept.
 	maxHops = 32
-	// hopDelay is the one-way delay between engines of a data centre.
+	// hopDelay is the one-way delay between engines of the same data centre.
 	hopDelay = 200 * time.Microsecond
-	// entryCrossing is the cost of a first engine in another data centre. Request
-	// and answer are small.
-	entryCrossing = 800 * time.Millisecond
-	// crossingJitter lets the gateways of a data centre without a path choose different
-	// other ones.
-	crossingJitter = 0.5
-	// midCrossing is the cost of going on in another data centre. Each token then
-	// sends its activations over the pipe, which all requests share: at 23 kB a token
-	// a pipe of 7.9 Gbit/s carries 46 usual requests a second.
-	midCrossing = 2500 * time.Millisecond
-	// fullest is the greatest use of an engine's memory that its cost tells apart.
-	// The cost grows as the time in a queue does, so that fast engines fill first
-	// and none fills up.
-	fullest = 0.97
-	// usesAge is the age up to which the uses that the controller adds up are used.
-	// Without them, the other gateways count as busy as this one.
-	usesAge = 2 * time.Second
-	// burst is the number of other gateways that are taken to choose an engine
-	// together with this one before the next sums arrive.
-	burst = 3
-	// usualArrivals is the number of requests before the next sums up to which nothing
-	// unusual happens. With more, all gateways of the data centre are taken to get as
-	// many, as after a loss of power.
-	usualArrivals = 1.5
-	// arrivalsAge is the time over which the usual rate of requests is learned.
-	arrivalsAge = 10 * time.Second
-	// jitter spreads the choices of several gateways over engines of equal cost.
-	jitter = 0.2
-	// firstHold and longestHold bound the time for which a failed engine is passed
-	// over. It doubles with each further failure.
-	firstHold   = 1500 * time.Millisecond
-	longestHold = 12 * time.Second
-	// servedNews is how long progress of a request counts as a sign of life of an
-	// engine without heartbeats, which may be cut off from the controllers only.
-	servedNews = 2 * time.Second
-	// failureNews is how long a failure is told to the controller.
-	failureNews = time.Second
-	// paceNews is how long a report of an engine's pace is told to other gateways and
-	// keeps them from asking.
-	paceNews = time.Second
-	// paceAge is how long a report of a slow engine counts.
-	paceAge = 4 * time.Second
-	// fullHold is the time for which an engine without free memory is passed over.
-	// Streams end all the time.
-	fullHold = 200 * time.Millisecond
-	// fullNews is how long the refusal of an engine without free memory is told to
-	// the other gateways, and fullAge how long the news makes it count as full. The
-	// sums are up to 0.75 s old, and a gateway of many has too few requests to find
-	// out by itself.
-	fullNews = 400 * time.Millisecond
-	fullAge  = 400 * time.Millisecond
+	// firstHopCrossingCost is the cost of choosing the first engine in another data
+	// centre. It is lower than midPathCrossingCost because request and response are
+	// small.
+	firstHopCrossingCost = 800 * time.Millisecond
+	// firstHopCrossingJitter is the relative jitter of firstHopCrossingCost. It spreads
+	// the gateways of a data centre that has no path of its own over the other data
+	// centres.
+	firstHopCrossingJitter = 0.5
+	// midPathCrossingCost is the cost of continuing a path in another data centre. The
+	// activations of each token are then sent over the link between the data centres,
+	// which all requests share: at 23 kB per token, a link of 7.9 Gbit/s carries 46
+	// requests of average size per second.
+	midPathCrossingCost = 2500 * time.Millisecond
+	// maxUtilization is the memory utilization of an engine at which its cost stops
+	// growing. The cost grows like the waiting time in a queue, with 1/(1-utilization),
+	// so that fast engines fill first and none fills up.
+	maxUtilization = 0.97
+	// maxSumAge is the age up to which the sums over all gateways from the controller
+	// are used. Without them, each other gateway is assumed to have as many requests as
+	// this one.
+	maxSumAge = 2 * time.Second
+	// baseContenders is the number of other gateways that are assumed to choose the same
+	// engine as this one before the next sums arrive, while requests arrive at the usual
+	// rate.
+	baseContenders = 3
+	// arrivalAllowance is the number of requests, beyond those of the usual rate, that may
+	// arrive before the next sums. If there are more, all gateways of the data centre are
+	// assumed to receive as many, as after a loss of power.
+	arrivalAllowance = 1.5
+	// arrivalRateTimeConstant is the time constant of the moving average of the request
+	// rate.
+	arrivalRateTimeConstant = 10 * time.Second
+	// costJitter is the relative jitter of the cost of an engine. It spreads the gateways
+	// over engines of equal cost.
+	costJitter = 0.2
+	// minExclusion and maxExclusion bound the time for which a failed engine is excluded.
+	// The time doubles with each consecutive failure.
+	minExclusion = 1500 * time.Millisecond
+	maxExclusion = 12 * time.Second
+	// maxProgressAge is how long the progress of a request shows that an engine without
+	// heartbeats is alive. Such an engine may be cut off from the controllers only.
+	maxProgressAge = 2 * time.Second
+	// maxFailureReportAge is how long a failure is reported to the controller.
+	maxFailureReportAge = time.Second
+	// maxSlowdownReportAge is how long the slowdown that an engine reported is passed on
+	// to the other gateways and keeps them from asking the engine themselves.
+	maxSlowdownReportAge = time.Second
+	// maxSlowdownAge is how long a reported slowdown affects the cost of an engine.
+	maxSlowdownAge = 4 * time.Second
+	// refusalExclusion is the time for which an engine without free memory is excluded.
+	// It is short because streams end all the time.
+	refusalExclusion = 200 * time.Millisecond
+	// maxRefusalReportAge is how long the refusal of an engine without free memory is
+	// reported to the other gateways, and maxRefusalAge is how long such a report makes
+	// the engine count as full. The sums are up to 0.75 s old, and one gateway of many
+	// has too few requests to find out by itself.
+	maxRefusalReportAge = 400 * time.Millisecond
+	maxRefusalAge       = 400 * time.Millisecond
 )
 
-// Hop is a part of a path.
+// Hop is the range of layers that one engine runs in a path.
 type Hop struct {
 	ID      fleet.UpstreamID
 	Address string
@@ -89,61 +97,63 @@
 
 // Planner chooses paths for one pool. It is safe for concurrent use.
 type Planner struct {
-	clock  fleet.Clock
-	home   fleet.DataCentreID
-	alive  time.Duration
-	random func() float64
-
-	mu      sync.Mutex
-	sharers float64 // gateways that use the same engines
-	model   *release.Engine
-	engines []*engine
-	byID    map[fleet.UpstreamID]*engine
-	bounds  []int
-	told    time.Time // of the newest sums
-	// arrivals are the requests since then, and rate the usual ones a second.
-	arrivals int
-	rate     float64
+	clock            fleet.Clock
+	dataCentre       fleet.DataCentreID
+	heartbeatTimeout time.Duration
+	random           func() float64
+
+	mu              sync.Mutex
+	sharingGateways float64 // number of gateways that use the same engines
+	model           *release.Engine
+	engines         []*engine
+	byID            map[fleet.UpstreamID]*engine
+	layerBounds     []int     // layers at which the range of an engine begins or ends
+	sumsTime        time.Time // time of the newest sums
+	// arrivals is the number of requests since sumsTime, and arrivalRate the moving
+	// average of requests per second.
+	arrivals    int
+	arrivalRate float64
 }
 
 type engine struct {
-	entry    registry.Entry
-	perLayer float64 // seconds for one usual request and one layer
-	streams  float64 // usual requests that fit into the memory
-	active   int
-	shared   int // requests of all gateways, as last told
-	since    int // own requests since then
-	failures int
-	failed   time.Time // last own finding
-	pace     float64   // factor by which it is slower than its card
-	paced    time.Time // of the last report of pace, to any gateway
-	asked    time.Time // of the last report to this one
-	served   time.Time // of the last progress of an own request
-	serving  time.Time // of the last news that some gateway's requests make progress
-	heldTo   time.Time
-	refused  time.Time // last own refusal for want of memory
-	full     time.Time // of the last news of a refusal, to any gateway
+	entry           registry.Entry
+	secondsPerLayer float64   // time of a request of average size per layer
+	streamCapacity  float64   // number of requests of average size that fit into the memory
+	active          int       // requests of this gateway in progress
+	fleetActive     int       // requests of all gateways, according to the newest sums
+	chosenSince     int       // requests of this gateway since the newest sums
+	failures        int       // consecutive failures
+	lastOwnFailure  time.Time // last failure seen by this gateway
+	slowdown        float64   // factor by which it is slower than its card
+	slowdownTime    time.Time // last report of slowdown to any gateway, or request for one
+	ownSlowdownTime time.Time // last report of slowdown to this gateway
+	lastOwnProgress time.Time // last progress of a request of this gateway
+	lastProgress    time.Time // last sums in which requests of some gateway made progress
+	excludedUntil   time.Time
+	lastOwnRefusal  time.Time // last refusal of this gateway for lack of memory
+	lastRefusal     time.Time // last sums with a refusal of some gateway
 }
 
-// New returns a Planner without engines, for a gateway in a data centre. Engines
-// that were not heard for alive are used only while they serve requests.
-func New(clock fleet.Clock, home fleet.DataCentreID, alive time.Duration, random func() float64) *Planner {
+// New returns a Planner without engines, for a gateway in the given data centre.
+// Engines that sent no heartbeat for heartbeatTimeout are used only while their
+// requests make progress.
+func New(clock fleet.Clock, dataCentre fleet.DataCentreID, heartbeatTimeout time.Duration, random func() float64) *Planner {
 	if random == nil {
 		random = rand.Float64
 	}
-	return &Planner{clock: clock, home: home, alive: alive, random: random, byID: make(map[fleet.UpstreamID]*engine)}
+	return &Planner{clock: clock, dataCentre: dataCentre, heartbeatTimeout: heartbeatTimeout, random: random, byID: make(map[fleet.UpstreamID]*engine)}
 }
 
-// Refresh replaces the engines that may be used. What was learned about an engine
-// stays as long as its incarnation does. gateways is the number of gateways of all
-// data centres.
+// Refresh replaces the engines that may be used. The state of an engine is kept as long
+// as its incarnation stays the same. gateways is the number of gateways in all data
+// centres.
 func (p *Planner) Refresh(m *release.Engine, es []registry.Entry, gateways int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sharers = max(1, float64(gateways)/float64(max(1, dataCentres(es))))
+	p.sharingGateways = max(1, float64(gateways)/float64(max(1, countDataCentres(es))))
 	old := p.byID
 	p.model, p.engines, p.byID = m, nil, make(map[fleet.UpstreamID]*engine, len(es))
-	cuts := []int{0, m.Layers}
+	bounds := []int{0, m.Layers}
 	for _, e := range es {
 		c, ok := m.Cards[e.Card]
 		if !ok || e.Layers.Len() == 0 || int(e.Layers.To) > m.Layers {
@@ -154,30 +164,31 @@
 			k = &engine{}
 		}
 		k.entry = e
-		k.perLayer = perLayer(m, c)
-		k.streams = streams(m, c, e.Layers.Len())
+		k.secondsPerLayer = secondsPerLayer(m, c)
+		k.streamCapacity = streamCapacity(m, c, e.Layers.Len())
 		if e.Layers.From == 0 && e.Slots > 0 {
-			// Further requests would wait at their first engine.
-			k.streams = min(k.streams, float64(e.Slots))
+			// The first engine of a path queues requests beyond its slots.
+			k.streamCapacity = min(k.streamCapacity, float64(e.Slots))
 		}
 		p.engines = append(p.engines, k)
 		p.byID[e.ID] = k
-		cuts = append(cuts, int(e.Layers.From), int(e.Layers.To))
+		bounds = append(bounds, int(e.Layers.From), int(e.Layers.To))
 	}
-	slices.Sort(cuts)
-	p.bounds = slices.Compact(cuts)
+	slices.Sort(bounds)
+	p.layerBounds = slices.Compact(bounds)
 }
 
-func perLayer(m *release.Engine, c release.Card) float64 {
-	steps := float64(m.UsualAnswer) * m.StepMS * c.Pace / 1e3
-	read := 0.0
+// secondsPerLayer returns the time of a request of average size per layer.
+func secondsPerLayer(m *release.Engine, c release.Card) float64 {
+	decode := float64(m.UsualAnswer) * m.StepMS * c.Pace / 1e3
+	prefill := 0.0
 	if m.ReadPerSecond > 0 {
-		read = float64(m.UsualPrompt) / m.ReadPerSecond * c.ReadFactor
+		prefill = float64(m.UsualPrompt) / m.ReadPerSecond * c.ReadFactor
 	}
-	return (steps + read) / float64(m.Layers)
+	return (decode + prefill) / float64(m.Layers)
 }
 
-func dataCentres(es []registry.Entry) int {
+func countDataCentres(es []registry.Entry) int {
 	seen := make(map[fleet.DataCentreID]bool)
 	for _, e := range es {
 		seen[e.DataCentre] = true
@@ -185,36 +196,38 @@
 	return len(seen)
 }
 
-// streams returns how many usual requests fit beside a number of layers.
-func streams(m *release.Engine, c release.Card, held int) float64 {
-	free := (c.MemoryMB - float64(held)*m.LayerMB) * 1e6
-	each := float64(m.UsualPrompt+m.UsualAnswer) * m.TokenBytes / float64(m.Layers) * float64(held)
-	if each <= 0 {
+// streamCapacity returns how many requests of average size fit into the memory of a card
+// that holds a number of layers.
+func streamCapacity(m *release.Engine, c release.Card, layers int) float64 {
+	freeBytes := (c.MemoryMB - float64(layers)*m.LayerMB) * 1e6
+	bytesPerStream := float64(m.UsualPrompt+m.UsualAnswer) * m.TokenBytes / float64(m.Layers) * float64(layers)
+	if bytesPerStream <= 0 {
 		return math.Inf(1)
 	}
-	return max(free/each, 1)
+	return max(freeBytes/bytesPerStream, 1)
 }
 
-// state is the cheapest way to have run the layers before a bound, which ends at
-// an engine of one data centre.
-type state struct {
-	cost float64
-	hop  Hop
-	from *state
-	hops int
-	home fleet.DataCentreID
+// partialPath is the cheapest path for the layers before a bound whose last engine is in
+// one data centre.
+type partialPath struct {
+	cost       float64
+	hop        Hop
+	prev       *partialPath
+	length     int
+	dataCentre fleet.DataCentreID
 }
 
-// Limits narrow the choice of a path.
+// Constraints restrict the choice of a path.
 type Limits struct {
-	// Avoid lists engines that are not used.
+	// Avoid lists engines that must not be used.
 	Avoid []fleet.UpstreamID
-	// First lists the engines that a path may begin at. Empty stands for all.
+	// First lists the engines that the path may begin at. If empty, any engine may be
+	// the first.
 	First []fleet.UpstreamID
 }
 
-// Choose returns a path within limits. Done must be called with it. The error is of
-// kind refusal.NoUpstream.
+// Choose returns the cheapest path within the constraints. The caller must call Done
+// with the path when the request ends. The error is of kind refusal.NoUpstream.
 func (p *Planner) Choose(l Limits) ([]Hop, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -230,166 +243,171 @@
 	}
 	for _, h := range hops {
 		p.byID[h.ID].active++
-		p.byID[h.ID].since++
+		p.byID[h.ID].chosenSince++
 	}
 	return hops, nil
 }
 
+// usable returns the engines that may be chosen now, and the cost of one layer on each.
 func (p *Planner) usable(avoid []fleet.UpstreamID) ([]*engine, []float64) {
 	now := p.clock.Now()
 	var es []*engine
 	var costs []float64
 	for _, e := range p.engines {
-		silent := now.Sub(e.entry.Heard) > p.alive && now.Sub(e.serving) > servedNews && now.Sub(e.served) > servedNews
-		if silent || now.Before(e.heldTo) || slices.Contains(avoid, e.entry.ID) {
+		stale := now.Sub(e.entry.Heard) > p.heartbeatTimeout && now.Sub(e.lastProgress) > maxProgressAge && now.Sub(e.lastOwnProgress) > maxProgressAge
+		if stale || now.Before(e.excludedUntil) || slices.Contains(avoid, e.entry.ID) {
 			continue
 		}
 		es = append(es, e)
-		use := min(p.load(e, now)/e.streams, fullest)
-		if now.Sub(e.full) < fullAge {
-			use = fullest
+		utilization := min(p.load(e, now)/e.streamCapacity, maxUtilization)
+		if now.Sub(e.lastRefusal) < maxRefusalAge {
+			utilization = maxUtilization
 		}
-		costs = append(costs, e.perLayer*e.slowness(now)/(1-use)*(1+jitter*p.random()))
+		costs = append(costs, e.secondsPerLayer*e.currentSlowdown(now)/(1-utilization)*(1+costJitter*p.random()))
 	}
 	return es, costs
 }
 
-// slowness is the factor by which an engine was last slower than its card.
-func (e *engine) slowness(now time.Time) float64 {
-	if e.pace <= 1 || now.Sub(e.paced) > paceAge {
+// currentSlowdown returns the factor by which the engine is slower than its card, or 1
+// if there is no recent report.
+func (e *engine) currentSlowdown(now time.Time) float64 {
+	if e.slowdown <= 1 || now.Sub(e.slowdownTime) > maxSlowdownAge {
 		return 1
 	}
-	return e.pace
+	return e.slowdown
 }
 
-// SetPace notes by which factor an engine says that it is slower than its card.
-func (p *Planner) SetPace(id fleet.UpstreamID, pace float64) {
+// SetSlowdown records the factor by which an engine reports to be slower than its card.
+func (p *Planner) SetPace(id fleet.UpstreamID, slowdown float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.byID[id]; e != nil {
 		now := p.clock.Now()
-		e.pace, e.paced, e.asked = pace, now, now
+		e.slowdown, e.slowdownTime, e.ownSlowdownTime = slowdown, now, now
 	}
 }
 
-// Unpaced returns the hops whose engines nobody asked for their pace lately.
+// SlowdownDue returns the hops whose engines no gateway has recently asked for their
+// slowdown. The caller must ask them: they are not returned again for
+// maxSlowdownReportAge.
 func (p *Planner) Unpaced(hops []Hop) []Hop {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	var rest []Hop
+	var due []Hop
 	for _, h := range hops {
-		if e := p.byID[h.ID]; e != nil && now.Sub(e.paced) > paceNews {
-			e.paced = now // other streams need not ask as well
-			rest = append(rest, h)
+		if e := p.byID[h.ID]; e != nil && now.Sub(e.slowdownTime) > maxSlowdownReportAge {
+			e.slowdownTime = now // keeps other streams from asking as well
+			due = append(due, h)
 		}
 	}
-	return rest
+	return due
 }
 
 // load estimates the requests of all gateways on an engine.
 func (p *Planner) load(e *engine, now time.Time) float64 {
-	if now.Sub(p.told) > usesAge {
-		return float64(e.active) * p.sharers
+	if now.Sub(p.sumsTime) > maxSumAge {
+		return float64(e.active) * p.sharingGateways
 	}
-	return float64(e.shared) + float64(e.since)*p.others(now)
+	return float64(e.fleetActive) + float64(e.chosenSince)*p.contenders(now)
 }
 
-// others returns the number of gateways that are taken to choose the same engines as
-// this one.
-func (p *Planner) others(now time.Time) float64 {
-	few := min(p.sharers, burst)
-	unusual := float64(p.arrivals) - usualArrivals - p.rate*now.Sub(p.told).Seconds()
-	if unusual <= 0 {
-		return few
+// contenders returns the number of gateways that are assumed to choose the same engines
+// as this one since the newest sums.
+func (p *Planner) contenders(now time.Time) float64 {
+	base := min(p.sharingGateways, baseContenders)
+	excess := float64(p.arrivals) - arrivalAllowance - p.arrivalRate*now.Sub(p.sumsTime).Seconds()
+	if excess <= 0 {
+		return base
 	}
-	return few + (p.sharers-few)*unusual/float64(p.arrivals)
+	return base + (p.sharingGateways-base)*excess/float64(p.arrivals)
 }
 
-// learnRate takes the requests since the last sums into the usual rate.
-func (p *Planner) learnRate(now time.Time) {
-	if d := now.Sub(p.told); !p.told.IsZero() && d > 0 {
-		part := 1 - math.Exp(-d.Seconds()/arrivalsAge.Seconds())
-		p.rate += part * (float64(p.arrivals)/d.Seconds() - p.rate)
+// updateArrivalRate adds the requests since the previous sums to the moving average.
+func (p *Planner) updateArrivalRate(now time.Time) {
+	if d := now.Sub(p.sumsTime); !p.sumsTime.IsZero() && d > 0 {
+		weight := 1 - math.Exp(-d.Seconds()/arrivalRateTimeConstant.Seconds())
+		p.arrivalRate += weight * (float64(p.arrivals)/d.Seconds() - p.arrivalRate)
 	}
-	p.arrivals, p.told = 0, now
+	p.arrivals, p.sumsTime = 0, now
 }
 
-// Uses returns the requests in progress and the failures of the last second.
-func (p *Planner) Uses() []usage.Use {
+// Stats returns, for each engine with requests in progress or recent events, what this
+// gateway reports to the controller.
+func (p *Planner) Stats() []usage.Use {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	var us []usage.Use
 	for _, e := range p.engines {
-		failed := now.Sub(e.failed) < failureNews
-		served := now.Sub(e.served) < servedNews
-		pace := 0.0
-		if now.Sub(e.asked) < paceNews {
-			pace = e.pace
+		failed := now.Sub(e.lastOwnFailure) < maxFailureReportAge
+		served := now.Sub(e.lastOwnProgress) < maxProgressAge
+		slowdown := 0.0
+		if now.Sub(e.ownSlowdownTime) < maxSlowdownReportAge {
+			slowdown = e.slowdown
 		}
-		full := now.Sub(e.refused) < fullNews
-		if e.active > 0 || failed || served || full || pace > 0 {
-			us = append(us, usage.Use{ID: e.entry.ID, Active: e.active, Failed: failed, Served: served, Full: full, Pace: pace})
+		full := now.Sub(e.lastOwnRefusal) < maxRefusalReportAge
+		if e.active > 0 || failed || served || full || slowdown > 0 {
+			us = append(us, usage.Use{ID: e.entry.ID, Active: e.active, Failed: failed, Served: served, Full: full, Pace: slowdown})
 		}
 	}
 	return us
 }
 
-// SetUses takes the sums over all gateways. Engines that failed for several
-// gateways are passed over here too.
-func (p *Planner) SetUses(us []usage.Use) {
+// SetFleetStats applies the sums over all gateways. Engines that failed for several
+// gateways are excluded here as well.
+func (p *Planner) SetFleetStats(us []usage.Use) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	p.learnRate(now)
+	p.updateArrivalRate(now)
 	for _, e := range p.engines {
-		e.shared, e.since = 0, 0
+		e.fleetActive, e.chosenSince = 0, 0
 	}
 	for _, u := range us {
 		e := p.byID[u.ID]
 		if e == nil {
 			continue
 		}
-		e.shared = u.Active
+		e.fleetActive = u.Active
 		if u.Served {
-			e.serving = now
+			e.lastProgress = now
 		}
 		if u.Full {
-			e.full = now
+			e.lastRefusal = now
 		}
 		if u.Pace > 0 {
-			e.pace, e.paced = u.Pace, now
+			e.slowdown, e.slowdownTime = u.Pace, now
 		}
-		if u.Failed && !now.Before(e.heldTo) {
-			p.hold(e, now)
+		if u.Failed && !now.Before(e.excludedUntil) {
+			p.exclude(e, now)
 		}
 	}
 }
 
-// search runs over the bounds in order and keeps the cheapest state for each data
-// centre.
+// search finds the cheapest path by dynamic programming. It visits the layer bounds in
+// order and keeps the cheapest partial path for each bound and data centre.
 func (p *Planner) search(es []*engine, costs []float64, first []fleet.UpstreamID) []Hop {
-	best := make([]map[fleet.DataCentreID]*state, len(p.bounds))
-	best[0] = map[fleet.DataCentreID]*state{p.home: {home: p.home}}
-	entry := make(map[fleet.DataCentreID]float64)
+	best := make([]map[fleet.DataCentreID]*partialPath, len(p.layerBounds))
+	best[0] = map[fleet.DataCentreID]*partialPath{p.dataCentre: {dataCentre: p.dataCentre}}
+	firstHopCost := make(map[fleet.DataCentreID]float64)
 	for _, e := range es {
-		if _, ok := entry[e.entry.DataCentre]; !ok {
-			entry[e.entry.DataCentre] = entryCrossing.Seconds() * (1 + crossingJitter*p.random())
+		if _, ok := firstHopCost[e.entry.DataCentre]; !ok {
+			firstHopCost[e.entry.DataCentre] = firstHopCrossingCost.Seconds() * (1 + firstHopCrossingJitter*p.random())
 		}
 	}
-	entry[p.home] = 0
-	for i := range p.bounds[:len(p.bounds)-1] {
+	firstHopCost[p.dataCentre] = 0
+	for i := range p.layerBounds[:len(p.layerBounds)-1] {
 		for _, s := range best[i] {
 			for k, e := range es {
-				if s.hops == 0 && len(first) > 0 && !slices.Contains(first, e.entry.ID) {
+				if s.length == 0 && len(first) > 0 && !slices.Contains(first, e.entry.ID) {
 					continue
 				}
-				p.extend(best, i, s, e, costs[k], entry)
+				p.extend(best, i, s, e, costs[k], firstHopCost)
 			}
 		}
 	}
-	var end *state
+	var end *partialPath
 	for _, s := range best[len(best)-1] {
 		if end == nil || s.cost < end.cost {
 			end = s
@@ -398,44 +416,44 @@
 	if end == nil {
 		return nil
 	}
-	hops := make([]Hop, end.hops)
-	for s := end; s.from != nil; s = s.from {
-		hops[s.hops-1] = s.hop
+	hops := make([]Hop, end.length)
+	for s := end; s.prev != nil; s = s.prev {
+		hops[s.length-1] = s.hop
 	}
 	return hops
 }
 
-// extend lets an engine run the layers from bound i to each later bound that it
-// holds.
-func (p *Planner) extend(best []map[fleet.DataCentreID]*state, i int, s *state, e *engine, cost float64, entry map[fleet.DataCentreID]float64) {
-	from := p.bounds[i]
-	if int(e.entry.Layers.From) > from || int(e.entry.Layers.To) <= from || s.hops >= maxHops || uses(s, e) {
+// extend adds an engine to a partial path that ends at bound i, once for each later bound
+// up to which the engine holds the layers.
+func (p *Planner) extend(best []map[fleet.DataCentreID]*partialPath, i int, s *partialPath, e *engine, cost float64, firstHopCost map[fleet.DataCentreID]float64) {
+	from := p.layerBounds[i]
+	if int(e.entry.Layers.From) > from || int(e.entry.Layers.To) <= from || s.length >= maxHops || visits(s, e) {
 		return
 	}
-	base := s.cost + p.transfer(s, e, entry)
+	start := s.cost + p.transferCost(s, e, firstHopCost)
 	d := e.entry.DataCentre
-	for j := i + 1; j < len(p.bounds) && p.bounds[j] <= int(e.entry.Layers.To); j++ {
-		c := base + cost*float64(p.bounds[j]-from)
+	for j := i + 1; j < len(p.layerBounds) && p.layerBounds[j] <= int(e.entry.Layers.To); j++ {
+		c := start + cost*float64(p.layerBounds[j]-from)
 		if old := best[j][d]; old != nil && old.cost <= c {
 			continue
 		}
 		if best[j] == nil {
-			best[j] = make(map[fleet.DataCentreID]*state)
+			best[j] = make(map[fleet.DataCentreID]*partialPath)
 		}
-		best[j][d] = &state{
-			cost: c, from: s, hops: s.hops + 1, home: d,
+		best[j][d] = &partialPath{
+			cost: c, prev: s, length: s.length + 1, dataCentre: d,
 			hop: Hop{
 				ID: e.entry.ID, Address: e.entry.Address,
-				Layers: upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(p.bounds[j])},
+				Layers: upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(p.layerBounds[j])},
 			},
 		}
 	}
 }
 
-// uses reports whether a path has an engine already. Engines accept no path in
-// which they appear twice.
-func uses(s *state, e *engine) bool {
-	for ; s.from != nil; s = s.from {
+// visits reports whether a partial path already contains an engine. Engines reject paths
+// in which they appear twice.
+func visits(s *partialPath, e *engine) bool {
+	for ; s.prev != nil; s = s.prev {
 		if s.hop.ID == e.entry.ID {
 			return true
 		}
@@ -443,19 +461,20 @@
 	return false
 }
 
-// transfer returns the cost in seconds of going on at an engine. entry holds the
-// cost of a first engine in each data centre.
-func (p *Planner) transfer(s *state, e *engine, entry map[fleet.DataCentreID]float64) float64 {
+// transferCost returns the cost in seconds of the transfer to the next engine of a path.
+// firstHopCost holds the cost of a first engine in each data centre.
+func (p *Planner) transferCost(s *partialPath, e *engine, firstHopCost map[fleet.DataCentreID]float64) float64 {
 	switch {
-	case s.hops == 0:
-		return entry[e.entry.DataCentre]
-	case s.home != e.entry.DataCentre:
-		return midCrossing.Seconds()
+	case s.length == 0:
+		return firstHopCost[e.entry.DataCentre]
+	case s.dataCentre != e.entry.DataCentre:
+		return midPathCrossingCost.Seconds()
 	}
 	return float64(p.model.UsualAnswer) * hopDelay.Seconds()
 }
 
-// Done ends a request on a path. ok tells that all engines did their part.
+// Done records the end of a request on a path. ok reports that all engines completed
+// their part.
 func (p *Planner) Done(hops []Hop, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -466,45 +485,45 @@
 		}
 		e.active = max(0, e.active-1)
 		if ok && e.failures > 0 {
-			e.failures, e.heldTo = 0, time.Time{}
+			e.failures, e.excludedUntil = 0, time.Time{}
 		}
 	}
 }
 
-// Served notes that a request made progress on a path.
+// NoteProgress records that a request made progress on a path.
 func (p *Planner) Served(hops []Hop) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	for _, h := range hops {
 		if e := p.byID[h.ID]; e != nil {
-			e.served = now
+			e.lastOwnProgress = now
 		}
 	}
 }
 
-// Fail passes over the engine at an address for a while.
+// MarkFailed excludes the engine at an address temporarily.
 func (p *Planner) Fail(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	for _, e := range p.engines {
-		if e.entry.Address != address || now.Before(e.heldTo) {
+		if e.entry.Address != address || now.Before(e.excludedUntil) {
 			continue
 		}
-		e.failed = now
-		p.hold(e, now)
+		e.lastOwnFailure = now
+		p.exclude(e, now)
 	}
 }
 
-func (p *Planner) hold(e *engine, now time.Time) {
-	d := time.Duration(float64(firstHold) * math.Pow(2, float64(e.failures)))
-	e.heldTo = now.Add(min(d, longestHold))
+// exclude keeps an engine from being chosen, for longer with each consecutive failure.
+func (p *Planner) exclude(e *engine, now time.Time) {
+	d := time.Duration(float64(minExclusion) * math.Pow(2, float64(e.failures)))
+	e.excludedUntil = now.Add(min(d, maxExclusion))
 	e.failures++
 }
 
-// Full passes over the engine at an address until some of its requests may have
-// ended.
+// MarkFull excludes the engine at an address until some of its requests may have ended.
 func (p *Planner) Full(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -513,9 +532,9 @@
 		if e.entry.Address != address {
 			continue
 		}
-		e.refused = now
-		if !now.Before(e.heldTo) {
-			e.heldTo = now.Add(fullHold)
+		e.lastOwnRefusal = now
+		if !now.Before(e.excludedUntil) {
+			e.excludedUntil = now.Add(refusalExclusion)
 		}
 	}
 }
--- a/internal/gateway/path/path_test.go
+++ b/internal/gateway/path/path_test.go
@@ -17,7 +17,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// model is a small one: 8 layers of 1000 MB, 1 MB of memory for a token.
+// model has 8 layers of 1000 MB and needs 1 MB of memory per token.
 var model = &release.Engine{
 	Layers: 8, LayerMB: 1000, TokenBytes: 1e6, StepMS: 1, ReadPerSecond: 100000, ActivationBytes: 20000,
 	PipeMbps: 8000, UsualPrompt: 600, UsualAnswer: 200,
@@ -27,10 +27,11 @@
 	},
 }
 
-// TestScripts guards against paths with missing, repeated or reordered layers,
-// against needless crossings of data centres, against engines that all gateways
-// choose at once, and against work for engines that failed. A script lists
-// engines as "id dataCentre card from to".
+// TestScripts guards against paths with missing, repeated or reordered layers, against
+// needless transfers between data centres, against engines that all gateways choose at
+// once, and against requests to engines that failed. A script lists engines as "id
+// dataCentre card fromLayer toLayer" and stats as "id activeRequests state", where state
+// is ok, failed or full.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, file string) {
 		clock := fakeclock.New(fakeclock.Start)
@@ -40,30 +41,30 @@
 			case "engines":
 				gateways := 4
 				d.MaybeScanArgs(t, "gateways", &gateways)
-				p.Refresh(model, entries(t, d, clock.Now()), gateways)
+				p.Refresh(model, parseEntries(t, d, clock.Now()), gateways)
 				return ""
 			case "choose":
 				return choose(p, d)
-			case "uses":
-				p.SetUses(uses(t, d))
+			case "stats":
+				p.SetFleetStats(parseStats(t, d))
 				return ""
 			case "fail":
 				p.Fail(address(t, d))
 				return ""
-			case "served":
+			case "progress":
 				p.Served([]path.Hop{{ID: fleet.UpstreamID(address(t, d))}})
 				return ""
 			case "full":
 				p.Full(address(t, d))
 				return ""
-			case "pace":
+			case "slowdown":
 				var x float64
 				if _, err := fmt.Sscan(d.CmdArgs[1].Vals[0], &x); err != nil {
 					d.Fatalf(t, "%v", err)
 				}
 				p.SetPace(fleet.UpstreamID(address(t, d)), x)
 				return ""
-			case "pass":
+			case "advance":
 				n, err := time.ParseDuration(d.CmdArgs[0].Key)
 				if err != nil {
 					d.Fatalf(t, "%v", err)
@@ -83,7 +84,7 @@
 	return s
 }
 
-func limits(d *datadriven.TestData) path.Limits {
+func constraints(d *datadriven.TestData) path.Limits {
 	var l path.Limits
 	for _, a := range d.CmdArgs {
 		switch a.Key {
@@ -97,7 +98,7 @@
 }
 
 func choose(p *path.Planner, d *datadriven.TestData) string {
-	hops, err := p.Choose(limits(d))
+	hops, err := p.Choose(constraints(d))
 	if err != nil {
 		return err.Error() + "\n"
 	}
@@ -119,7 +120,7 @@
 	return strings.TrimSpace(b.String()) + "\n"
 }
 
-func entries(t *testing.T, d *datadriven.TestData, now time.Time) []registry.Entry {
+func parseEntries(t *testing.T, d *datadriven.TestData, now time.Time) []registry.Entry {
 	var es []registry.Entry
 	slots := 0
 	d.MaybeScanArgs(t, "slots", &slots)
@@ -138,7 +139,7 @@
 	return es
 }
 
-func uses(t *testing.T, d *datadriven.TestData) []usage.Use {
+func parseStats(t *testing.T, d *datadriven.TestData) []usage.Use {
 	var us []usage.Use
 	for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 		var u usage.Use
