--- a/internal/gateway/state/state.go
+++ b/internal/gateway/state/state.go
@@ -1,8 +1,8 @@
-// Package state holds what a gateway knows: the release in force, the roster and
-// the choosers that follow from both.
+// Package state holds the state of a gateway: the current release, the list of
+// upstreams, and the path planners and load balancers that are derived from both.
 //
-// A State receives the updates of a feed.Client from one goroutine. Handlers
-// read it from many.
+// A State receives the updates of a feed.Client from one goroutine. Request handlers
+// read it concurrently.
 package state
 
 import (
@@ -29,73 +29,73 @@
 )
 
 const (
-	// refreshEvery is the longest time between two refreshes of the choosers, by
-	// which upstreams that fell silent drop out.
-	refreshEvery = 500 * time.Millisecond
-	// servingFactor times Limits.Alive is how long an engine without heartbeats may
-	// be used while it serves requests.
+	// refreshInterval is the longest time between two refreshes of the planners and load
+	// balancers. A refresh removes upstreams whose heartbeats have stopped.
+	refreshInterval = 500 * time.Millisecond
+	// servingFactor times Limits.HeartbeatTimeout is how long an engine without
+	// heartbeats may be used while its requests make progress.
 	servingFactor = 4
-	// keptPart is the part of the connections that an upstream takes which unused ones
-	// may hold. The rest is for those in use.
-	keptPart = 2
-	// remoteLink is the one-way delay that an upstream of another data centre
-	// counts with. It is more than the real one, because a link between data
-	// centres may be cut and its traffic is paid for.
-	remoteLink = 10 * time.Millisecond
+	// idleConnDivisor divides the number of connections that an upstream accepts to give
+	// the number of idle ones. The rest is left for connections in use.
+	idleConnDivisor = 2
+	// remoteLinkDelay is the one-way delay that is assumed for upstreams in another data
+	// centre. It is more than the real delay, because a link between data centres may
+	// fail and its traffic is paid for.
+	remoteLinkDelay = 10 * time.Millisecond
 )
 
-// Clock is a fleet.Clock that also measures time over a suspension.
+// Clock is a fleet.Clock that can also measure time across a suspension.
 type Clock interface {
 	fleet.Clock
-	// Boot returns the time since the machine started.
+	// Boot returns the time since the machine started, including suspensions.
 	Boot() time.Duration
 }
 
-// Limits bound how old the knowledge of a gateway may be.
+// Limits bound the age of the state that a gateway may use, and its retries.
 type Limits struct {
-	// Alive is the age of the last heartbeat up to which an upstream is used.
+	// HeartbeatTimeout is the age of the last heartbeat up to which an upstream is used.
 	Alive time.Duration
-	// Lease is the time after a confirmation for which account keys are accepted.
+	// KeyLease is how long after a confirmation account keys are accepted.
 	Lease time.Duration
-	// Fresh is the age of the confirmation up to which a gateway is ready.
+	// ReadinessTimeout is the age of the confirmation up to which a gateway is ready.
 	Fresh time.Duration
-	// Retries bounds the sends beyond the first of each request, of all gateways to one
-	// pool.
+	// Retries bounds the retries of all gateways to one pool. Every attempt beyond the
+	// first one of a request is a retry.
 	Retries budget.Limit
 }
 
 // Pool is what a gateway needs to use the upstreams of one service.
 type Pool struct {
-	// Paths chooses for pools of engines. It is nil for plain services.
+	// Planner selects paths through pools of engines. It is nil for plain services.
 	Paths *path.Planner
-	// Upstreams chooses for plain services.
+	// Upstreams selects upstreams of plain services.
 	Upstreams *pool.Pool
 	Budget    *budget.Fleet
 }
 
 // State implements feed.Receiver. It is safe for concurrent use.
 type State struct {
-	clock   Clock
-	home    fleet.DataCentreID
-	decoder release.Decoder
-	limits  Limits
-	client  *exchange.Client
-	logger  *zap.Logger
-	catalog *catalog.Catalog
+	clock      Clock
+	dataCentre fleet.DataCentreID
+	decoder    release.Decoder
+	limits     Limits
+	client     *exchange.Client
+	logger     *zap.Logger
+	catalog    *catalog.Catalog
 
-	table     atomic.Pointer[table.Table]
-	confirmed atomic.Int64 // the reading of Boot
-	refreshed time.Time
-	gateways  int // by the newest sums
+	table       atomic.Pointer[table.Table]
+	confirmedAt atomic.Int64 // Clock.Boot in nanoseconds, or 0
+	lastRefresh time.Time
+	gateways    int // number of gateways in the newest sums
 
 	mu    sync.RWMutex
 	pools map[fleet.PoolID]*Pool
 }
 
 // New returns a State without a release.
-func New(clock Clock, home fleet.DataCentreID, d release.Decoder, l Limits, c *exchange.Client, log *zap.Logger) *State {
+func New(clock Clock, dataCentre fleet.DataCentreID, d release.Decoder, l Limits, c *exchange.Client, log *zap.Logger) *State {
 	return &State{
-		clock: clock, home: home, decoder: d, limits: l, client: c, logger: log.Named("state"),
+		clock: clock, dataCentre: dataCentre, decoder: d, limits: l, client: c, logger: log.Named("state"),
 		catalog: catalog.New(clock), pools: make(map[fleet.PoolID]*Pool),
 	}
 }
@@ -111,7 +111,7 @@
 	for id, p := range s.pools {
 		r.Sends[id] = p.Budget.Count()
 		if p.Paths != nil {
-			r.Uses = append(r.Uses, p.Paths.Uses()...)
+			r.Uses = append(r.Uses, p.Paths.Stats()...)
 		}
 	}
 	return r
@@ -125,12 +125,12 @@
 	return 0
 }
 
-// Table returns the release in force, or nil.
+// Table returns the lookup table of the current release, or nil.
 func (s *State) Table() *table.Table { return s.table.Load() }
 
 // Receive implements feed.Receiver.
 func (s *State) Receive(u feed.Update) error {
-	taken := s.take(u)
+	applied := s.applyRelease(u)
 	changed := false
 	if u.Sums != nil {
 		s.gateways = u.Sums.Gateways
@@ -138,90 +138,94 @@
 	for _, e := range u.Entries {
 		changed = s.catalog.Put(e, false) || changed
 	}
-	fit := u.Renew(s.catalog)
-	if u.ConfirmedVersion <= s.Version() && int64(u.Confirmed) > s.confirmed.Load() {
-		s.confirmed.Store(int64(u.Confirmed))
+	renewErr := u.Renew(s.catalog)
+	if u.ConfirmedVersion <= s.Version() && int64(u.Confirmed) > s.confirmedAt.Load() {
+		s.confirmedAt.Store(int64(u.Confirmed))
 	}
 	now := s.clock.Now()
-	if taken || changed || now.Sub(s.refreshed) >= refreshEvery {
-		s.refreshed = now
+	if applied || changed || now.Sub(s.lastRefresh) >= refreshInterval {
+		s.lastRefresh = now
 		s.refresh(max(1, s.gateways))
 	}
 	if u.Sums != nil {
-		s.shareSums(*u.Sums)
+		s.applySums(*u.Sums)
 	}
-	return fit
+	return renewErr
 }
 
-// shareSums tells the choosers and the retry budgets what all gateways use and send.
-func (s *State) shareSums(r usage.Report) {
+// applySums passes the sums over all gateways to the planners and the retry budgets.
+func (s *State) applySums(r usage.Report) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for id, p := range s.pools {
 		p.Budget.SetSum(r.Sends[id], r.Gateways)
 		if p.Paths != nil {
-			p.Paths.SetUses(r.Uses)
+			p.Paths.SetFleetStats(r.Uses)
 		}
 	}
 }
 
-// take puts a newer release in force. One that cannot be read is left out, with
-// all that it changes.
-func (s *State) take(u feed.Update) bool {
+// applyRelease makes a newer release the current one, and reports whether it did. A
+// release that cannot be decoded is ignored as a whole.
+func (s *State) applyRelease(u feed.Update) bool {
 	if u.Held.Version <= s.Version() {
 		return false
 	}
 	r, err := u.Held.Read(s.decoder)
 	if err != nil {
-		s.logger.Error("A release could not be read.", zap.Uint64("version", uint64(u.Held.Version)), zap.Error(err))
+		s.logger.Error("Failed to decode release.", zap.Uint64("version", uint64(u.Held.Version)), zap.Error(err))
 		return false
 	}
 	s.table.Store(table.New(r))
-	s.logger.Info("A release is in force.", zap.Uint64("version", uint64(r.Version)),
+	s.logger.Info("Release applied.", zap.Uint64("version", uint64(r.Version)),
 		zap.Int("routes", len(r.Routes)), zap.Int("accounts", len(r.Accounts)), zap.String("from", u.From))
 	return true
 }
 
+// refresh rebuilds the pools from the current release and the list of upstreams, and sets
+// the limits of idle connections.
 func (s *State) refresh(gateways int) {
 	t := s.table.Load()
 	if t == nil {
 		return
 	}
-	live := make(map[fleet.PoolID][]registry.Entry)
-	targets := make(map[exchange.Target]int)
-	kept := keptShares(t.Release, gateways)
+	entries := make(map[fleet.PoolID][]registry.Entry)
+	maxIdle := make(map[exchange.Target]int)
+	maxIdlePerPool := maxIdleConns(t.Release, gateways)
 	now := s.clock.Now()
 	for _, e := range s.catalog.All(servingFactor * s.limits.Alive) {
-		// The planner of paths leaves out silent engines that don't serve.
+		// The path planner itself skips engines that neither send heartbeats nor make
+		// progress.
 		if e.State != registry.Ready || e.Card == "" && now.Sub(e.Heard) > s.limits.Alive {
 			continue
 		}
-		live[e.Pool] = append(live[e.Pool], e)
-		targets[exchange.Target{ID: e.ID, Address: e.Address}] = kept[e.Pool]
+		entries[e.Pool] = append(entries[e.Pool], e)
+		maxIdle[exchange.Target{ID: e.ID, Address: e.Address}] = maxIdlePerPool[e.Pool]
 	}
 	s.mu.Lock()
 	for i := range t.Release.Services {
 		v := &t.Release.Services[i]
-		s.refreshPool(v, live[v.Pool], gateways)
+		s.refreshPool(v, entries[v.Pool], gateways)
 	}
 	s.mu.Unlock()
-	s.client.Limit(func(g exchange.Target) int { return targets[g] })
+	s.client.SetMaxIdle(func(g exchange.Target) int { return maxIdle[g] })
 }
 
-// keptShares returns the unused connections that this gateway may keep to each upstream
-// of a service, so that all gateways together stay within the service's limit.
-func keptShares(r *release.Release, gateways int) map[fleet.PoolID]int {
-	kept := make(map[fleet.PoolID]int, len(r.Services))
+// maxIdleConns returns the number of idle connections that this gateway may keep to each
+// upstream of a service, so that all gateways together stay within the service's limit.
+func maxIdleConns(r *release.Release, gateways int) map[fleet.PoolID]int {
+	maxIdle := make(map[fleet.PoolID]int, len(r.Services))
 	for _, v := range r.Services {
-		kept[v.Pool] = math.MaxInt
+		maxIdle[v.Pool] = math.MaxInt
 		if v.MaxConnections > 0 {
-			kept[v.Pool] = max(1, v.MaxConnections/keptPart/gateways)
+			maxIdle[v.Pool] = max(1, v.MaxConnections/idleConnDivisor/gateways)
 		}
 	}
-	return kept
+	return maxIdle
 }
 
-// refreshPool replaces the pool of a service, since requests may use the old one.
+// refreshPool replaces the Pool of a service by an updated copy, because requests may
+// still use the old one.
 func (s *State) refreshPool(v *release.Service, es []registry.Entry, gateways int) {
 	p := &Pool{}
 	if old := s.pools[v.Pool]; old != nil {
@@ -232,7 +236,7 @@
 	s.pools[v.Pool] = p
 	if v.Engine != nil && v.Engine.Layers > 0 {
 		if p.Paths == nil {
-			p.Paths = path.New(s.clock, s.home, s.limits.Alive, rand.Float64)
+			p.Paths = path.New(s.clock, s.dataCentre, s.limits.Alive, rand.Float64)
 		}
 		p.Paths.Refresh(v.Engine, es, gateways)
 		return
@@ -252,13 +256,13 @@
 	}
 	p.Upstreams.Refresh(us, gateways-1)
 	for _, e := range es {
-		if e.DataCentre != s.home {
-			p.Upstreams.SetLink(e.ID, remoteLink)
+		if e.DataCentre != s.dataCentre {
+			p.Upstreams.SetLink(e.ID, remoteLinkDelay)
 		}
 	}
 }
 
-// Pool returns the choosers of a service.
+// Pool returns the Pool of a service.
 func (s *State) Pool(id fleet.PoolID) (*Pool, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -266,15 +270,15 @@
 	return p, ok
 }
 
-// Age returns the time since a majority confirmed the release in force.
+// ConfirmationAge returns the time since a majority confirmed the current release.
 func (s *State) Age() time.Duration {
-	return s.clock.Boot() - time.Duration(s.confirmed.Load())
+	return s.clock.Boot() - time.Duration(s.confirmedAt.Load())
 }
 
-// Leased reports whether account keys may be accepted.
-func (s *State) Leased() bool { return s.confirmed.Load() > 0 && s.Age() < s.limits.Lease }
+// KeyLeaseValid reports whether account keys may be accepted.
+func (s *State) Leased() bool { return s.confirmedAt.Load() > 0 && s.Age() < s.limits.Lease }
 
-// Ready reports whether the gateway should get new connections.
+// Ready reports whether the gateway should receive new connections.
 func (s *State) Ready() bool {
-	return s.table.Load() != nil && s.confirmed.Load() > 0 && s.Age() < s.limits.Fresh
+	return s.table.Load() != nil && s.confirmedAt.Load() > 0 && s.Age() < s.limits.Fresh
 }
--- a/internal/gateway/state/state_test.go
+++ b/internal/gateway/state/state_test.go
@@ -18,7 +18,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/release/store"
 )
 
-// bootClock is a fake clock with the time since the start of the machine.
+// bootClock adds the time since the machine started to a fake clock.
 type bootClock struct{ *fakeclock.Clock }
 
 func (c bootClock) Boot() time.Duration { return c.Now().Sub(fakeclock.Start) + time.Hour }
@@ -29,9 +29,9 @@
 	return &release.Release{Version: 1, Services: []release.Service{{Pool: "desk"}}}, nil
 }
 
-// Guards against a gateway that retries though all gateways together have spent the
-// limit, and against retries that the others do not hear of.
-func TestRetriesFollowTheFleet(t *testing.T) {
+// Guards against a gateway that retries although all gateways together have used up the
+// retry budget, and against retries that are not reported to the other gateways.
+func TestRetryBudgetIsShared(t *testing.T) {
 	is := is.New(t)
 	c := bootClock{fakeclock.New(fakeclock.Start)}
 	s := state.New(c, "dc1", decoder{}, state.Limits{
