--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller runs one member of the control plane: it accepts releases
-// into the replicated log, keeps the roster from heartbeats, streams both to the
-// gateways, and places layers while it leads.
+// Package controller runs one member of the control plane: it appends releases to
+// the replicated log, maintains the registry of upstreams from their heartbeats,
+// streams both to the gateways, and places layers on engines while it is the leader.
 //
 //	c, err := controller.New(settings, decoder, commander, clock, logger)
 //	err = c.Submit(ctx, content)
@@ -37,35 +37,36 @@
 )
 
 const (
-	// confirmEvery is the pause between two confirmations by a majority.
-	confirmEvery = 200 * time.Millisecond
-	// confirmOften is the pause in the time confirmSoon after the start. All gateways
-	// wait for a confirmation then if the power was lost.
-	confirmOften = 50 * time.Millisecond
-	confirmSoon  = 5 * time.Second
-	// confirmLate is the time after which a confirmation waited for a leader and is
-	// followed by the next one at once.
-	confirmLate = 100 * time.Millisecond
+	// confirmInterval is the pause between two confirmations by a majority.
+	confirmInterval = 200 * time.Millisecond
+	// startupConfirmInterval is the pause during startupPeriod after the start. After a
+	// loss of power all gateways wait for a confirmation at that time.
+	startupConfirmInterval = 50 * time.Millisecond
+	startupPeriod          = 5 * time.Second
+	// slowConfirmation is the duration above which a confirmation is assumed to have
+	// waited for a leader. The next one then follows without a pause.
+	slowConfirmation = 100 * time.Millisecond
 	// confirmTimeout bounds one confirmation. It is longer than an election.
 	confirmTimeout = 1500 * time.Millisecond
-	// membersEvery is the time between two looks at the members of the group.
-	membersEvery = 300 * time.Millisecond
+	// membersInterval is the pause between two updates of the group members.
+	membersInterval = 300 * time.Millisecond
 )
 
-// Settings are what a controller is told at its start.
+// Settings configure a Controller.
 type Settings struct {
 	Instance   fleet.InstanceID
 	DataCentre fleet.DataCentreID
-	// Address is the host and port for other daemons.
+	// Address is the host and port on which other daemons connect.
 	Address string
-	Folder  string
-	// Found tells that the fleet starts for the first time. The instances at
-	// Seeds are then the first voters.
+	// Folder is the data folder of the replicated log.
+	Folder string
+	// Bootstrap indicates that the fleet starts for the first time. The instances at
+	// Seeds are then the initial voters.
 	Found bool
 	Seeds []string
-	// Alive is the age of the last heartbeat up to which an upstream is used.
+	// HeartbeatTimeout is the age of the last heartbeat up to which an upstream is used.
 	Alive time.Duration
-	// Dial are options for connections to other daemons.
+	// DialOptions are the options for connections to other daemons.
 	Dial []grpc.DialOption
 }
 
@@ -86,20 +87,20 @@
 
 	tenure *tenure.Tenure
 
-	mu       sync.Mutex
-	members  []string
-	places   map[string]fleet.DataCentreID // data centres of the other controllers
-	peers    map[string]*feed.Client
-	inForce  *release.Release
-	stopping bool
+	mu          sync.Mutex
+	members     []string
+	dataCentres map[string]fleet.DataCentreID // data centres of the other controllers
+	peers       map[string]*feed.Client
+	current     *release.Release
+	stopping    bool
 }
 
-// New opens the data folder, listens for other daemons and starts.
+// New opens the data folder, listens for other daemons and starts the controller.
 func New(s Settings, d release.Decoder, m placement.Commander, clock fleet.Clock, l *zap.Logger) (*Controller, error) {
 	c := &Controller{
 		settings: s, decoder: d, clock: clock, logger: l.Named("controller"),
 		store: store.New(), catalog: catalog.New(clock), peers: make(map[string]*feed.Client),
-		places: make(map[string]fleet.DataCentreID),
+		dataCentres: make(map[string]fleet.DataCentreID),
 	}
 	v, err := voter.New(c.voterOptions(l)...)
 	if err != nil {
@@ -119,33 +120,34 @@
 	c.cancel = cancel
 	c.wait.Go(func() {
 		if err := c.server.Serve(listener); err != nil {
-			c.logger.Error("The listener for other daemons ended.", zap.Error(err))
+			c.logger.Error("Server for other daemons failed.", zap.Error(err))
 		}
 	})
 	c.wait.Go(func() {
-		first := c.clock.Now()
+		started := c.clock.Now()
 		for ctx.Err() == nil {
 			start := c.clock.Now()
 			c.confirm(ctx)
 			switch now := c.clock.Now(); {
-			case now.Sub(start) > confirmLate:
-				// What followers said in the meantime is not confirmed yet.
-			case now.Sub(first) < confirmSoon:
-				c.sleep(ctx, confirmOften)
+			case now.Sub(start) > slowConfirmation:
+				// Stamps of followers that arrived in the meantime are not confirmed yet,
+				// so confirm again without a pause.
+			case now.Sub(started) < startupPeriod:
+				c.sleep(ctx, startupConfirmInterval)
 			default:
-				c.sleep(ctx, confirmEvery)
+				c.sleep(ctx, confirmInterval)
 			}
 		}
 	})
 	c.wait.Go(func() {
 		for ctx.Err() == nil {
-			c.lookAtMembers(ctx)
-			c.sleep(ctx, membersEvery)
+			c.updateMembers(ctx)
+			c.sleep(ctx, membersInterval)
 		}
 	})
 	c.wait.Go(func() {
 		for ctx.Err() == nil {
-			c.follow(ctx)
+			c.followReleases(ctx)
 		}
 	})
 	c.placer = placer.New(clock, c.catalog, c.tenure, c, m, c.feed, s.Alive, l)
@@ -160,14 +162,14 @@
 		voter.Contacts(contacts(s.Seeds)...), voter.Open(),
 	}
 	if s.Found {
-		os = append(os, voter.Initial(founders(s.Seeds)...))
+		os = append(os, voter.Initial(initialVoters(s.Seeds)...))
 	}
 	return os
 }
 
-// founders returns the first voters. All instances derive the same ones from the
-// same seeds.
-func founders(seeds []string) []voter.Peer {
+// initialVoters returns the voters of a new group. All instances derive the same voters
+// from the same seeds.
+func initialVoters(seeds []string) []voter.Peer {
 	sorted := slices.Sorted(slices.Values(seeds))
 	var ps []voter.Peer
 	for i, a := range sorted {
@@ -184,8 +186,8 @@
 	return ps
 }
 
-// InstanceAt returns the instance that listens at an address. An instance keeps
-// its host over restarts.
+// InstanceAt returns the ID of the instance that listens at an address, which is the
+// host. An instance keeps its host across restarts.
 func InstanceAt(address string) fleet.InstanceID {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -201,13 +203,14 @@
 	}
 }
 
-// Submit offers a release. A nil error means that a majority has stored it or a
-// higher version. An error of kind refusal.BadRequest means that it is invalid,
-// and any other that it may or may not be accepted later.
+// Submit proposes a release. A nil error means that a majority has stored it or a
+// higher version. An error of kind refusal.BadRequest means that the release is
+// invalid. After any other error it is unknown whether the release was or will be
+// accepted.
 func (c *Controller) Submit(ctx context.Context, content []byte) error {
 	r, err := c.decoder.Decode(content)
 	if err != nil {
-		c.logger.Info("A release is invalid.", zap.Error(err))
+		c.logger.Info("Rejected invalid release.", zap.Error(err))
 		return err
 	}
 	command, err := store.Command(r.Version, content)
@@ -216,25 +219,25 @@
 	}
 	reply, err := c.voter.Propose(ctx, quorum.ConfigGroup, command)
 	if err != nil {
-		c.logger.Warn("A release has no clear outcome.", zap.Uint64("version", uint64(r.Version)), zap.Error(err))
+		c.logger.Warn("Outcome of release proposal is unknown.", zap.Uint64("version", uint64(r.Version)), zap.Error(err))
 		return err
 	}
 	held, err := store.VersionOf(reply)
-	c.logger.Info("A release was accepted.", zap.Uint64("version", uint64(r.Version)),
+	c.logger.Info("Release accepted.", zap.Uint64("version", uint64(r.Version)),
 		zap.Uint64("held", uint64(held)), zap.Int("bytes", len(content)))
 	return err
 }
 
-// Read returns the newest accepted release as the operator sent it. It is empty
-// while there is none.
+// Read returns the newest accepted release as the operator sent it, or nil if there is
+// none.
 func (c *Controller) Read(ctx context.Context) ([]byte, error) {
-	newest, err := c.newest(ctx)
+	newestVersion, err := c.newestVersion(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for {
 		held, newer := c.store.Current()
-		if held.Version >= newest {
+		if held.Version >= newestVersion {
 			if held.Version == 0 {
 				return nil, nil
 			}
@@ -243,60 +246,61 @@
 		select {
 		case <-newer:
 		case <-ctx.Done():
-			return nil, refusal.Because(refusal.NotReady, ctx.Err(), "release %d has not arrived here", newest)
+			return nil, refusal.Because(refusal.NotReady, ctx.Err(), "release %d has not arrived here", newestVersion)
 		}
 	}
 }
 
-// Heartbeat takes what an upstream says of itself. An error of kind
-// refusal.NotReady asks the upstream to tell another controller.
+// Heartbeat processes a heartbeat of an upstream. An error of kind refusal.NotReady asks
+// the upstream to send it to another controller.
 func (c *Controller) Heartbeat(e registry.Entry) error {
 	e.Heard = c.clock.Now()
 	if c.catalog.Put(e, true) {
-		c.logger.Info("An upstream changed.", zap.String("upstream", string(e.ID)), zap.Stringer("state", e.State),
+		c.logger.Info("Upstream changed.", zap.String("upstream", string(e.ID)), zap.Stringer("state", e.State),
 			zap.String("pool", string(e.Pool)), zap.String("address", e.Address), zap.Uint64("sequence", e.Sequence),
 			zap.Uint64("born", uint64(e.Born)), zap.Int("from", int(e.Layers.From)), zap.Int("to", int(e.Layers.To)))
 	}
 	if e.State == registry.Ready {
 		return nil
 	}
-	return c.inTouch()
+	return c.checkMajority()
 }
 
-// Leave takes the last word of an upstream. born is 0 if it is not named.
+// Leave removes an upstream that announces its shutdown. born is its incarnation, or 0
+// if unknown.
 func (c *Controller) Leave(id fleet.UpstreamID, born fleet.Incarnation) error {
 	known := c.catalog.Remove(id, born)
-	c.logger.Info("An upstream left.", zap.String("upstream", string(id)), zap.Bool("known", known))
-	return c.inTouch()
+	c.logger.Info("Upstream left.", zap.String("upstream", string(id)), zap.Bool("known", known))
+	return c.checkMajority()
 }
 
-// inTouch returns an error of kind refusal.NotReady if this controller is cut off
-// from the majority. Most gateways would then not learn that an upstream leaves.
-func (c *Controller) inTouch() error {
-	if age := c.tenure.Age(); age > tenure.Limit {
+// checkMajority returns an error of kind refusal.NotReady if this controller has lost
+// contact with the majority. Most gateways would then not learn that an upstream leaves.
+func (c *Controller) checkMajority() error {
+	if age := c.tenure.Age(); age > tenure.MaxConfirmationAge {
 		return refusal.New(refusal.NotReady, "the majority last answered %s ago", age.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// confirm asks a majority for the newest version and the leadership.
+// confirm has a majority confirm the newest version and the leadership.
 func (c *Controller) confirm(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	if err := c.tenure.Confirm(ctx); err != nil {
-		c.logger.Debug("The newest release is not confirmed.", zap.Error(err))
+		c.logger.Debug("Confirmation of newest release failed.", zap.Error(err))
 	}
 }
 
-// newest asks the leader for the version that a majority confirms as the newest.
-func (c *Controller) newest(ctx context.Context) (release.Version, error) {
+// newestVersion asks the leader for the version that a majority confirms as the newest.
+func (c *Controller) newestVersion(ctx context.Context) (release.Version, error) {
 	reply, err := c.voter.Read(ctx, quorum.ConfigGroup, nil)
 	if err != nil {
 		return 0, err
 	}
 	v, err := store.VersionOf(reply)
 	if err != nil {
-		c.logger.Error("The newest release is not known.", zap.Error(err))
+		c.logger.Error("Failed to decode newest release version.", zap.Error(err))
 	}
 	return v, err
 }
@@ -311,19 +315,20 @@
 	ks := []feed.Controller{{Address: c.settings.Address, DataCentre: c.settings.DataCentre}}
 	for _, a := range c.members {
 		if a != c.settings.Address {
-			ks = append(ks, feed.Controller{Address: a, DataCentre: c.places[a]})
+			ks = append(ks, feed.Controller{Address: a, DataCentre: c.dataCentres[a]})
 		}
 	}
 	return ks
 }
 
-// notePlace records where another controller is, as it says itself.
-func (c *Controller) notePlace(u feed.Update) {
+// recordDataCentre records the data centre of another controller, as reported by that
+// controller itself.
+func (c *Controller) recordDataCentre(u feed.Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range u.Controllers {
 		if k.Address == u.From {
-			c.places[k.Address] = k.DataCentre
+			c.dataCentres[k.Address] = k.DataCentre
 		}
 	}
 }
@@ -332,14 +337,14 @@
 func (c *Controller) InForce() *release.Release {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.inForce
+	return c.current
 }
 
-// follow reads each release as the log brings it.
-func (c *Controller) follow(ctx context.Context) {
+// followReleases applies the release that the log holds and waits for a newer one.
+func (c *Controller) followReleases(ctx context.Context) {
 	held, newer := c.store.Current()
 	if held.Version > 0 {
-		c.takeRelease(held)
+		c.applyRelease(held)
 	}
 	select {
 	case <-ctx.Done():
@@ -347,19 +352,20 @@
 	}
 }
 
-func (c *Controller) takeRelease(h store.Held) {
+func (c *Controller) applyRelease(h store.Held) {
 	r, err := h.Read(c.decoder)
 	if err != nil {
-		c.logger.Error("A release could not be read.", zap.Uint64("version", uint64(h.Version)), zap.Error(err))
+		c.logger.Error("Failed to decode release.", zap.Uint64("version", uint64(h.Version)), zap.Error(err))
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inForce = r
+	c.current = r
 }
 
-// lookAtMembers follows the controllers that are members of the group.
-func (c *Controller) lookAtMembers(ctx context.Context) {
+// updateMembers updates the members of the group. It starts feed clients for new members
+// and stops those of former ones.
+func (c *Controller) updateMembers(ctx context.Context) {
 	var members []string
 	for _, g := range c.voter.Status(ctx) {
 		for _, m := range g.Members {
@@ -377,7 +383,7 @@
 	}
 	for _, a := range members {
 		if a != c.settings.Address && c.peers[a] == nil {
-			c.peers[a] = feed.NewClient(c.settings.Instance, c.clock, &peer{c}, c.logger,
+			c.peers[a] = feed.NewClient(c.settings.Instance, c.clock, &peerReceiver{c}, c.logger,
 				feed.Only(a), feed.Dial(c.settings.Dial...))
 		}
 	}
@@ -390,36 +396,37 @@
 	}
 }
 
-// peer receives the roster of another controller.
-type peer struct{ controller *Controller }
+// peerReceiver merges the registry entries of another controller into the local catalog.
+type peerReceiver struct{ controller *Controller }
 
-// Stamp implements feed.Receiver. Controllers confirm releases themselves.
-func (p *peer) Stamp() time.Duration { return 0 }
+// Stamp implements feed.Receiver. It returns 0 because controllers confirm releases
+// themselves.
+func (p *peerReceiver) Stamp() time.Duration { return 0 }
 
 // Version implements feed.Receiver.
-func (p *peer) Version() release.Version { return 0 }
+func (p *peerReceiver) Version() release.Version { return 0 }
 
 // Report implements feed.Receiver.
-func (p *peer) Report() usage.Report { return usage.Report{} }
+func (p *peerReceiver) Report() usage.Report { return usage.Report{} }
 
 // Receive implements feed.Receiver.
-func (p *peer) Receive(u feed.Update) error {
+func (p *peerReceiver) Receive(u feed.Update) error {
 	for _, e := range u.Entries {
 		p.controller.catalog.Put(e, false)
 	}
 	p.controller.feed.NotePeer(u)
-	p.controller.notePlace(u)
+	p.controller.recordDataCentre(u)
 	return u.Renew(p.controller.catalog)
 }
 
 // Collector returns the metrics of the replicated log.
 func (c *Controller) Collector() prometheus.Collector { return c.voter.Collector() }
 
-// Failed returns a channel that receives the error after which the controller
-// can't continue.
+// Failed returns a channel that receives the error that keeps the controller from
+// continuing.
 func (c *Controller) Failed() <-chan error { return c.voter.Failed() }
 
-// Stop hands over the leadership and closes all connections.
+// Stop hands over the leadership, closes all connections and waits for all goroutines.
 func (c *Controller) Stop(ctx context.Context) error {
 	c.mu.Lock()
 	c.stopping = true
--- a/internal/controller/tenure/tenure.go
+++ b/internal/controller/tenure/tenure.go
@@ -1,14 +1,14 @@
-// Package tenure keeps what a majority of the controllers last confirmed: the newest
-// release, and whether this instance leads.
+// Package tenure records what a majority of the controllers last confirmed: the newest
+// release, and whether this instance is the leader.
 //
 //	t := tenure.New(voter, clock)
-//	err := t.Confirm(ctx) // again and again
+//	err := t.Confirm(ctx) // periodically
 //	fence, leads := t.Leading()
 //
-// A leadership holds for Limit from the start of the confirmation in which a majority
-// answered this instance as its leader. A confirmation that another leader answered
-// does not extend it, so that an instance that was paused stops acting as the leader
-// at once.
+// The leadership is valid for MaxConfirmationAge from the start of the last confirmation
+// in which a majority confirmed this instance as the leader. A confirmation by another
+// leader doesn't extend it, so an instance that was paused stops acting as the leader at
+// once.
 package tenure
 
 import (
@@ -22,42 +22,43 @@
 	"github.com/bilberryrock/bilberryrock/internal/release/store"
 )
 
-// Limit is the age of a confirmation from which on this instance counts as cut off,
-// and its leadership as lost. It is shorter than an election and the time for which
-// the next leader waits before it gives orders, together.
-const Limit = time.Second
+// MaxConfirmationAge is the age of a confirmation at which this instance is considered
+// cut off from the majority and its leadership lost. It is shorter than the sum of the
+// duration of an election and the time that a new leader waits before it gives orders.
+const MaxConfirmationAge = time.Second
 
 // Group is the replicated log of the releases.
 type Group interface {
-	// Lead has a majority confirm that the own replica leads, and returns the reply to
-	// a query and the term. It fails if another replica leads.
+	// Lead has a majority confirm that the own replica is the leader, and returns the
+	// reply to a query and the term. It fails if another replica is the leader.
 	Lead(ctx context.Context, g quorum.GroupID, query []byte) ([]byte, quorum.Term, error)
-	// Read hands a query to the leader, which a majority confirms.
+	// Read sends a query to the leader, which has a majority confirm its leadership.
 	Read(ctx context.Context, g quorum.GroupID, query []byte) ([]byte, error)
 }
 
-// Tenure is safe for concurrent use.
+// Tenure holds the newest confirmation. It is safe for concurrent use.
 type Tenure struct {
 	group Group
 	clock fleet.Clock
 
 	mu        sync.Mutex
 	confirmed feed.Confirmation
-	// fence is that of the own leadership if confirmed is of it, or 0.
+	// fence is the fencing token of the own leadership if this instance led at the newest
+	// confirmation, or 0.
 	fence fleet.Fence
 }
 
-// New returns a Tenure without a confirmation. The clock must go on while the machine
-// is suspended.
+// New returns a Tenure without a confirmation. The clock must keep running while the
+// machine is suspended.
 func New(g Group, c fleet.Clock) *Tenure { return &Tenure{group: g, clock: c} }
 
-// Confirm asks a majority for the newest release and the leadership.
+// Confirm has a majority confirm the newest release and the leadership.
 func (t *Tenure) Confirm(ctx context.Context) error {
 	start := t.clock.Now()
 	reply, term, err := t.group.Lead(ctx, quorum.ConfigGroup, nil)
 	fence := fleet.Fence(term)
 	if err != nil {
-		t.resign()
+		t.clearFence()
 		fence = 0
 		if reply, err = t.group.Read(ctx, quorum.ConfigGroup, nil); err != nil {
 			return err
@@ -74,7 +75,7 @@
 	return nil
 }
 
-func (t *Tenure) resign() {
+func (t *Tenure) clearFence() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fence = 0
@@ -96,9 +97,10 @@
 
 func (t *Tenure) age() time.Duration { return t.clock.Now().Sub(t.confirmed.Start) }
 
-// Leading returns the fence of the own leadership, and whether it holds now.
+// Leading returns the fencing token of the own leadership, and whether the leadership is
+// valid now.
 func (t *Tenure) Leading() (fleet.Fence, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fence, t.fence > 0 && t.age() < Limit
+	return t.fence, t.fence > 0 && t.age() < MaxConfirmationAge
 }
--- a/internal/controller/tenure/tenure_test.go
+++ b/internal/controller/tenure/tenure_test.go
@@ -15,43 +15,43 @@
 	"github.com/bilberryrock/bilberryrock/internal/release/store"
 )
 
-// group is a replicated log whose leader is this instance, another one, or none.
-type group struct {
-	machine *store.Store
-	term    quorum.Term // of the own leadership, or 0
-	cut     bool
-	// pause is called between the question and the answer.
-	pause func()
+// fakeGroup is a replicated log whose leader is this instance, another one, or none.
+type fakeGroup struct {
+	releases    *store.Store
+	term        quorum.Term // of the own leadership, or 0
+	partitioned bool
+	// beforeReply is called between the request and the reply.
+	beforeReply func()
 }
 
-func (g *group) Lead(_ context.Context, _ quorum.GroupID, q []byte) ([]byte, quorum.Term, error) {
-	if g.pause != nil {
-		g.pause()
+func (g *fakeGroup) Lead(_ context.Context, _ quorum.GroupID, q []byte) ([]byte, quorum.Term, error) {
+	if g.beforeReply != nil {
+		g.beforeReply()
 	}
-	if g.term == 0 || g.cut {
+	if g.term == 0 || g.partitioned {
 		return nil, 0, errors.New("another replica leads")
 	}
-	return g.machine.Query(q), g.term, nil
+	return g.releases.Query(q), g.term, nil
 }
 
-func (g *group) Read(_ context.Context, _ quorum.GroupID, q []byte) ([]byte, error) {
-	if g.cut {
+func (g *fakeGroup) Read(_ context.Context, _ quorum.GroupID, q []byte) ([]byte, error) {
+	if g.partitioned {
 		return nil, errors.New("no leader in reach")
 	}
-	return g.machine.Query(q), nil
+	return g.releases.Query(q), nil
 }
 
-// Guards against a leader that acts on after a pause, because the next leader confirms
-// the release to it before it notices that it was replaced.
+// Guards against a leader that continues to act as leader after a pause: the next leader
+// confirms the release to it before it notices that it was replaced.
 func TestPausedLeaderIsReplaced(t *testing.T) {
 	is := is.New(t)
-	g, clock := &group{machine: store.New(), term: 3}, fakeclock.New(fakeclock.Start)
+	g, clock := &fakeGroup{releases: store.New(), term: 3}, fakeclock.New(fakeclock.Start)
 	n := tenure.New(g, clock)
 	is.NoErr(n.Confirm(context.Background()))
 	fence, leads := n.Leading()
 	is.Equal(fence, fleet.Fence(3))
 	is.True(leads)
-	clock.Advance(tenure.Limit) // paused
+	clock.Advance(tenure.MaxConfirmationAge) // paused
 	_, leads = n.Leading()
 	is.True(!leads)
 	g.term = 0 // replaced
@@ -61,26 +61,26 @@
 	is.True(!leads)
 }
 
-// Guards against a leadership that counts from the answer of the majority instead of
-// from the question: the process may be paused between them.
+// Guards against measuring the leadership from the reply of the majority instead of from
+// the request: the process may be paused between them.
 func TestPauseWithinConfirmation(t *testing.T) {
 	is := is.New(t)
 	clock := fakeclock.New(fakeclock.Start)
-	g := &group{machine: store.New(), term: 3, pause: func() { clock.Advance(2 * tenure.Limit) }}
+	g := &fakeGroup{releases: store.New(), term: 3, beforeReply: func() { clock.Advance(2 * tenure.MaxConfirmationAge) }}
 	n := tenure.New(g, clock)
 	is.NoErr(n.Confirm(context.Background()))
 	_, leads := n.Leading()
 	is.True(!leads)
-	is.Equal(n.Age(), 2*tenure.Limit)
+	is.Equal(n.Age(), 2*tenure.MaxConfirmationAge)
 }
 
-// Guards against a leadership that lasts after it was lost.
-func TestLeaderIsCutOff(t *testing.T) {
+// Guards against keeping the leadership after a failed confirmation.
+func TestPartitionedLeader(t *testing.T) {
 	is := is.New(t)
-	g, clock := &group{machine: store.New(), term: 3}, fakeclock.New(fakeclock.Start)
+	g, clock := &fakeGroup{releases: store.New(), term: 3}, fakeclock.New(fakeclock.Start)
 	n := tenure.New(g, clock)
 	is.NoErr(n.Confirm(context.Background()))
-	g.cut = true
+	g.partitioned = true
 	is.True(n.Confirm(context.Background()) != nil)
 	_, leads := n.Leading()
 	is.True(!leads)
