--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -266,10 +266,10 @@
 	return c.checkMajority()
 }
 
-// Leave removes an upstream that announces its shutdown. born is its incarnation, or 0
-// if unknown.
-func (c *Controller) Leave(id fleet.UpstreamID, born fleet.Incarnation) error {
-	known := c.catalog.Remove(id, born)
+// Leave removes an upstream that announces its shutdown. incarnation is 0 if it is
+// unknown.
+func (c *Controller) Leave(id fleet.UpstreamID, incarnation fleet.Incarnation) error {
+	known := c.catalog.Remove(id, incarnation)
 	c.logger.Info("Upstream left.", zap.String("upstream", string(id)), zap.Bool("known", known))
 	return c.checkMajority()
 }
--- a/internal/gateway/state/state.go
+++ b/internal/gateway/state/state.go
@@ -191,7 +191,7 @@
 	}
 	entries := make(map[fleet.PoolID][]registry.Entry)
 	maxIdle := make(map[exchange.Target]int)
-	maxIdlePerPool := maxIdleConns(t.Release, gateways)
+	maxIdlePerUpstream := maxIdleConns(t.Release, gateways)
 	now := s.clock.Now()
 	for _, e := range s.catalog.All(servingFactor * s.limits.Alive) {
 		// The path planner itself skips engines that neither send heartbeats nor make
@@ -200,7 +200,7 @@
 			continue
 		}
 		entries[e.Pool] = append(entries[e.Pool], e)
-		maxIdle[exchange.Target{ID: e.ID, Address: e.Address}] = maxIdlePerPool[e.Pool]
+		maxIdle[exchange.Target{ID: e.ID, Address: e.Address}] = maxIdlePerUpstream[e.Pool]
 	}
 	s.mu.Lock()
 	for i := range t.Release.Services {
