--- a/internal/placement/cover/cover.go
+++ b/internal/placement/cover/cover.go
@@ -1,12 +1,12 @@
-// Package cover decides which engines hold which layers. It aims at whole chains
-// within a data centre: data centres with enough memory cover all layers by
-// themselves, the others do so together. Engines beyond the first chain hold
-// further copies of what is covered least, so that the loss of one engine leaves
-// no gap.
+// Package cover plans which engines hold which layers. It aims at complete chains
+// within a data centre: each data centre with enough memory covers all layers by
+// itself, and the others cover them together. Engines beyond the first chain hold
+// further replicas of the layers with the lowest coverage, so that the loss of one
+// engine leaves no gap.
 //
-// A plan starts from what the engines hold, and an engine that holds something
-// is moved only where that raises the least coverage of its group. The plan does
-// not depend on the order of its input.
+// A plan starts from the layers that the engines hold. An engine that holds layers is
+// reassigned only if that raises the lowest coverage in its group. The plan does not
+// depend on the order of its input.
 package cover
 
 import (
@@ -18,36 +18,38 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// spare is how much more often each layer of an engine must be covered than the
-// layers that it moves to. A smaller difference would move engines in circles.
-const spare = 2
+// minCoverageGap is the least difference between the coverage of each layer that an
+// engine gives up and that of the layers it is moved to. A smaller difference would
+// move engines back and forth.
+const minCoverageGap = 2
 
-// Plan returns the orders that improve the coverage of a model with a number of
-// layers.
-func Plan(layers int, engines []placement.Engine) []placement.Order {
+// Plan returns the assignments that improve the coverage of a model with the given
+// number of layers.
+func Plan(layers int, engines []placement.Engine) []placement.Assignment {
 	if layers <= 0 {
 		return nil
 	}
 	es := slices.Clone(engines)
 	slices.SortFunc(es, func(a, b placement.Engine) int { return cmp.Compare(a.ID, b.ID) })
-	var orders []placement.Order
+	var assignments []placement.Assignment
 	for _, g := range groups(layers, es) {
-		orders = append(orders, g.fill()...)
+		assignments = append(assignments, g.assign()...)
 	}
-	return orders
+	return assignments
 }
 
-// group is a set of engines that covers the layers together.
+// group is a set of engines that together cover the layers.
 type group struct {
 	layers  int
 	engines []placement.Engine
-	// tight groups have too little memory to keep the usual amount free.
-	tight bool
+	// memoryShort is set if the engines can't hold all layers and keep the reserved
+	// memory free.
+	memoryShort bool
 }
 
-// groups returns a group for each data centre that can hold the whole model, and
-// one for all others. When all engines together cannot hold it, they take as much
-// as fits.
+// groups returns a group for each data centre that can hold the whole model, and one
+// for all other engines. If all engines together can't hold it with memory reserved,
+// the last group reserves none.
 func groups(layers int, es []placement.Engine) []*group {
 	var gs []*group
 	rest := &group{layers: layers}
@@ -58,7 +60,7 @@
 				g.engines = append(g.engines, e)
 			}
 		}
-		if g.usable() >= layers {
+		if g.usableLayers() >= layers {
 			gs = append(gs, g)
 			continue
 		}
@@ -68,7 +70,7 @@
 		return gs
 	}
 	all := group{engines: es}
-	rest.tight = all.usable() < layers
+	rest.memoryShort = all.usableLayers() < layers
 	return append(gs, rest)
 }
 
@@ -83,40 +85,41 @@
 	return ds
 }
 
-func (g *group) usable() int {
+func (g *group) usableLayers() int {
 	n := 0
 	for _, e := range g.engines {
-		n += e.Usable
+		n += e.UsableLayers
 	}
 	return n
 }
 
-// size is the number of layers that an engine takes.
-func (g *group) size(e placement.Engine) int {
-	if g.tight {
-		return e.Room
+// layersFor returns the largest number of layers to assign to an engine.
+func (g *group) layersFor(e placement.Engine) int {
+	if g.memoryShort {
+		return e.MaxLayers
 	}
-	return max(e.Usable, min(e.Room, 1))
+	return max(e.UsableLayers, min(e.MaxLayers, 1))
 }
 
-// fill gives work to empty engines, and moves others into gaps.
-func (g *group) fill() []placement.Order {
-	var orders []placement.Order
+// assign gives ranges to engines without layers, and moves others to the ranges with
+// the lowest coverage.
+func (g *group) assign() []placement.Assignment {
+	var assignments []placement.Assignment
 	for {
 		count := g.coverage()
-		run := weakest(count)
-		k := g.empty(run.Len())
+		run := leastCovered(count)
+		k := g.bestEmpty(run.Len())
 		if k < 0 {
-			k = g.surplus(count, run)
+			k = g.bestSurplus(count, run)
 		}
 		if k < 0 {
-			return orders
+			return assignments
 		}
 		e := &g.engines[k]
-		n := min(run.Len(), g.size(*e))
+		n := min(run.Len(), g.layersFor(*e))
 		e.Holds = upstream.LayerRange{From: run.From, To: run.From + fleet.Layer(n)}
-		e.Fixed = true
-		orders = append(orders, placement.Order{ID: e.ID, Layers: e.Holds})
+		e.Pinned = true
+		assignments = append(assignments, placement.Assignment{ID: e.ID, Layers: e.Holds})
 	}
 }
 
@@ -130,8 +133,9 @@
 	return count
 }
 
-// weakest returns the first longest run of layers with the least coverage.
-func weakest(count []int) upstream.LayerRange {
+// leastCovered returns the longest run of layers with the lowest coverage, and the
+// first of several.
+func leastCovered(count []int) upstream.LayerRange {
 	least := slices.Min(count)
 	var best upstream.LayerRange
 	for i := 0; i < len(count); i++ {
@@ -150,23 +154,26 @@
 	return best
 }
 
-// empty returns the engine without layers that suits a run best: the fastest of
-// those that it fills, or the smallest that holds it whole.
-func (g *group) empty(length int) int {
+// bestEmpty returns the index of the engine without layers that fits a run of layers
+// best, or -1.
+func (g *group) bestEmpty(length int) int {
 	best := -1
 	for i, e := range g.engines {
-		if e.Fixed || e.Holds.Len() > 0 || g.size(e) == 0 {
+		if e.Pinned || e.Holds.Len() > 0 || g.layersFor(e) == 0 {
 			continue
 		}
-		if best < 0 || g.suits(e, g.engines[best], length) {
+		if best < 0 || g.fitsBetter(e, g.engines[best], length) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (g *group) suits(a, b placement.Engine, length int) bool {
-	na, nb := g.size(a), g.size(b)
+// fitsBetter reports whether a fits a run of layers better than b. The smallest engine
+// that holds the whole run is best, and the faster one of two equal ones. Engines too
+// small for the run are compared by speed, then by size.
+func (g *group) fitsBetter(a, b placement.Engine, length int) bool {
+	na, nb := g.layersFor(a), g.layersFor(b)
 	if (na >= length) != (nb >= length) {
 		return na >= length
 	}
@@ -179,18 +186,19 @@
 	return na > nb
 }
 
-// surplus returns the engine whose layers are covered most beside it, if moving
-// it into a run raises the least coverage.
-func (g *group) surplus(count []int, run upstream.LayerRange) int {
+// bestSurplus returns the index of the engine whose layers have the highest minimum
+// coverage, if it is at least minCoverageGap above that of the run,
+// or -1.
+func (g *group) bestSurplus(count []int, run upstream.LayerRange) int {
 	least := count[run.From]
 	best, most := -1, 0
 	for i, e := range g.engines {
-		if e.Fixed || e.Holds.Len() == 0 || g.size(e) == 0 {
+		if e.Pinned || e.Holds.Len() == 0 || g.layersFor(e) == 0 {
 			continue
 		}
-		low := slices.Min(count[e.Holds.From:min(int(e.Holds.To), g.layers)])
-		if low >= least+spare && (best < 0 || low > most || low == most && g.suits(e, g.engines[best], run.Len())) {
-			best, most = i, low
+		lowest := slices.Min(count[e.Holds.From:min(int(e.Holds.To), g.layers)])
+		if lowest >= least+minCoverageGap && (best < 0 || lowest > most || lowest == most && g.fitsBetter(e, g.engines[best], run.Len())) {
+			best, most = i, lowest
 		}
 	}
 	return best
--- a/internal/placement/cover/cover_test.go
+++ b/internal/placement/cover/cover_test.go
@@ -14,8 +14,9 @@
 )
 
 // TestScripts guards against layers that no engine of a data centre holds, against
-// engines that get more than they hold, and against plans that move engines
-// without need. A script lists engines as "id dataCentre room usable pace from to".
+// engines that are assigned more layers than fit, and against plans that move engines
+// without need. A script lists engines as
+// "id dataCentre maxLayers usableLayers stepFactor from to".
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var engines []placement.Engine
@@ -41,7 +42,7 @@
 		var e placement.Engine
 		var id, dc string
 		var from, to int
-		if _, err := fmt.Sscan(line, &id, &dc, &e.Room, &e.Usable, &e.Pace, &from, &to); err != nil {
+		if _, err := fmt.Sscan(line, &id, &dc, &e.MaxLayers, &e.UsableLayers, &e.Pace, &from, &to); err != nil {
 			d.Fatalf(t, "%q: %v", line, err)
 		}
 		e.ID, e.DataCentre = fleet.UpstreamID(id), fleet.DataCentreID(dc)
@@ -54,14 +55,14 @@
 func plan(engines []placement.Engine, layers int) string {
 	var b strings.Builder
 	after := make(map[fleet.UpstreamID]upstream.LayerRange)
-	room := make(map[fleet.UpstreamID]int)
+	maxLayers := make(map[fleet.UpstreamID]int)
 	for _, e := range engines {
-		after[e.ID], room[e.ID] = e.Holds, e.Room
+		after[e.ID], maxLayers[e.ID] = e.Holds, e.MaxLayers
 	}
 	for _, o := range cover.Plan(layers, engines) {
 		fmt.Fprintf(&b, "%s %d-%d\n", o.ID, o.Layers.From, o.Layers.To)
-		if o.Layers.Len() > room[o.ID] {
-			fmt.Fprintf(&b, "%s has room for %d layers only\n", o.ID, room[o.ID])
+		if o.Layers.Len() > maxLayers[o.ID] {
+			fmt.Fprintf(&b, "%s fits only %d layers\n", o.ID, maxLayers[o.ID])
 		}
 		after[o.ID] = o.Layers
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,8 +1,8 @@
-// Package placement holds the types of the decision which engine holds which
-// layers of the model.
+// Package placement defines the types for assigning the layers of a model to
+// engines.
 //
-// Package cover decides, and package placer carries the decision out as orders
-// to the engines of one fenced leader.
+// Package cover computes the assignments, and package placer, on the instance that
+// leads the group, sends them to the engines as fenced orders.
 package placement
 
 import (
@@ -13,89 +13,92 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// Engine is one engine that may hold layers.
+// Engine is an engine that layers can be assigned to, as the planner sees it.
 type Engine struct {
 	ID         fleet.UpstreamID
 	DataCentre fleet.DataCentreID
-	// Holds are the layers that it holds, or will hold once its order is done.
+	// Holds is the range that the engine has loaded, or will have loaded once its
+	// pending order is done.
 	Holds upstream.LayerRange
-	// Room is the number of layers that fit when requests need little memory, and
-	// Usable the number that leaves memory for the usual requests.
-	Room, Usable int
-	// Pace is the time of a step compared with the fastest card.
+	// MaxLayers is the number of layers that fit if requests need little memory, and
+	// UsableLayers the number that leaves memory for the reserved streams.
+	MaxLayers, UsableLayers int
+	// Pace is the step time of its card relative to the fastest card.
 	Pace float64
-	// Fixed engines carry out an order and take no other one.
-	Fixed bool
+	// Pinned is set if the engine has an order in progress, was assigned a range by
+	// this plan, or may not be called yet. Its layers count, but it isn't reassigned.
+	Pinned bool
 }
 
-// Order tells one engine to hold a range of layers.
-type Order struct {
+// Assignment is the range of layers that a plan gives to an engine.
+type Assignment struct {
 	ID     fleet.UpstreamID
 	Layers upstream.LayerRange
 }
 
 const (
-	// usualStreams is the number of concurrent streams of usual size for which an
-	// engine keeps memory free. A chain that makes a token in 17 ms serves 25 new
-	// streams of 154 tokens a second with about 65 at a time, and half as many again
-	// while another data centre is out.
-	usualStreams = 100
-	// sharedStreams is the number for fast cards that several chains share. With
-	// usualStreams they were full at half of the streams of a data centre, and the
-	// other half ran on slow cards only.
-	sharedStreams = 2 * usualStreams
-	// fastPart is the part of the time of the slowest card up to which a card is fast.
-	fastPart = 0.5
-	// richChains is the number of chains of usual size from which on a data centre's
-	// fast cards are shared.
-	richChains = 2
+	// reservedStreams is the number of concurrent streams of mean size for which an
+	// engine reserves memory. A chain that generates a token in 17 ms and serves 25
+	// new streams of 154 tokens per second has about 65 in progress, and half as many
+	// again while another data centre is down.
+	reservedStreams = 100
+	// sharedReservedStreams is reservedStreams for fast cards that several chains share.
+	// With reservedStreams they ran out of memory at half of the streams of a data
+	// centre, and the other half ran on slow cards only.
+	sharedReservedStreams = 2 * reservedStreams
+	// fastStepRatio is the highest ratio of the step time of a card to that of the
+	// slowest card in its data centre at which the card counts as fast.
+	fastStepRatio = 0.5
+	// minSharingChains is the number of chains, with memory for reservedStreams, that a
+	// data centre must have room for before its fast cards count as shared.
+	minSharingChains = 2
 )
 
-// Capacity returns how many layers a card can hold at most, and how many when
-// it keeps memory for a number of usual requests.
-func Capacity(e *release.Engine, c release.Card, streams int) (room, usable int) {
+// Capacity returns the number of layers that fit on a card, and the number that
+// fit if memory for a number of concurrent streams of mean size is reserved.
+func Capacity(e *release.Engine, c release.Card, streams int) (maxLayers, usableLayers int) {
 	if e.LayerMB <= 0 || e.Layers <= 0 {
 		return 0, 0
 	}
-	room = min(int(c.MemoryMB/e.LayerMB), e.Layers)
+	maxLayers = min(int(c.MemoryMB/e.LayerMB), e.Layers)
 	tokens := float64(streams * (e.UsualPrompt + e.UsualAnswer))
 	perLayer := tokens * e.TokenBytes / float64(e.Layers) / 1e6
-	usable = min(int(c.MemoryMB/(e.LayerMB+perLayer)), e.Layers)
-	if usable == 0 && room > 1 {
-		usable = room - 1
+	usableLayers = min(int(c.MemoryMB/(e.LayerMB+perLayer)), e.Layers)
+	if usableLayers == 0 && maxLayers > 1 {
+		usableLayers = maxLayers - 1
 	}
-	return room, usable
+	return maxLayers, usableLayers
 }
 
-// Streams returns, for each card, the number of concurrent streams to keep memory for
-// in a data centre with some cards of each kind.
-func Streams(e *release.Engine, cards map[string]int) map[string]int {
+// ReservedStreams returns, for each kind of card, the number of concurrent streams
+// to reserve memory for. cards is the number of cards of each kind in a data centre.
+func ReservedStreams(e *release.Engine, cards map[string]int) map[string]int {
 	chains, slowest := 0.0, 0.0
 	for name, n := range cards {
-		_, usable := Capacity(e, e.Cards[name], usualStreams)
-		chains += float64(n*usable) / float64(max(1, e.Layers))
+		_, usableLayers := Capacity(e, e.Cards[name], reservedStreams)
+		chains += float64(n*usableLayers) / float64(max(1, e.Layers))
 		slowest = max(slowest, e.Cards[name].Pace)
 	}
 	streams := make(map[string]int, len(cards))
 	for name := range cards {
-		streams[name] = usualStreams
-		if chains >= richChains && e.Cards[name].Pace <= fastPart*slowest {
-			streams[name] = sharedStreams
+		streams[name] = reservedStreams
+		if chains >= minSharingChains && e.Cards[name].Pace <= fastStepRatio*slowest {
+			streams[name] = sharedReservedStreams
 		}
 	}
 	return streams
 }
 
-// Report is what an engine says of its orders.
+// Report is the state that an engine reports.
 type Report struct {
 	Holds upstream.LayerRange
-	// Busy tells that an order is in progress.
+	// Busy is set while an order is in progress.
 	Busy bool
-	// Orders is the number of orders that it has accepted.
+	// Orders is the number of orders that the engine has accepted.
 	Orders uint64
-	// Pace is the factor by which it is slower than its card.
+	// Pace is the factor by which the engine is slower than its kind of card.
 	Pace float64
-	// Stalled are the streams that wait for a part of their path.
+	// Stalled lists the streams that wait for another engine of their path.
 	Stalled []Stalled
 }
 
@@ -105,41 +108,42 @@
 	Address string
 }
 
-// Command is an order as it goes to one engine.
+// Command is an order as it is sent to one engine.
 type Command struct {
 	Layers upstream.LayerRange
-	// Orders is the number of orders that the engine must have accepted so far.
+	// Orders is the precondition: the number of orders that the engine must have
+	// accepted so far.
 	Orders uint64
 	Fence  fleet.Fence
-	// Valid reports whether the order may still be given. It is asked once the
+	// Valid reports whether the order may still be sent. It is called once the
 	// connection is open, right before the order is written.
 	Valid func() bool
 }
 
-// Commander speaks to engines in the protocol of the platform.
+// Commander sends calls to engines in the protocol of the platform.
 type Commander interface {
-	// Report asks an engine for its state.
+	// Report fetches the state of an engine.
 	Report(ctx context.Context, id fleet.UpstreamID, address string) (Report, error)
-	// Place orders an engine to hold a range. An order that is not valid any more is
-	// not given, with the outcome Refused.
+	// Place orders an engine to load a range of layers. An order that is no longer
+	// valid is not sent, and the outcome is Refused.
 	Place(ctx context.Context, id fleet.UpstreamID, address string, o Command) (Outcome, error)
 }
 
 //go:generate ../../bin/stringer -type=Outcome -linecomment -output=names_string.go
 
-// Outcome is the answer to an order.
+// Outcome is the result of sending an order.
 type Outcome int
 
 // The outcomes of an order.
 const (
-	// Unanswered orders may be carried out later.
+	// Unanswered means that no response arrived. The order may still be carried out.
 	Unanswered Outcome = iota // unanswered
-	// Accepted orders have begun.
+	// Accepted means that the engine has started to carry out the order.
 	Accepted // accepted
-	// Held tells that the engine holds the range already.
+	// Held means that the engine already holds the range.
 	Held // held
-	// Refused orders are not carried out.
+	// Refused means that the order is not carried out.
 	Refused // refused
-	// Fenced orders are refused because another leader gave a newer one.
+	// Fenced means that the engine refused the order because it has one from a newer leader.
 	Fenced // fenced
 )
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,17 +17,17 @@
 	},
 }
 
-// Guards against fast cards that hold so many layers that their memory serves only
-// half of the streams of a data centre with several chains, and against fewer
-// layers on them where the memory is needed for the only chain.
+// Guards against fast cards that hold so many layers that the remaining memory serves
+// only half of the streams of a data centre with several chains. Where the memory is
+// needed for the only chain, fast cards must not get fewer layers.
 func TestFastCardsOfSeveralChainsServeAllStreams(t *testing.T) {
 	is := is.New(t)
-	is.Equal(placement.Streams(model, map[string]int{"fast": 4, "slow": 20}), map[string]int{"fast": 200, "slow": 100})
-	is.Equal(placement.Streams(model, map[string]int{"fast": 2, "slow": 6}), map[string]int{"fast": 100, "slow": 100})
-	is.Equal(placement.Streams(model, map[string]int{"fast": 20}), map[string]int{"fast": 100})
-	room, usable := placement.Capacity(model, model.Cards["fast"], 100)
-	is.Equal(room, 20)
-	is.Equal(usable, 15)
-	_, usable = placement.Capacity(model, model.Cards["fast"], 200)
-	is.Equal(usable, 12)
+	is.Equal(placement.ReservedStreams(model, map[string]int{"fast": 4, "slow": 20}), map[string]int{"fast": 200, "slow": 100})
+	is.Equal(placement.ReservedStreams(model, map[string]int{"fast": 2, "slow": 6}), map[string]int{"fast": 100, "slow": 100})
+	is.Equal(placement.ReservedStreams(model, map[string]int{"fast": 20}), map[string]int{"fast": 100})
+	maxLayers, usableLayers := placement.Capacity(model, model.Cards["fast"], 100)
+	is.Equal(maxLayers, 20)
+	is.Equal(usableLayers, 15)
+	_, usableLayers = placement.Capacity(model, model.Cards["fast"], 200)
+	is.Equal(usableLayers, 12)
 }
--- a/internal/placement/placer/placer.go
+++ b/internal/placement/placer/placer.go
@@ -1,8 +1,8 @@
-// Package placer carries out the placement of layers: while this instance leads
-// the group, it compares the plan with what the engines report and gives orders.
+// Package placer assigns layers to engines: while this instance leads the group, it
+// reconciles the engines with the plan of package cover by sending them orders.
 //
-// Orders carry the leader's term as fence, and name the number of orders that
-// the engine has accepted, so that a delayed order changes nothing.
+// An order carries the leader's term as its fence and, as a precondition, the number
+// of orders that the engine has accepted, so that a delayed order has no effect.
 package placer
 
 import (
@@ -22,113 +22,114 @@
 )
 
 const (
-	// interval is the time between two looks at the roster.
-	interval = 150 * time.Millisecond
-	// settle is how long a new leader waits for the roster to be complete. It
+	// reconcileInterval is the time between two passes over the upstream registry.
+	reconcileInterval = 150 * time.Millisecond
+	// settleDelay is how long a new leader waits for its registry to be complete. It
 	// covers one heartbeat of each upstream.
-	settle = 1500 * time.Millisecond
-	// firstSettle lets the engines of a new fleet come together, so that the first
-	// plan sees all of them. They start over about a second and send a heartbeat
-	// each second.
-	firstSettle = 2500 * time.Millisecond
-	// overdueNum and overdueDen give the part of the time that an engine may be
-	// silent after which one that also fails requests counts as lost. It is most of
-	// the time between two heartbeats.
+	settleDelay = 1500 * time.Millisecond
+	// initialSettleDelay is the settle delay of a new fleet. The first plan should
+	// include all engines; their starts are spread over about a second, and they send
+	// a heartbeat each second.
+	initialSettleDelay = 2500 * time.Millisecond
+	// overdueNum and overdueDen are the fraction of the heartbeat timeout after which
+	// an engine that also fails requests counts as lost. The result is most of the
+	// time between two heartbeats.
 	overdueNum, overdueDen = 1, 4
-	// servingFactor times the time that an engine may be silent is how long one that
-	// still serves requests counts as alive. It may be cut off from the controllers.
-	servingFactor = 4
-	// callTimeout bounds one call of an engine.
+	// servingTimeoutFactor multiplies the heartbeat timeout of an engine that still
+	// serves requests, because it may only be partitioned from the controllers.
+	servingTimeoutFactor = 4
+	// callTimeout limits the report and the order of one engine together.
 	callTimeout = time.Second
-	// retryPause is the time before an engine is asked again after a failure.
-	retryPause = 500 * time.Millisecond
-	// lateOrder is how long after its load time an order without a report of the
-	// new layers counts as lost.
-	lateOrder = 3 * time.Second
+	// retryBackoff is the pause before an engine is called again after a failure.
+	retryBackoff = 500 * time.Millisecond
+	// orderGracePeriod is how long after the load time an order counts as lost if the
+	// engine has not reported the new layers.
+	orderGracePeriod = 3 * time.Second
 )
 
-// Leadership tells whether this instance leads at this moment, and under which fence.
+// Leadership reports whether this instance is the leader now, and with which fence.
 type Leadership interface {
 	Leading() (fleet.Fence, bool)
 }
 
-// Releases returns the release in force, or nil.
+// Releases returns the active release, or nil.
 type Releases interface {
 	InForce() *release.Release
 }
 
-// Suspects returns the engines that requests of several gateways lately failed at.
+// Suspects returns the engines at which requests of several gateways recently failed.
 type Suspects interface {
 	Suspects() []fleet.UpstreamID
-	// Serving returns the engines that requests lately made progress at.
+	// Serving returns the engines at which requests recently made progress.
 	Serving() []fleet.UpstreamID
 }
 
-// Placer gives the orders. Stop ends it.
+// Placer sends placement orders to engines until Stop is called.
 type Placer struct {
-	clock      fleet.Clock
-	catalog    *catalog.Catalog
-	leadership Leadership
-	releases   Releases
-	commander  placement.Commander
-	suspects   Suspects
-	alive      time.Duration
-	logger     *zap.Logger
-	cancel     context.CancelFunc
-	wait       sync.WaitGroup
+	clock            fleet.Clock
+	catalog          *catalog.Catalog
+	leadership       Leadership
+	releases         Releases
+	commander        placement.Commander
+	suspects         Suspects
+	heartbeatTimeout time.Duration
+	logger           *zap.Logger
+	cancel           context.CancelFunc
+	wg               sync.WaitGroup
 
-	mu      sync.Mutex
-	engines map[incarnation]*engine
-	failed  map[fleet.UpstreamID]time.Time // when gateways last saw a failure
-	fence   fleet.Fence
-	since   time.Time // of the leadership, or of the first engine seen under it
+	mu            sync.Mutex
+	engines       map[engineKey]*engineState
+	failedAt      map[fleet.UpstreamID]time.Time // when gateways last reported a failure
+	fence         fleet.Fence
+	settlingSince time.Time // start of the leadership, or when its first engine was seen
 }
 
-type incarnation struct {
-	id   fleet.UpstreamID
-	born fleet.Incarnation
+type engineKey struct {
+	id          fleet.UpstreamID
+	incarnation fleet.Incarnation
 }
 
-// engine is what the leader knows of one incarnation of an engine.
-type engine struct {
-	orders uint64 // accepted so far
-	known  bool   // orders is known
-	busy   bool   // a call is in progress
-	// target is the range of the newest order, valid until a time.
-	target upstream.LayerRange
-	until  time.Time
-	next   time.Time // earliest time of the next call
+// engineState is the state that the leader keeps for one incarnation of an engine.
+type engineState struct {
+	acceptedOrders uint64
+	ordersKnown    bool // acceptedOrders is known
+	calling        bool // a call is in progress
+	// target is the range of the newest order. It counts as held until targetUntil.
+	target      upstream.LayerRange
+	targetUntil time.Time
+	nextCall    time.Time // earliest time of the next call
 }
 
-// New starts a Placer. Engines that were not heard for alive get no orders.
-func New(clock fleet.Clock, c *catalog.Catalog, l Leadership, r Releases, m placement.Commander, s Suspects, alive time.Duration, log *zap.Logger) *Placer {
+// New starts a Placer. Engines without a heartbeat for heartbeatTimeout get no orders,
+// unless they still serve requests.
+func New(clock fleet.Clock, c *catalog.Catalog, l Leadership, r Releases, m placement.Commander, s Suspects, heartbeatTimeout time.Duration, log *zap.Logger) *Placer {
 	p := &Placer{
-		clock: clock, catalog: c, leadership: l, releases: r, commander: m, suspects: s, alive: alive,
-		logger: log.Named("placement"), engines: make(map[incarnation]*engine), failed: make(map[fleet.UpstreamID]time.Time),
+		clock: clock, catalog: c, leadership: l, releases: r, commander: m, suspects: s, heartbeatTimeout: heartbeatTimeout,
+		logger: log.Named("placement"), engines: make(map[engineKey]*engineState), failedAt: make(map[fleet.UpstreamID]time.Time),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	p.wait.Go(func() {
+	p.wg.Go(func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-p.clock.After(interval):
-				p.round(ctx)
+			case <-p.clock.After(reconcileInterval):
+				p.reconcile(ctx)
 			}
 		}
 	})
 	return p
 }
 
-// Stop ends the orders and waits for the calls in progress.
+// Stop cancels the calls in progress and waits for them.
 func (p *Placer) Stop() {
 	p.cancel()
-	p.wait.Wait()
+	p.wg.Wait()
 }
 
-// round looks at the roster once and starts the calls that are due.
-func (p *Placer) round(ctx context.Context) {
+// reconcile compares the registry with the plan once and starts the calls that are due.
+func (p *Placer) reconcile(ctx context.Context) {
 	r := p.releases.InForce()
 	if r == nil {
 		return
@@ -142,172 +143,175 @@
 		return
 	}
 	if f != p.fence {
-		p.fence, p.since = f, now
-		p.engines = make(map[incarnation]*engine)
+		p.fence, p.settlingSince = f, now
+		p.engines = make(map[engineKey]*engineState)
 		p.logger.Info("This instance places layers.", zap.Uint64("fence", uint64(f)))
 	}
-	es := p.alert(p.heard(now), now)
+	es := p.excludeFailed(p.liveEntries(now), now)
 	if len(es) == 0 {
-		p.since = now
+		p.settlingSince = now
 		return
 	}
-	if now.Sub(p.since) < p.settleTime(es) {
+	if now.Sub(p.settlingSince) < p.requiredSettleDelay(es) {
 		return
 	}
 	for i := range r.Services {
 		if s := &r.Services[i]; s.Engine != nil {
-			p.place(ctx, s, es, now)
+			p.placeService(ctx, s, es, now)
 		}
 	}
 }
 
-// heard returns the engines that are alive by their heartbeats, or by what gateways
-// say of the silent ones.
-func (p *Placer) heard(now time.Time) []registry.Entry {
+// liveEntries returns the upstreams with a heartbeat within the timeout, and those
+// without one that gateways report as serving.
+func (p *Placer) liveEntries(now time.Time) []registry.Entry {
 	serving := p.suspects.Serving()
-	return slices.DeleteFunc(p.catalog.All(servingFactor*p.alive), func(e registry.Entry) bool {
-		return now.Sub(e.Heard) > p.alive && !slices.Contains(serving, e.ID)
+	return slices.DeleteFunc(p.catalog.All(servingTimeoutFactor*p.heartbeatTimeout), func(e registry.Entry) bool {
+		return now.Sub(e.Heard) > p.heartbeatTimeout && !slices.Contains(serving, e.ID)
 	})
 }
 
-// alert leaves out engines that failed for several gateways after their last
-// heartbeat, if the next one is overdue.
-func (p *Placer) alert(es []registry.Entry, now time.Time) []registry.Entry {
+// excludeFailed removes engines that failed for several gateways after their last
+// heartbeat, if the next heartbeat is overdue.
+func (p *Placer) excludeFailed(es []registry.Entry, now time.Time) []registry.Entry {
 	for _, id := range p.suspects.Suspects() {
-		p.failed[id] = now
+		p.failedAt[id] = now
 	}
 	return slices.DeleteFunc(es, func(e registry.Entry) bool {
-		at, ok := p.failed[e.ID]
-		return ok && at.After(e.Heard) && now.Sub(e.Heard) > p.alive*overdueNum/overdueDen
+		at, ok := p.failedAt[e.ID]
+		return ok && at.After(e.Heard) && now.Sub(e.Heard) > p.heartbeatTimeout*overdueNum/overdueDen
 	})
 }
 
-// settleTime is short while no engine holds anything, as in a new fleet.
-func (p *Placer) settleTime(es []registry.Entry) time.Duration {
+// requiredSettleDelay returns the longer initial delay while no engine holds layers, as
+// in a new fleet.
+func (p *Placer) requiredSettleDelay(es []registry.Entry) time.Duration {
 	for _, e := range es {
 		if e.Layers.Len() > 0 {
-			return settle
+			return settleDelay
 		}
 	}
-	return firstSettle
+	return initialSettleDelay
 }
 
-func (p *Placer) place(ctx context.Context, s *release.Service, es []registry.Entry, now time.Time) {
+func (p *Placer) placeService(ctx context.Context, s *release.Service, es []registry.Entry, now time.Time) {
 	byID := make(map[fleet.UpstreamID]registry.Entry)
-	cards := make(map[fleet.DataCentreID]map[string]int)
+	cardCounts := make(map[fleet.DataCentreID]map[string]int)
 	for _, e := range es {
 		if _, ok := s.Engine.Cards[e.Card]; !ok || e.Pool != s.Pool || e.State != registry.Ready {
 			continue
 		}
 		byID[e.ID] = e
-		if cards[e.DataCentre] == nil {
-			cards[e.DataCentre] = make(map[string]int)
+		if cardCounts[e.DataCentre] == nil {
+			cardCounts[e.DataCentre] = make(map[string]int)
 		}
-		cards[e.DataCentre][e.Card]++
+		cardCounts[e.DataCentre][e.Card]++
 	}
-	streams := make(map[fleet.DataCentreID]map[string]int)
-	for d, n := range cards {
-		streams[d] = placement.Streams(s.Engine, n)
+	reservedStreams := make(map[fleet.DataCentreID]map[string]int)
+	for d, n := range cardCounts {
+		reservedStreams[d] = placement.ReservedStreams(s.Engine, n)
 	}
 	var engines []placement.Engine
 	for _, e := range byID {
-		engines = append(engines, p.view(s.Engine, e, streams[e.DataCentre][e.Card], now))
+		engines = append(engines, p.planningView(s.Engine, e, reservedStreams[e.DataCentre][e.Card], now))
 	}
 	for _, o := range cover.Plan(s.Engine.Layers, engines) {
-		p.start(ctx, s.Engine, byID[o.ID], o.Layers, now)
+		p.sendOrder(ctx, s.Engine, byID[o.ID], o.Layers, now)
 	}
 }
 
-// view is an engine with what its newest order will make of it.
-func (p *Placer) view(m *release.Engine, e registry.Entry, streams int, now time.Time) placement.Engine {
+// planningView returns an engine as the planner should see it, with its newest order
+// applied.
+func (p *Placer) planningView(m *release.Engine, e registry.Entry, reservedStreams int, now time.Time) placement.Engine {
 	c := m.Cards[e.Card]
-	room, usable := placement.Capacity(m, c, streams)
+	maxLayers, usableLayers := placement.Capacity(m, c, reservedStreams)
 	v := placement.Engine{
-		ID: e.ID, DataCentre: e.DataCentre, Holds: e.Layers, Room: room, Usable: usable, Pace: c.Pace,
+		ID: e.ID, DataCentre: e.DataCentre, Holds: e.Layers, MaxLayers: maxLayers, UsableLayers: usableLayers, Pace: c.Pace,
 	}
-	k, ok := p.engines[incarnation{e.ID, e.Born}]
+	k, ok := p.engines[engineKey{e.ID, e.Born}]
 	if !ok {
 		return v
 	}
-	if now.Before(k.until) {
+	if now.Before(k.targetUntil) {
 		v.Holds = k.target
-		v.Fixed = e.Layers != k.target
+		v.Pinned = e.Layers != k.target
 	}
-	v.Fixed = v.Fixed || k.busy || now.Before(k.next)
+	v.Pinned = v.Pinned || k.calling || now.Before(k.nextCall)
 	return v
 }
 
-// start asks the engine for its state if needed, and gives the order.
-func (p *Placer) start(ctx context.Context, m *release.Engine, e registry.Entry, r upstream.LayerRange, now time.Time) {
-	key := incarnation{e.ID, e.Born}
+// sendOrder starts a call that sends an order to an engine. It first fetches the number
+// of accepted orders if that is not known.
+func (p *Placer) sendOrder(ctx context.Context, m *release.Engine, e registry.Entry, r upstream.LayerRange, now time.Time) {
+	key := engineKey{e.ID, e.Born}
 	k := p.engines[key]
 	if k == nil {
-		k = &engine{}
+		k = &engineState{}
 		p.engines[key] = k
 	}
-	if k.busy || now.Before(k.next) {
+	if k.calling || now.Before(k.nextCall) {
 		return
 	}
-	k.busy = true
-	orders, known, fence := k.orders, k.known, p.fence
-	p.wait.Go(func() {
+	k.calling = true
+	orders, ordersKnown, fence := k.acceptedOrders, k.ordersKnown, p.fence
+	p.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		if !known {
+		if !ordersKnown {
 			report, err := p.commander.Report(ctx, e.ID, e.Address)
 			if err != nil || report.Busy {
-				p.logger.Info("An engine gets no order yet.", zap.String("upstream", string(e.ID)),
+				p.logger.Info("Placement order postponed: the engine is busy or sent no report.", zap.String("upstream", string(e.ID)),
 					zap.Bool("busy", report.Busy), zap.Error(err))
-				p.finish(k, fence, func() { k.next = p.clock.Now().Add(retryPause) })
+				p.finishCall(k, fence, func() { k.nextCall = p.clock.Now().Add(retryBackoff) })
 				return
 			}
 			orders = report.Orders
 		}
 		outcome, err := p.commander.Place(ctx, e.ID, e.Address, placement.Command{
-			Layers: r, Orders: orders, Fence: fence, Valid: func() bool { return p.leads(fence) },
+			Layers: r, Orders: orders, Fence: fence, Valid: func() bool { return p.stillLeads(fence) },
 		})
-		p.logger.Info("An engine got an order.", zap.String("upstream", string(e.ID)),
+		p.logger.Info("Placement order attempted.", zap.String("upstream", string(e.ID)),
 			zap.Int("from", int(r.From)), zap.Int("to", int(r.To)), zap.Uint64("fence", uint64(fence)),
 			zap.Uint64("orders", orders), zap.Duration("heardAgo", p.clock.Now().Sub(e.Heard)),
 			zap.Stringer("outcome", outcome), zap.Error(err))
-		p.finish(k, fence, func() { p.record(k, m, r, orders, outcome) })
+		p.finishCall(k, fence, func() { p.recordOutcome(k, m, r, orders, outcome) })
 	})
 }
 
-// leads reports whether the leadership under a fence still holds. The process may have
-// been paused since the order was decided, and another instance may lead now.
-func (p *Placer) leads(fence fleet.Fence) bool {
+// stillLeads reports whether this instance is still the leader with a fence. The process
+// may have been paused since the order was planned, and another instance may lead now.
+func (p *Placer) stillLeads(fence fleet.Fence) bool {
 	f, ok := p.leadership.Leading()
 	return ok && f == fence
 }
 
-// finish applies the result of a call, unless the leadership changed meanwhile.
-func (p *Placer) finish(k *engine, fence fleet.Fence, apply func()) {
+// finishCall applies the result of a call, unless the fence has changed since.
+func (p *Placer) finishCall(k *engineState, fence fleet.Fence, apply func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k.busy = false
+	k.calling = false
 	if p.fence == fence {
 		apply()
 	}
 }
 
-func (p *Placer) record(k *engine, m *release.Engine, r upstream.LayerRange, orders uint64, o placement.Outcome) {
+func (p *Placer) recordOutcome(k *engineState, m *release.Engine, r upstream.LayerRange, orders uint64, o placement.Outcome) {
 	now := p.clock.Now()
-	load := time.Duration(m.LoadSeconds * float64(r.Len()) / float64(m.Layers) * float64(time.Second))
+	loadTime := time.Duration(m.LoadSeconds * float64(r.Len()) / float64(m.Layers) * float64(time.Second))
 	switch o {
 	case placement.Accepted:
-		k.orders, k.known = orders+1, true
-		k.target, k.until = r, now.Add(load+p.alive+lateOrder)
+		k.acceptedOrders, k.ordersKnown = orders+1, true
+		k.target, k.targetUntil = r, now.Add(loadTime+p.heartbeatTimeout+orderGracePeriod)
 	case placement.Held:
-		k.orders, k.known = orders, true
-		k.target, k.until = r, now.Add(p.alive)
+		k.acceptedOrders, k.ordersKnown = orders, true
+		k.target, k.targetUntil = r, now.Add(p.heartbeatTimeout)
 	case placement.Unanswered:
-		// The order may be carried out, so the engine counts as having it, until a
-		// report shows whether it does.
-		k.known = false
-		k.target, k.until = r, now.Add(load+lateOrder)
+		// The order may still be carried out, so the engine counts as holding the range
+		// until a report shows whether it does.
+		k.ordersKnown = false
+		k.target, k.targetUntil = r, now.Add(loadTime+orderGracePeriod)
 	case placement.Refused, placement.Fenced:
-		k.known = false
-		k.next = now.Add(retryPause)
+		k.ordersKnown = false
+		k.nextCall = now.Add(retryBackoff)
 	}
 }
--- a/internal/placement/placer/placer_test.go
+++ b/internal/placement/placer/placer_test.go
@@ -18,7 +18,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/release"
 )
 
-// leadership is one that a test ends.
+// leadership is a Leadership whose fence a test can change. Fence 0 means not leading.
 type leadership struct {
 	mu    sync.Mutex
 	fence fleet.Fence
@@ -36,10 +36,10 @@
 	l.fence = f
 }
 
-// inForce is a release with one engine of four layers.
-type inForce struct{}
+// testReleases returns a release with one service whose model has four layers.
+type testReleases struct{}
 
-func (inForce) InForce() *release.Release {
+func (testReleases) InForce() *release.Release {
 	return &release.Release{Services: []release.Service{{Pool: "model", Engine: &release.Engine{
 		Layers: 4, LayerMB: 1, UsualPrompt: 1, UsualAnswer: 1, TokenBytes: 1,
 		Cards: map[string]release.Card{"card": {MemoryMB: 100, Pace: 1, ReadFactor: 1}},
@@ -51,10 +51,10 @@
 func (noSuspects) Suspects() []fleet.UpstreamID { return nil }
 func (noSuspects) Serving() []fleet.UpstreamID  { return nil }
 
-// commander calls lose before an order is written.
+// commander calls beforeOrder before it checks whether an order is valid.
 type commander struct {
-	lose  func()
-	valid chan bool
+	beforeOrder func()
+	valid       chan bool
 }
 
 func (c *commander) Report(context.Context, fleet.UpstreamID, string) (placement.Report, error) {
@@ -62,7 +62,7 @@
 }
 
 func (c *commander) Place(_ context.Context, _ fleet.UpstreamID, _ string, o placement.Command) (placement.Outcome, error) {
-	c.lose()
+	c.beforeOrder()
 	select {
 	case c.valid <- o.Valid():
 	default:
@@ -70,17 +70,17 @@
 	return placement.Refused, nil
 }
 
-// play lets a placer decide on its first order, changes the leadership, and returns
-// whether the order counts as valid then.
-func play(t *testing.T, next fleet.Fence) bool {
+// orderValidAfterChange lets a placer plan its first order, changes the fence to next, and
+// returns whether the order is then still valid.
+func orderValidAfterChange(t *testing.T, next fleet.Fence) bool {
 	clock := fakeclock.New(fakeclock.Start)
 	roster := catalog.New(clock)
 	entry := registry.Entry{
 		ID: "e1", Born: 1, Pool: "model", Address: "127.0.0.1:1", State: registry.Ready, Card: "card", Slots: 10,
 	}
 	l := &leadership{fence: 3}
-	m := &commander{lose: func() { l.set(next) }, valid: make(chan bool, 1)}
-	p := placer.New(clock, roster, l, inForce{}, m, noSuspects{}, time.Hour, zap.NewNop())
+	m := &commander{beforeOrder: func() { l.set(next) }, valid: make(chan bool, 1)}
+	p := placer.New(clock, roster, l, testReleases{}, m, noSuspects{}, time.Hour, zap.NewNop())
 	defer p.Stop()
 	for {
 		entry.Sequence++
@@ -95,11 +95,11 @@
 	}
 }
 
-// Guards against an order of an instance that was paused between its decision and the
-// order, while another one became the leader.
+// Guards against an order from an instance that was paused between planning the order
+// and sending it, while another instance became the leader.
 func TestOrderOfLostLeadershipIsNotValid(t *testing.T) {
 	is := is.New(t)
-	is.True(!play(t, 0)) // lost
-	is.True(!play(t, 4)) // lost and won again, with another view of the engines
-	is.True(play(t, 3))
+	is.True(!orderValidAfterChange(t, 0)) // lost
+	is.True(!orderValidAfterChange(t, 4)) // lost and won again, with a new state of the engines
+	is.True(orderValidAfterChange(t, 3))
 }
--- a/internal/registry/catalog/catalog.go
+++ b/internal/registry/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog merges entries of the roster from several sources. The newest
-// incarnation and heartbeat of an upstream wins, whatever the order of arrival.
+// Package catalog merges entries of the upstream registry from several sources. The
+// newest incarnation and heartbeat of an upstream wins, in whatever order they arrive.
 package catalog
 
 import (
@@ -10,62 +10,64 @@
 	"github.com/bilberryrock/bilberryrock/internal/registry"
 )
 
-// forgetAfter is how long an entry that is gone or silent is kept. It is longer
-// than a delayed heartbeat can take, which would otherwise bring it back.
-const forgetAfter = 90 * time.Second
+// retention is how long an entry is kept after its last heartbeat. It exceeds the
+// longest delay of a heartbeat. Otherwise a delayed heartbeat could restore an entry
+// that is gone.
+const retention = 90 * time.Second
 
-// Catalog is the merged roster. It is safe for concurrent use.
+// Catalog is the merged registry. It is safe for concurrent use.
 type Catalog struct {
-	clock   fleet.Clock
-	mu      sync.Mutex
-	items   map[fleet.UpstreamID]*item
-	stamp   uint64
-	changed chan struct{}
+	clock    fleet.Clock
+	mu       sync.Mutex
+	records  map[fleet.UpstreamID]*record
+	revision uint64
+	changed  chan struct{}
 }
 
-type item struct {
+// record is the entry of one upstream with the revisions of its changes.
+type record struct {
 	entry  registry.Entry
 	digest uint64
-	// heard is the stamp of the newest heartbeat from any source, and own that of the
-	// newest one that was heard here.
-	heard, own stamps
+	// all are the revisions of heartbeats from any source, and direct those of
+	// heartbeats that the upstream sent to this instance.
+	all, direct revisions
 }
 
-// stamps are those of the newest heartbeat, and of the first one with the present content
-// of the entry. Followers with an older stamp than that lack the entry, the others only a
-// sign of life. The second is 0 where the content was not heard from the source yet.
-type stamps struct{ sign, entry uint64 }
+// revisions holds the catalog revisions of the newest heartbeat, and of the first one
+// with the current content of the entry. A follower at a revision before content lacks
+// the entry; one before heartbeat lacks only a renewal. content is 0 if the source has
+// not sent the current content yet.
+type revisions struct{ heartbeat, content uint64 }
 
-// next returns the stamps after a heartbeat.
-func (s stamps) next(stamp uint64) stamps {
-	if s.entry == 0 {
-		s.entry = stamp
+// advance returns the revisions after a heartbeat at a catalog revision.
+func (s revisions) advance(revision uint64) revisions {
+	if s.content == 0 {
+		s.content = revision
 	}
-	s.sign = stamp
+	s.heartbeat = revision
 	return s
 }
 
-// News is what a follower lacks.
-type News struct {
-	// Entries told something new, and Signs belong to entries that the follower has.
-	Entries []registry.Entry
-	Signs   []registry.Sign
-	// Stamp is the newest stamp.
-	Stamp uint64
+// Delta holds the changes that a follower lacks.
+type Delta struct {
+	// Entries are new or changed, and Renewals belong to entries that the follower has.
+	Entries  []registry.Entry
+	Renewals []registry.Renewal
+	// Revision is the newest revision of the catalog.
+	Revision uint64
 }
 
 // New returns an empty Catalog.
 func New(clock fleet.Clock) *Catalog {
-	return &Catalog{clock: clock, items: make(map[fleet.UpstreamID]*item), changed: make(chan struct{})}
+	return &Catalog{clock: clock, records: make(map[fleet.UpstreamID]*record), changed: make(chan struct{})}
 }
 
-// Put merges an entry. own tells that this instance heard it from the upstream
-// itself. The result tells whether the entry changed more than the time at which
-// the upstream was last heard.
-func (c *Catalog) Put(e registry.Entry, own bool) bool {
+// Put merges an entry. direct means that the upstream sent it to this instance. Put
+// reports whether anything changed that SameContent compares.
+func (c *Catalog) Put(e registry.Entry, direct bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	old, ok := c.items[e.ID]
+	old, ok := c.records[e.ID]
 	if ok && !e.Newer(old.entry) {
 		return false
 	}
@@ -73,25 +75,25 @@
 		e.State = registry.Leaving
 	}
 	if ok && e.State == registry.Gone {
-		e = goneOf(e, old.entry)
+		e = mergeGone(e, old.entry)
 	}
 	if c.superseded(e) {
 		return false
 	}
-	c.stamp++
-	same := ok && e.Same(old.entry)
-	it := &item{entry: e}
+	c.revision++
+	same := ok && e.SameContent(old.entry)
+	it := &record{entry: e}
 	if ok {
-		it.heard, it.own, it.digest = old.heard, old.own, old.digest
+		it.all, it.direct, it.digest = old.all, old.direct, old.digest
 	}
 	if !same {
-		it.change()
+		it.contentChanged()
 	}
-	it.heard = it.heard.next(c.stamp)
-	if own {
-		it.own = it.own.next(c.stamp)
+	it.all = it.all.advance(c.revision)
+	if direct {
+		it.direct = it.direct.advance(c.revision)
 	}
-	c.items[e.ID] = it
+	c.records[e.ID] = it
 	if same {
 		return false
 	}
@@ -100,106 +102,109 @@
 	return true
 }
 
-// goneOf keeps what is known of an upstream that said only that it is gone.
-func goneOf(e, old registry.Entry) registry.Entry {
-	if e.Pool != "" || e.Born != old.Born {
+// mergeGone completes an entry that says only that an upstream is gone with the fields
+// that are known.
+func mergeGone(e, known registry.Entry) registry.Entry {
+	if e.Pool != "" || e.Born != known.Born {
 		return e
 	}
-	heard := e.Heard
-	sequence := max(e.Sequence, old.Sequence)
-	e = old
-	e.State, e.Heard, e.Sequence = registry.Gone, heard, sequence
+	lastHeartbeat := e.Heard
+	sequence := max(e.Sequence, known.Sequence)
+	e = known
+	e.State, e.Heard, e.Sequence = registry.Gone, lastHeartbeat, sequence
 	return e
 }
 
-// superseded reports whether a later process has the address of e. A heartbeat
-// that was delayed may arrive after another upstream took the address over.
+// superseded reports whether an upstream that started later has the address of e, so
+// that e is a delayed heartbeat. Upstreams at that address that started earlier than e
+// are marked as gone.
 func (c *Catalog) superseded(e registry.Entry) bool {
 	if e.State == registry.Gone || e.Address == "" {
 		return false
 	}
-	for id, it := range c.items {
+	for id, it := range c.records {
 		if id == e.ID || it.entry.Address != e.Address || it.entry.State == registry.Gone {
 			continue
 		}
 		if it.entry.Born > e.Born {
 			return true
 		}
-		c.stamp++
+		c.revision++
 		it.entry.State = registry.Gone
-		it.change()
-		it.heard = it.heard.next(c.stamp)
+		it.contentChanged()
+		it.all = it.all.advance(c.revision)
 	}
 	return false
 }
 
-// Remove marks an upstream as gone that said so without naming its incarnation.
-// It reports whether the upstream was known.
-func (c *Catalog) Remove(id fleet.UpstreamID, born fleet.Incarnation) bool {
+// Remove marks an upstream as gone. Incarnation 0 stands for the known one. Remove
+// reports whether the upstream was known.
+func (c *Catalog) Remove(id fleet.UpstreamID, incarnation fleet.Incarnation) bool {
 	c.mu.Lock()
-	old, ok := c.items[id]
+	old, ok := c.records[id]
 	c.mu.Unlock()
 	if !ok {
 		return false
 	}
-	if born == 0 {
-		born = old.entry.Born
+	if incarnation == 0 {
+		incarnation = old.entry.Born
 	}
-	c.Put(registry.Entry{ID: id, Born: born, State: registry.Gone, Heard: c.clock.Now()}, true)
+	c.Put(registry.Entry{ID: id, Born: incarnation, State: registry.Gone, Heard: c.clock.Now()}, true)
 	return true
 }
 
-// Changed returns a channel that is closed at the next change of any entry, other
-// than a heartbeat that tells nothing new.
+// Changed returns a channel that is closed when an entry is added or its content
+// changes. Renewals don't close it.
 func (c *Catalog) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-// Since returns what is newer than a stamp. With own it returns only what this
-// instance heard itself.
-func (c *Catalog) Since(after uint64, own bool) News {
+// Since returns the changes after a revision. With direct it returns only those that
+// upstreams sent to this instance.
+func (c *Catalog) Since(after uint64, direct bool) Delta {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
-	n := News{Stamp: c.stamp}
-	for id, it := range c.items {
-		if now.Sub(it.entry.Heard) > forgetAfter {
-			delete(c.items, id)
+	n := Delta{Revision: c.revision}
+	for id, it := range c.records {
+		if now.Sub(it.entry.Heard) > retention {
+			delete(c.records, id)
 			continue
 		}
-		s := it.heard
-		if own {
-			s = it.own
+		s := it.all
+		if direct {
+			s = it.direct
 		}
 		switch {
-		case s.sign <= after:
-		case s.entry > after || s.entry == 0:
+		case s.heartbeat <= after:
+		case s.content > after || s.content == 0:
 			n.Entries = append(n.Entries, it.entry)
 		default:
-			n.Signs = append(n.Signs, it.sign())
+			n.Renewals = append(n.Renewals, it.renewal())
 		}
 	}
 	return n
 }
 
-// change notes that the entry has another content, which followers do not have.
-func (i *item) change() {
+// contentChanged records that the content of the entry changed, so that followers lack
+// it.
+func (i *record) contentChanged() {
 	i.digest = i.entry.Digest()
-	i.heard.entry, i.own.entry = 0, 0
+	i.all.content, i.direct.content = 0, 0
 }
 
-func (i *item) sign() registry.Sign {
-	return registry.Sign{ID: i.entry.ID, Born: i.entry.Born, Sequence: i.entry.Sequence, Digest: i.digest, Heard: i.entry.Heard}
+func (i *record) renewal() registry.Renewal {
+	return registry.Renewal{ID: i.entry.ID, Born: i.entry.Born, Sequence: i.entry.Sequence, Digest: i.digest, Heard: i.entry.Heard}
 }
 
-// Renew merges a sign of life. It reports whether the sign is old or belongs to the
-// entry that is known; another source may have told of a content that the sign's one
-// never heard of.
-func (c *Catalog) Renew(s registry.Sign) bool {
+// Renew merges a renewal. It returns false if the upstream is unknown or the renewal is
+// newer but of other content than the known entry. The known content may come from
+// another source, which the sender of the renewal never received.
+func (c *Catalog) Renew(s registry.Renewal) bool {
 	c.mu.Lock()
-	it, ok := c.items[s.ID]
+	it, ok := c.records[s.ID]
 	if !ok {
 		c.mu.Unlock()
 		return false
@@ -222,21 +227,21 @@
 func (c *Catalog) Get(id fleet.UpstreamID) (registry.Entry, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	it, ok := c.items[id]
+	it, ok := c.records[id]
 	if !ok {
 		return registry.Entry{}, false
 	}
 	return it.entry, true
 }
 
-// All returns all entries that were heard within a time.
-func (c *Catalog) All(within time.Duration) []registry.Entry {
+// All returns the entries whose last heartbeat is at most maxAge old.
+func (c *Catalog) All(maxAge time.Duration) []registry.Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
-	es := make([]registry.Entry, 0, len(c.items))
-	for _, it := range c.items {
-		if now.Sub(it.entry.Heard) <= within {
+	es := make([]registry.Entry, 0, len(c.records))
+	for _, it := range c.records {
+		if now.Sub(it.entry.Heard) <= maxAge {
 			es = append(es, it.entry)
 		}
 	}
--- a/internal/registry/catalog/catalog_test.go
+++ b/internal/registry/catalog/catalog_test.go
@@ -15,8 +15,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/registry/catalog"
 )
 
-// TestScripts guards against delayed heartbeats that bring back an upstream that
-// left, that was replaced at its address or that started again.
+// TestScripts guards against delayed heartbeats that restore an upstream that left, was
+// replaced at its address or restarted.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		clock := fakeclock.New(fakeclock.Start)
@@ -24,16 +24,16 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "heartbeat":
-				return fmt.Sprintf("changed %t\n%s", c.Put(entry(t, d, clock.Now()), !d.HasArg("relayed")), show(c, clock))
+				return fmt.Sprintf("changed %t\n%s", c.Put(parseEntry(t, d, clock.Now()), !d.HasArg("relayed")), formatCatalog(c, clock))
 			case "leave":
 				var id string
-				var born int
+				var incarnation int
 				d.ScanArgs(t, "id", &id)
 				if d.HasArg("born") {
-					d.ScanArgs(t, "born", &born)
+					d.ScanArgs(t, "born", &incarnation)
 				}
-				return fmt.Sprintf("known %t\n%s", c.Remove(fleet.UpstreamID(id), fleet.Incarnation(born)), show(c, clock))
-			case "pass":
+				return fmt.Sprintf("known %t\n%s", c.Remove(fleet.UpstreamID(id), fleet.Incarnation(incarnation)), formatCatalog(c, clock))
+			case "advance":
 				var s string
 				d.ScanArgs(t, "time", &s)
 				n, err := time.ParseDuration(s)
@@ -41,28 +41,28 @@
 					d.Fatalf(t, "%v", err)
 				}
 				clock.Advance(n)
-				return show(c, clock)
-			case "own":
-				return list(c.Since(0, true).Entries, clock)
+				return formatCatalog(c, clock)
+			case "direct":
+				return formatEntries(c.Since(0, true).Entries, clock)
 			case "since":
-				var stamp int
-				d.ScanArgs(t, "stamp", &stamp)
-				return news(c.Since(uint64(stamp), d.HasArg("own")), clock)
-			case "sign":
+				var revision int
+				d.ScanArgs(t, "revision", &revision)
+				return formatDelta(c.Since(uint64(revision), d.HasArg("direct")), clock)
+			case "renew":
 				var id string
-				var born, sequence int
+				var incarnation, sequence int
 				d.ScanArgs(t, "id", &id)
-				d.ScanArgs(t, "born", &born)
+				d.ScanArgs(t, "born", &incarnation)
 				d.ScanArgs(t, "sequence", &sequence)
 				e, _ := c.Get(fleet.UpstreamID(id))
 				digest := e.Digest()
-				if d.HasArg("other") {
+				if d.HasArg("otherDigest") {
 					digest++
 				}
-				return fmt.Sprintf("fits %t\n%s", c.Renew(registry.Sign{
-					ID: fleet.UpstreamID(id), Born: fleet.Incarnation(born), Sequence: uint64(sequence),
+				return fmt.Sprintf("matches %t\n%s", c.Renew(registry.Renewal{
+					ID: fleet.UpstreamID(id), Born: fleet.Incarnation(incarnation), Sequence: uint64(sequence),
 					Digest: digest, Heard: clock.Now(),
-				}), show(c, clock))
+				}), formatCatalog(c, clock))
 			}
 			d.Fatalf(t, "unknown command %q", d.Cmd)
 			return ""
@@ -70,36 +70,38 @@
 	})
 }
 
-func entry(t *testing.T, d *datadriven.TestData, now time.Time) registry.Entry {
+func parseEntry(t *testing.T, d *datadriven.TestData, now time.Time) registry.Entry {
 	var id, address, state string
-	var born, sequence int
+	var incarnation, sequence int
 	d.ScanArgs(t, "id", &id)
 	d.ScanArgs(t, "at", &address)
 	d.ScanArgs(t, "state", &state)
-	d.ScanArgs(t, "born", &born)
+	d.ScanArgs(t, "born", &incarnation)
 	d.ScanArgs(t, "sequence", &sequence)
 	s, err := fleet.ParseName[registry.State](state, 4)
 	if err != nil {
 		d.Fatalf(t, "%v", err)
 	}
 	return registry.Entry{
-		ID: fleet.UpstreamID(id), Address: address, State: s, Born: fleet.Incarnation(born),
+		ID: fleet.UpstreamID(id), Address: address, State: s, Born: fleet.Incarnation(incarnation),
 		Sequence: uint64(sequence), Pool: "p", Heard: now,
 	}
 }
 
-func news(n catalog.News, clock *fakeclock.Clock) string {
-	slices.SortFunc(n.Signs, func(a, b registry.Sign) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	b := list(n.Entries, clock)
-	for _, s := range n.Signs {
-		b += fmt.Sprintf("sign of %s born %d sequence %d\n", s.ID, s.Born, s.Sequence)
+func formatDelta(n catalog.Delta, clock *fakeclock.Clock) string {
+	slices.SortFunc(n.Renewals, func(a, b registry.Renewal) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	b := formatEntries(n.Entries, clock)
+	for _, s := range n.Renewals {
+		b += fmt.Sprintf("renewal of %s born %d sequence %d\n", s.ID, s.Born, s.Sequence)
 	}
-	return b + fmt.Sprintf("stamp %d\n", n.Stamp)
+	return b + fmt.Sprintf("revision %d\n", n.Revision)
 }
 
-func show(c *catalog.Catalog, clock *fakeclock.Clock) string { return list(c.All(time.Hour), clock) }
+func formatCatalog(c *catalog.Catalog, clock *fakeclock.Clock) string {
+	return formatEntries(c.All(time.Hour), clock)
+}
 
-func list(es []registry.Entry, clock *fakeclock.Clock) string {
+func formatEntries(es []registry.Entry, clock *fakeclock.Clock) string {
 	slices.SortFunc(es, func(a, b registry.Entry) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	var b strings.Builder
 	for _, e := range es {
--- a/internal/registry/feed/client.go
+++ b/internal/registry/feed/client.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// silence is the time without a message after which a controller counts as
+	// silenceTimeout is the time without a message after which a controller counts as
 	// unreachable. It covers a few intervals and a slow controller.
-	silence = 4 * Interval
-	// unconfirmed is the time without a confirmation by a majority after which a
+	silenceTimeout = 4 * Interval
+	// confirmationTimeout is the time without a confirmation by a majority after which a
 	// gateway turns to another controller. It is longer than an election.
-	unconfirmed = 1100 * time.Millisecond
-	// stay is the least time to follow a controller of another data centre while one
+	confirmationTimeout = 1100 * time.Millisecond
+	// minFollowTime is the least time to follow a controller of another data centre while one
 	// of the own data centre is known.
-	stay = 5 * time.Second
-	// firstMessage bounds the time to connect and get the first message.
-	firstMessage = 1200 * time.Millisecond
-	// pause is the wait before the next controller is tried.
-	pause = 60 * time.Millisecond
+	minFollowTime = 5 * time.Second
+	// firstMessageTimeout bounds the time to connect and get the first message.
+	firstMessageTimeout = 1200 * time.Millisecond
+	// retryBackoff is the wait before the next controller is tried.
+	retryBackoff = 60 * time.Millisecond
 )
 
 // Update is one message of a controller in the types of the system.
@@ -40,8 +40,8 @@
 	From    string // peer address of the controller
 	Held    store.Held
 	Entries []registry.Entry
-	// Signs belong to entries that came before.
-	Signs []registry.Sign
+	// Renewals belong to entries that came before.
+	Renewals []registry.Renewal
 	// Confirmed is the own clock at a time after which a majority confirmed that
 	// ConfirmedVersion was the newest release, or 0.
 	Confirmed        time.Duration
@@ -56,7 +56,7 @@
 // error tells that it has another content of one.
 func (u *Update) Renew(c *catalog.Catalog) error {
 	var failed error
-	for _, s := range u.Signs {
+	for _, s := range u.Renewals {
 		if !c.Renew(s) {
 			failed = errors.Errorf("a sign of life of upstream %s is not that of the entry known", s.ID)
 		}
@@ -80,33 +80,33 @@
 // Client follows one controller at a time and turns to another one when it goes
 // silent.
 type Client struct {
-	instance fleet.InstanceID
-	clock    fleet.Clock
-	receiver Receiver
-	logger   *zap.Logger
-	dial     []grpc.DialOption
-	// fixed is the only controller to follow, or empty.
-	fixed  string
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
+	instance    fleet.InstanceID
+	clock       fleet.Clock
+	receiver    Receiver
+	logger      *zap.Logger
+	dialOptions []grpc.DialOption
+	// onlyController is the only controller to follow, or empty.
+	onlyController string
+	cancel         context.CancelFunc
+	wg             sync.WaitGroup
 
-	home  fleet.DataCentreID
-	mu    sync.Mutex
-	known []Controller
+	dataCentre  fleet.DataCentreID
+	mu          sync.Mutex
+	controllers []Controller
 }
 
 // ClientOption sets one property of a Client.
 type ClientOption func(*Client)
 
 // Only makes a controller follow one other controller and nothing else.
-func Only(address string) ClientOption { return func(c *Client) { c.fixed = address } }
+func Only(address string) ClientOption { return func(c *Client) { c.onlyController = address } }
 
 // Seeds sets the controllers that are known from the start.
 func Seeds(addresses ...string) ClientOption {
-	return func(c *Client) { c.Learn(seeds(addresses)) }
+	return func(c *Client) { c.AddControllers(seedControllers(addresses)) }
 }
 
-func seeds(addresses []string) []Controller {
+func seedControllers(addresses []string) []Controller {
 	ks := make([]Controller, len(addresses))
 	for i, a := range addresses {
 		ks[i].Address = a
@@ -115,11 +115,11 @@
 }
 
 // Home sets the data centre whose controllers go first.
-func Home(d fleet.DataCentreID) ClientOption { return func(c *Client) { c.home = d } }
+func Home(d fleet.DataCentreID) ClientOption { return func(c *Client) { c.dataCentre = d } }
 
 // Dial adds options for connections.
 func Dial(os ...grpc.DialOption) ClientOption {
-	return func(c *Client) { c.dial = append(c.dial, os...) }
+	return func(c *Client) { c.dialOptions = append(c.dialOptions, os...) }
 }
 
 // NewClient starts to follow. Stop ends it.
@@ -130,10 +130,10 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	c.wait.Go(func() {
+	c.wg.Go(func() {
 		last := ""
 		for ctx.Err() == nil {
-			address := c.next(last)
+			address := c.nextController(last)
 			last = address
 			if address != "" {
 				err := c.follow(ctx, address)
@@ -143,7 +143,7 @@
 			}
 			select {
 			case <-ctx.Done():
-			case <-c.clock.After(pause):
+			case <-c.clock.After(retryBackoff):
 			}
 		}
 	})
@@ -153,82 +153,82 @@
 // Stop ends the stream and waits for it.
 func (c *Client) Stop() {
 	c.cancel()
-	c.wait.Wait()
+	c.wg.Wait()
 }
 
-// next returns the controller to try after last.
-func (c *Client) next(last string) string {
-	if c.fixed != "" {
-		return c.fixed
+// nextController returns the controller to try after last.
+func (c *Client) nextController(last string) string {
+	if c.onlyController != "" {
+		return c.onlyController
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	others := slices.DeleteFunc(slices.Clone(c.known), func(k Controller) bool { return k.Address == last })
+	others := slices.DeleteFunc(slices.Clone(c.controllers), func(k Controller) bool { return k.Address == last })
 	if len(others) == 0 {
 		return last
 	}
-	near := slices.DeleteFunc(slices.Clone(others), func(k Controller) bool { return k.DataCentre != c.home })
-	if len(near) > 0 && !c.isNear(last) {
-		return near[rand.IntN(len(near))].Address
+	local := slices.DeleteFunc(slices.Clone(others), func(k Controller) bool { return k.DataCentre != c.dataCentre })
+	if len(local) > 0 && !c.isLocal(last) {
+		return local[rand.IntN(len(local))].Address
 	}
 	return others[rand.IntN(len(others))].Address
 }
 
-func (c *Client) isNear(address string) bool {
-	return slices.Contains(c.known, Controller{Address: address, DataCentre: c.home})
+func (c *Client) isLocal(address string) bool {
+	return slices.Contains(c.controllers, Controller{Address: address, DataCentre: c.dataCentre})
 }
 
-// mayReturn reports whether a controller of the own data centre is known while
+// canFollowLocal reports whether a controller of the own data centre is known while
 // another one is followed.
-func (c *Client) mayReturn(address string) bool {
-	if c.fixed != "" || c.home == "" {
+func (c *Client) canFollowLocal(address string) bool {
+	if c.onlyController != "" || c.dataCentre == "" {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.isNear(address) && slices.ContainsFunc(c.known, func(k Controller) bool { return k.DataCentre == c.home })
+	return !c.isLocal(address) && slices.ContainsFunc(c.controllers, func(k Controller) bool { return k.DataCentre == c.dataCentre })
 }
 
-// Learn adds controllers to those that may be followed.
-func (c *Client) Learn(ks []Controller) {
+// AddControllers adds controllers to those that may be followed.
+func (c *Client) AddControllers(ks []Controller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range ks {
-		i := slices.IndexFunc(c.known, func(o Controller) bool { return o.Address == k.Address })
+		i := slices.IndexFunc(c.controllers, func(o Controller) bool { return o.Address == k.Address })
 		switch {
 		case i < 0:
-			c.known = append(c.known, k)
+			c.controllers = append(c.controllers, k)
 		case k.DataCentre != "":
-			c.known[i] = k
+			c.controllers[i] = k
 		}
 	}
 }
 
 // LearnSeeds adds the controllers at some addresses.
-func (c *Client) LearnSeeds(addresses []string) { c.Learn(seeds(addresses)) }
+func (c *Client) LearnSeeds(addresses []string) { c.AddControllers(seedControllers(addresses)) }
 
 // follow reads one stream until it fails or goes silent.
 func (c *Client) follow(ctx context.Context, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	conn, err := grpc.NewClient("passthrough:///"+address, c.dial...)
+	conn, err := grpc.NewClient("passthrough:///"+address, c.dialOptions...)
 	if err != nil {
 		return errors.Wrapf(err, "connect to %s", address)
 	}
 	defer func() { _ = conn.Close() }()
-	began := c.clock.Now()
-	progress, confirmed := began, time.Duration(0)
-	timer := time.AfterFunc(firstMessage, cancel)
+	started := c.clock.Now()
+	lastConfirmed, confirmed := started, time.Duration(0)
+	timer := time.AfterFunc(firstMessageTimeout, cancel)
 	defer timer.Stop()
 	s, err := peerv1.NewFeedClient(conn).Follow(ctx)
 	if err != nil {
 		return errors.Wrapf(err, "follow %s", address)
 	}
-	ask := &peerv1.FollowRequest{
-		Instance: string(c.instance), Controller: c.fixed != "", Version: uint64(c.receiver.Version()),
+	request := &peerv1.FollowRequest{
+		Instance: string(c.instance), Controller: c.onlyController != "", Version: uint64(c.receiver.Version()),
 		Stamp: uint64(c.receiver.Stamp().Microseconds()),
 	}
-	if err := s.Send(ask); err != nil {
+	if err := s.Send(request); err != nil {
 		return errors.Wrapf(err, "follow %s", address)
 	}
 	first := true
@@ -237,7 +237,7 @@
 		if err != nil {
 			return errors.Wrapf(err, "follow %s", address)
 		}
-		timer.Reset(silence)
+		timer.Reset(silenceTimeout)
 		if first {
 			c.logger.Info("Following a controller.", zap.String("controller", address))
 			first = false
@@ -246,25 +246,25 @@
 		if err != nil {
 			return errors.Wrapf(err, "follow %s", address)
 		}
-		c.Learn(u.Controllers)
+		c.AddControllers(u.Controllers)
 		if err := c.receiver.Receive(u); err != nil {
 			return errors.Wrapf(err, "follow %s", address)
 		}
 		if u.Confirmed > confirmed {
-			progress, confirmed = c.clock.Now(), u.Confirmed
+			lastConfirmed, confirmed = c.clock.Now(), u.Confirmed
 		}
-		if c.clock.Now().Sub(began) > stay && c.mayReturn(address) {
+		if c.clock.Now().Sub(started) > minFollowTime && c.canFollowLocal(address) {
 			return errors.Errorf("controller %s is in another data centre", address)
 		}
-		if c.fixed == "" && c.clock.Now().Sub(progress) > unconfirmed {
+		if c.onlyController == "" && c.clock.Now().Sub(lastConfirmed) > confirmationTimeout {
 			return errors.Errorf("controller %s is cut off from the majority", address)
 		}
-		ask := &peerv1.FollowRequest{Stamp: uint64(c.receiver.Stamp().Microseconds()), Bare: u.Sums == nil}
+		request := &peerv1.FollowRequest{Stamp: uint64(c.receiver.Stamp().Microseconds()), Bare: u.Sums == nil}
 		if u.Sums != nil {
 			report := c.receiver.Report()
-			ask.Uses, ask.Sends = usesToProto(report.Uses), sendsToProto(report.Sends)
+			request.Uses, request.Sends = statsToProto(report.Uses), attemptsToProto(report.Sends)
 		}
-		if err := s.Send(ask); err != nil {
+		if err := s.Send(request); err != nil {
 			return errors.Wrapf(err, "follow %s", address)
 		}
 	}
@@ -277,7 +277,7 @@
 	}
 	u := Update{
 		From:             address,
-		Held:             store.Held{Version: release.Version(p.GetVersion()), Packed: p.GetRelease()},
+		Held:             store.Held{Version: release.Version(p.GetVersion()), Gzipped: p.GetRelease()},
 		Confirmed:        time.Duration(p.GetConfirmedStamp()) * time.Microsecond,
 		ConfirmedVersion: release.Version(p.GetConfirmedVersion()),
 		Sums:             sums,
@@ -287,10 +287,10 @@
 	}
 	now := c.clock.Now()
 	for _, e := range p.GetEntries() {
-		u.Entries = append(u.Entries, fromProto(e, now))
+		u.Entries = append(u.Entries, entryFromProto(e, now))
 	}
 	for _, g := range p.GetSigns() {
-		u.Signs = append(u.Signs, signFromProto(g, now))
+		u.Renewals = append(u.Renewals, renewalFromProto(g, now))
 	}
 	return u, nil
 }
--- a/internal/registry/feed/codec.go
+++ b/internal/registry/feed/codec.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-func usesToProto(us []usage.Use) []*peerv1.UpstreamUse {
+func statsToProto(us []usage.Use) []*peerv1.UpstreamUse {
 	ps := make([]*peerv1.UpstreamUse, len(us))
 	for i, u := range us {
 		ps[i] = &peerv1.UpstreamUse{Id: string(u.ID), Active: uint32(u.Active), Failed: u.Failed, Served: u.Served, Full: u.Full, Pace: float32(u.Pace)}
@@ -19,7 +19,7 @@
 	return ps
 }
 
-func usesFromProto(ps []*peerv1.UpstreamUse) []usage.Use {
+func statsFromProto(ps []*peerv1.UpstreamUse) []usage.Use {
 	us := make([]usage.Use, len(ps))
 	for i, p := range ps {
 		us[i] = usage.Use{ID: fleet.UpstreamID(p.GetId()), Active: int(p.GetActive()), Failed: p.GetFailed(), Served: p.GetServed(), Full: p.GetFull(), Pace: float64(p.GetPace())}
@@ -27,23 +27,23 @@
 	return us
 }
 
-func sendsToProto(sends map[fleet.PoolID]budget.Count) []*peerv1.PoolSends {
+func attemptsToProto(attempts map[fleet.PoolID]budget.Count) []*peerv1.PoolSends {
 	var ps []*peerv1.PoolSends
-	for id, c := range sends {
+	for id, c := range attempts {
 		ps = append(ps, &peerv1.PoolSends{Pool: string(id), Attempts: uint32(c.Attempts), Retries: uint32(c.Retries)})
 	}
 	return ps
 }
 
-func sendsFromProto(ps []*peerv1.PoolSends) map[fleet.PoolID]budget.Count {
-	sends := make(map[fleet.PoolID]budget.Count, len(ps))
+func attemptsFromProto(ps []*peerv1.PoolSends) map[fleet.PoolID]budget.Count {
+	attempts := make(map[fleet.PoolID]budget.Count, len(ps))
 	for _, p := range ps {
-		sends[fleet.PoolID(p.GetPool())] = budget.Count{Attempts: int(p.GetAttempts()), Retries: int(p.GetRetries())}
+		attempts[fleet.PoolID(p.GetPool())] = budget.Count{Attempts: int(p.GetAttempts()), Retries: int(p.GetRetries())}
 	}
-	return sends
+	return attempts
 }
 
-func toProto(e registry.Entry, now time.Time) *peerv1.UpstreamEntry {
+func entryToProto(e registry.Entry, now time.Time) *peerv1.UpstreamEntry {
 	return &peerv1.UpstreamEntry{
 		Id: string(e.ID), Born: uint64(e.Born), Sequence: e.Sequence, Pool: string(e.Pool),
 		Address: e.Address, DataCentre: string(e.DataCentre), Slots: uint32(e.Slots),
@@ -54,35 +54,35 @@
 	}
 }
 
-func fromProto(p *peerv1.UpstreamEntry, now time.Time) registry.Entry {
+func entryFromProto(p *peerv1.UpstreamEntry, now time.Time) registry.Entry {
 	return registry.Entry{
 		ID: fleet.UpstreamID(p.GetId()), Born: fleet.Incarnation(p.GetBorn()), Sequence: p.GetSequence(),
 		Pool: fleet.PoolID(p.GetPool()), Address: p.GetAddress(), DataCentre: fleet.DataCentreID(p.GetDataCentre()),
 		Slots: int(p.GetSlots()), State: registry.State(p.GetState()), Card: p.GetCard(),
 		Layers: upstream.LayerRange{From: fleet.Layer(p.GetFromLayer()), To: fleet.Layer(p.GetToLayer())},
 		Cold:   time.Duration(p.GetColdMs()) * time.Millisecond,
-		Heard:  heardFromProto(p.GetAgeUs(), now),
+		Heard:  lastHeartbeatFromProto(p.GetAgeUs(), now),
 	}
 }
 
-func signToProto(s registry.Sign, now time.Time) *peerv1.UpstreamSign {
+func renewalToProto(s registry.Renewal, now time.Time) *peerv1.UpstreamSign {
 	return &peerv1.UpstreamSign{
 		Id: string(s.ID), Born: uint64(s.Born), Sequence: s.Sequence, AgeUs: ageToProto(s.Heard, now), Digest: s.Digest,
 	}
 }
 
-func signFromProto(p *peerv1.UpstreamSign, now time.Time) registry.Sign {
-	return registry.Sign{
+func renewalFromProto(p *peerv1.UpstreamSign, now time.Time) registry.Renewal {
+	return registry.Renewal{
 		ID: fleet.UpstreamID(p.GetId()), Born: fleet.Incarnation(p.GetBorn()), Sequence: p.GetSequence(),
-		Digest: p.GetDigest(), Heard: heardFromProto(p.GetAgeUs(), now),
+		Digest: p.GetDigest(), Heard: lastHeartbeatFromProto(p.GetAgeUs(), now),
 	}
 }
 
 // ageToProto returns the time since an upstream was heard in microseconds.
-func ageToProto(heard, now time.Time) uint64 {
-	return uint64(max(0, now.Sub(heard)).Microseconds())
+func ageToProto(lastHeartbeat, now time.Time) uint64 {
+	return uint64(max(0, now.Sub(lastHeartbeat)).Microseconds())
 }
 
-func heardFromProto(us uint64, now time.Time) time.Time {
-	return now.Add(-time.Duration(us) * time.Microsecond)
+func lastHeartbeatFromProto(ageUs uint64, now time.Time) time.Time {
+	return now.Add(-time.Duration(ageUs) * time.Microsecond)
 }
--- a/internal/registry/feed/feed_test.go
+++ b/internal/registry/feed/feed_test.go
@@ -26,47 +26,47 @@
 func (s source) Confirmation() feed.Confirmation { return feed.Confirmation{Start: s.clock.Now()} }
 func (s source) Controllers() []feed.Controller  { return nil }
 
-// follower is the stream of one gateway.
-type follower struct {
+// fakeStream is the stream of one gateway.
+type fakeStream struct {
 	grpc.ServerStream
 	ctx      context.Context
-	asks     chan *peerv1.FollowRequest
-	messages chan *peerv1.FeedUpdate
+	requests chan *peerv1.FollowRequest
+	updates  chan *peerv1.FeedUpdate
 }
 
-func (f *follower) Context() context.Context { return f.ctx }
+func (f *fakeStream) Context() context.Context { return f.ctx }
 
-func (f *follower) Recv() (*peerv1.FollowRequest, error) {
+func (f *fakeStream) Recv() (*peerv1.FollowRequest, error) {
 	select {
-	case q := <-f.asks:
+	case q := <-f.requests:
 		return q, nil
 	case <-f.ctx.Done():
 		return nil, io.EOF
 	}
 }
 
-func (f *follower) Send(u *peerv1.FeedUpdate) error {
-	f.messages <- u
+func (f *fakeStream) Send(u *peerv1.FeedUpdate) error {
+	f.updates <- u
 	return nil
 }
 
-// rig is a controller under a fake clock.
-type rig struct {
+// harness is a controller under a fake clock.
+type harness struct {
 	clock   *fakeclock.Clock
 	catalog *catalog.Catalog
 	server  *feed.Server
 }
 
-func newRig() *rig {
+func newHarness() *harness {
 	c := fakeclock.New(fakeclock.Start)
 	roster := catalog.New(c)
-	return &rig{clock: c, catalog: roster, server: feed.NewServer(c, roster, store.New(), source{c}, zap.NewNop())}
+	return &harness{clock: c, catalog: roster, server: feed.NewServer(c, roster, store.New(), source{c}, zap.NewNop())}
 }
 
-func (r *rig) follow(t *testing.T, instance string) *follower {
+func (r *harness) follow(t *testing.T, instance string) *fakeStream {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &follower{ctx: ctx, asks: make(chan *peerv1.FollowRequest, 10), messages: make(chan *peerv1.FeedUpdate)}
-	f.asks <- &peerv1.FollowRequest{Instance: instance, Stamp: 1}
+	f := &fakeStream{ctx: ctx, requests: make(chan *peerv1.FollowRequest, 10), updates: make(chan *peerv1.FeedUpdate)}
+	f.requests <- &peerv1.FollowRequest{Instance: instance, Stamp: 1}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -80,10 +80,10 @@
 }
 
 // next returns the next message, for which the clock moves on.
-func (r *rig) next(f *follower) *peerv1.FeedUpdate {
+func (r *harness) next(f *fakeStream) *peerv1.FeedUpdate {
 	for {
 		select {
-		case u := <-f.messages:
+		case u := <-f.updates:
 			return u
 		case <-time.After(time.Millisecond):
 			r.clock.Advance(5 * time.Millisecond)
@@ -91,13 +91,13 @@
 	}
 }
 
-func decode(t *testing.T, u *peerv1.FeedUpdate) *peerv1.Sums {
+func decodeSums(t *testing.T, u *peerv1.FeedUpdate) *peerv1.Sums {
 	var s peerv1.Sums
 	is.New(t).NoErr(proto.Unmarshal(u.GetSums(), &s))
 	return &s
 }
 
-func (r *rig) put(id string, sequence uint64) {
+func (r *harness) put(id string, sequence uint64) {
 	r.catalog.Put(registry.Entry{
 		ID: fleet.UpstreamID(id), Born: 1, Sequence: sequence, Address: id, State: registry.Ready, Heard: r.clock.Now(),
 	}, true)
@@ -106,11 +106,11 @@
 // Guards against sums of all engines in each message: a burst of heartbeats wakes all
 // followers many times a second, and so does a gateway that waits for its first
 // confirmation.
-func TestSumsComeOnceInEachInterval(t *testing.T) {
+func TestSumsSentOncePerInterval(t *testing.T) {
 	is := is.New(t)
-	r := newRig()
+	r := newHarness()
 	f := r.follow(t, "g1")
-	is.Equal(decode(t, r.next(f)).GetGateways(), uint32(1))
+	is.Equal(decodeSums(t, r.next(f)).GetGateways(), uint32(1))
 	start, between := r.clock.Now(), 0
 	for i := uint64(1); ; i++ {
 		r.put("e"+string(rune('a'+i%20)), i)
@@ -126,15 +126,15 @@
 
 // Guards against the uses of a gateway that are forgotten with a message that tells
 // only its stamp.
-func TestBareMessageKeepsUses(t *testing.T) {
+func TestBareRequestKeepsUsage(t *testing.T) {
 	is := is.New(t)
-	r := newRig()
+	r := newHarness()
 	f := r.follow(t, "g1")
 	r.next(f)
-	f.asks <- &peerv1.FollowRequest{Stamp: 2, Uses: []*peerv1.UpstreamUse{{Id: "e1", Active: 3}}}
-	f.asks <- &peerv1.FollowRequest{Stamp: 3, Bare: true}
+	f.requests <- &peerv1.FollowRequest{Stamp: 2, Uses: []*peerv1.UpstreamUse{{Id: "e1", Active: 3}}}
+	f.requests <- &peerv1.FollowRequest{Stamp: 3, Bare: true}
 	for {
-		if us := decode(t, r.next(f)).GetUses(); len(us) > 0 {
+		if us := decodeSums(t, r.next(f)).GetUses(); len(us) > 0 {
 			is.Equal(us[0].GetActive(), uint32(3))
 			break
 		}
@@ -142,22 +142,22 @@
 	start := r.clock.Now()
 	for r.clock.Now().Sub(start) < 4*feed.Interval {
 		if u := r.next(f); len(u.GetSums()) > 0 {
-			is.Equal(decode(t, u).GetUses()[0].GetActive(), uint32(3))
+			is.Equal(decodeSums(t, u).GetUses()[0].GetActive(), uint32(3))
 		}
 	}
 }
 
 // Guards against a follower that renews an entry by a sign of life of another content,
 // which it would then keep for good.
-func TestSignOfOtherContent(t *testing.T) {
+func TestRenewalOfOtherContent(t *testing.T) {
 	is := is.New(t)
-	r := newRig()
+	r := newHarness()
 	e := registry.Entry{ID: "e1", Born: 1, Sequence: 1, Address: "a", State: registry.Ready, Heard: r.clock.Now()}
 	r.catalog.Put(e, false)
-	s := registry.Sign{ID: "e1", Born: 1, Sequence: 2, Digest: e.Digest(), Heard: r.clock.Now()}
-	u := feed.Update{Signs: []registry.Sign{s}}
+	s := registry.Renewal{ID: "e1", Born: 1, Sequence: 2, Digest: e.Digest(), Heard: r.clock.Now()}
+	u := feed.Update{Renewals: []registry.Renewal{s}}
 	is.NoErr(u.Renew(r.catalog))
-	u.Signs[0].Sequence, u.Signs[0].Digest = 3, e.Digest()+1
+	u.Renewals[0].Sequence, u.Renewals[0].Digest = 3, e.Digest()+1
 	is.True(u.Renew(r.catalog) != nil)
 	kept, _ := r.catalog.Get("e1")
 	is.Equal(kept.Sequence, uint64(2))
@@ -165,9 +165,9 @@
 
 // Guards against whole entries in each message, and against signs of life of entries
 // that a follower never got.
-func TestSignsFollowEntries(t *testing.T) {
+func TestRenewalsFollowEntries(t *testing.T) {
 	is := is.New(t)
-	r := newRig()
+	r := newHarness()
 	r.put("e1", 1)
 	f := r.follow(t, "g1")
 	is.Equal(len(r.next(f).GetEntries()), 1)
--- a/internal/registry/feed/server.go
+++ b/internal/registry/feed/server.go
@@ -23,8 +23,8 @@
 const (
 	// Interval is the longest time between two messages of a Server.
 	Interval = 250 * time.Millisecond
-	// settle lets changes that come together share a message.
-	settle = 5 * time.Millisecond
+	// batchDelay lets changes that come together share a message.
+	batchDelay = 5 * time.Millisecond
 	// unconfirmedInterval is the time between two messages to a gateway that has no
 	// confirmation yet, and therefore accepts no requests.
 	unconfirmedInterval = 40 * time.Millisecond
@@ -60,7 +60,7 @@
 	store   *store.Store
 	source  Source
 	usage   *usage.Table
-	sums    *sums
+	sums    *sumsCache
 	logger  *zap.Logger
 	stop    chan struct{}
 }
@@ -70,7 +70,7 @@
 func NewServer(clock fleet.Clock, c *catalog.Catalog, s *store.Store, o Source, l *zap.Logger) *Server {
 	table := usage.New(clock)
 	return &Server{
-		clock: clock, catalog: c, store: s, source: o, usage: table, sums: &sums{table: table},
+		clock: clock, catalog: c, store: s, source: o, usage: table, sums: &sumsCache{table: table},
 		logger: l.Named("feed"), stop: make(chan struct{}),
 	}
 }
@@ -78,16 +78,16 @@
 // Suspects returns the upstreams at which requests of several gateways lately
 // failed.
 func (s *Server) Suspects() []fleet.UpstreamID {
-	return s.pick(func(u usage.Use) bool { return u.Failed })
+	return s.selectUpstreams(func(u usage.Use) bool { return u.Failed })
 }
 
 // Serving returns the upstreams that requests of any gateway lately made progress
 // at.
 func (s *Server) Serving() []fleet.UpstreamID {
-	return s.pick(func(u usage.Use) bool { return u.Served })
+	return s.selectUpstreams(func(u usage.Use) bool { return u.Served })
 }
 
-func (s *Server) pick(keep func(usage.Use) bool) []fleet.UpstreamID {
+func (s *Server) selectUpstreams(keep func(usage.Use) bool) []fleet.UpstreamID {
 	var ids []fleet.UpstreamID
 	for _, u := range s.usage.Sums(true).Uses {
 		if keep(u) {
@@ -119,47 +119,47 @@
 		return err
 	}
 	instance := fleet.InstanceID(r.GetInstance())
-	var seen stamps
-	seen.add(r.GetStamp(), s.clock.Now())
+	var readings clockReadings
+	readings.add(r.GetStamp(), s.clock.Now())
 	go func() {
 		for {
 			q, err := stream.Recv()
 			if err != nil {
 				return // the context of the stream ends as well
 			}
-			seen.add(q.GetStamp(), s.clock.Now())
+			readings.add(q.GetStamp(), s.clock.Now())
 			if !r.GetController() && !q.GetBare() {
-				s.usage.Set(instance, usage.Report{Uses: usesFromProto(q.GetUses()), Sends: sendsFromProto(q.GetSends())})
+				s.usage.SetGateway(instance, usage.Report{Uses: statsFromProto(q.GetUses()), Sends: attemptsFromProto(q.GetSends())})
 			}
 		}
 	}()
-	if err := s.mayServe(r); err != nil {
+	if err := s.checkRelease(r); err != nil {
 		return err
 	}
 	if !r.GetController() {
-		s.usage.Set(instance, usage.Report{}) // counts before its first report
+		s.usage.SetGateway(instance, usage.Report{}) // counts before its first report
 	}
-	defer s.usage.Drop(instance)
+	defer s.usage.DropGateway(instance)
 	s.logger.Info("A follower came.", zap.String("instance", r.GetInstance()), zap.Bool("controller", r.GetController()))
 	defer s.logger.Info("A follower left.", zap.String("instance", r.GetInstance()))
-	sent := release.Version(r.GetVersion())
-	stamp := uint64(0)
-	var summed time.Time // when the newest sums were sent
+	sentVersion := release.Version(r.GetVersion())
+	revision := uint64(0)
+	var sumsSent time.Time // when the newest sums were sent
 	for {
 		changed := s.catalog.Changed()
 		held, newer := s.store.Current()
-		u := s.update(r.GetController(), &stamp)
-		if now := s.clock.Now(); now.Sub(summed) >= Interval {
+		u := s.update(r.GetController(), &revision)
+		if now := s.clock.Now(); now.Sub(sumsSent) >= Interval {
 			if u.Sums, err = s.sums.encode(!r.GetController()); err != nil {
 				return status.Errorf(codes.Internal, "encode the sums: %v", err)
 			}
-			summed = now
+			sumsSent = now
 		}
 		c := s.source.Confirmation()
-		u.ConfirmedVersion, u.ConfirmedStamp = uint64(c.Version), seen.before(c.Start)
-		if held.Version > sent && !r.GetController() {
-			u.Version, u.Release = uint64(held.Version), held.Packed
-			sent = held.Version
+		u.ConfirmedVersion, u.ConfirmedStamp = uint64(c.Version), readings.before(c.Start)
+		if held.Version > sentVersion && !r.GetController() {
+			u.Version, u.Release = uint64(held.Version), held.Gzipped
+			sentVersion = held.Version
 		}
 		if err := stream.Send(u); err != nil {
 			return err
@@ -181,14 +181,14 @@
 		select {
 		case <-stream.Context().Done():
 			return nil
-		case <-s.clock.After(settle):
+		case <-s.clock.After(batchDelay):
 		}
 	}
 }
 
-// mayServe turns gateways away while this controller lacks a release that it knows
+// checkRelease turns gateways away while this controller lacks a release that it knows
 // of, as after the loss of its disk.
-func (s *Server) mayServe(r *peerv1.FollowRequest) error {
+func (s *Server) checkRelease(r *peerv1.FollowRequest) error {
 	held, _ := s.store.Current()
 	c := s.source.Confirmation()
 	if r.GetController() || held.Version >= c.Version && !c.Start.IsZero() {
@@ -197,52 +197,52 @@
 	return status.Errorf(codes.Unavailable, "release %d has not arrived here", c.Version)
 }
 
-// stamps holds the clock readings that a follower sent, with the times of their
+// clockReadings holds the clock readings that a follower sent, with the times of their
 // arrival.
-type stamps struct {
-	mu   sync.Mutex
-	list []arrival
-	best uint64
+type clockReadings struct {
+	mu      sync.Mutex
+	pending []clockReading
+	newest  uint64
 }
 
-type arrival struct {
-	stamp uint64
-	at    time.Time
+type clockReading struct {
+	value    uint64
+	received time.Time
 }
 
-func (t *stamps) add(stamp uint64, at time.Time) {
+func (t *clockReadings) add(value uint64, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.list = append(t.list, arrival{stamp, at})
+	t.pending = append(t.pending, clockReading{value, at})
 }
 
 // before returns the newest stamp that arrived before a time. Times that are
 // asked for must not decrease.
-func (t *stamps) before(start time.Time) uint64 {
+func (t *clockReadings) before(start time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for n < len(t.list) && t.list[n].at.Before(start) {
-		t.best = max(t.best, t.list[n].stamp)
+	for n < len(t.pending) && t.pending[n].received.Before(start) {
+		t.newest = max(t.newest, t.pending[n].value)
 		n++
 	}
-	t.list = t.list[n:]
-	return t.best
+	t.pending = t.pending[n:]
+	return t.newest
 }
 
-func (s *Server) update(controller bool, stamp *uint64) *peerv1.FeedUpdate {
+func (s *Server) update(controller bool, revision *uint64) *peerv1.FeedUpdate {
 	u := &peerv1.FeedUpdate{}
 	for _, k := range s.source.Controllers() {
 		u.Controllers = append(u.Controllers, &peerv1.Controller{Address: k.Address, DataCentre: string(k.DataCentre)})
 	}
-	n := s.catalog.Since(*stamp, controller)
-	*stamp = n.Stamp
+	n := s.catalog.Since(*revision, controller)
+	*revision = n.Revision
 	now := s.clock.Now()
 	for _, e := range n.Entries {
-		u.Entries = append(u.Entries, toProto(e, now))
+		u.Entries = append(u.Entries, entryToProto(e, now))
 	}
-	for _, g := range n.Signs {
-		u.Signs = append(u.Signs, signToProto(g, now))
+	for _, g := range n.Renewals {
+		u.Signs = append(u.Signs, renewalToProto(g, now))
 	}
 	return u
 }
--- a/internal/registry/feed/sums.go
+++ b/internal/registry/feed/sums.go
@@ -10,41 +10,41 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// sums encodes the sums of a table once for all followers that ask before they are added
+// sumsCache encodes the sums of a table once for all followers that ask before they are added
 // up anew. Otherwise each of 60 followers would have those of 220 engines encoded for
 // itself four times a second.
-type sums struct {
+type sumsCache struct {
 	table *usage.Table
 
 	mu sync.Mutex
-	// newest are those of the own gateways, and those of all.
-	newest [2]encoded
+	// cached are those of the own gateways, and those of all.
+	cached [2]encodedSums
 }
 
-type encoded struct {
-	bytes []byte
-	at    time.Time
+type encodedSums struct {
+	bytes      []byte
+	computedAt time.Time
 }
 
 // encode returns the sums of the own gateways, or of all. They must not be changed.
-func (s *sums) encode(all bool) ([]byte, error) {
+func (s *sumsCache) encode(all bool) ([]byte, error) {
 	r := s.table.Sums(all)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := &s.newest[0]
+	n := &s.cached[0]
 	if all {
-		n = &s.newest[1]
+		n = &s.cached[1]
 	}
-	if n.at.Equal(r.At) {
+	if n.computedAt.Equal(r.ComputedAt) {
 		return n.bytes, nil
 	}
 	b, err := proto.Marshal(&peerv1.Sums{
-		Gateways: uint32(r.Gateways), Uses: usesToProto(r.Uses), Sends: sendsToProto(r.Sends),
+		Gateways: uint32(r.Gateways), Uses: statsToProto(r.Uses), Sends: attemptsToProto(r.Sends),
 	})
 	if err != nil {
 		return nil, err
 	}
-	*n = encoded{bytes: b, at: r.At}
+	*n = encodedSums{bytes: b, computedAt: r.ComputedAt}
 	return b, nil
 }
 
@@ -57,5 +57,5 @@
 	if err := proto.Unmarshal(b, &p); err != nil {
 		return nil, errors.Wrap(err, "decode the sums")
 	}
-	return &usage.Report{Gateways: int(p.GetGateways()), Uses: usesFromProto(p.GetUses()), Sends: sendsFromProto(p.GetSends())}, nil
+	return &usage.Report{Gateways: int(p.GetGateways()), Uses: statsFromProto(p.GetUses()), Sends: attemptsFromProto(p.GetSends())}, nil
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,8 +1,8 @@
-// Package registry holds the types of the roster that upstreams keep current by
-// heartbeats to any controller.
+// Package registry defines the entries of the upstream registry. Upstreams keep their
+// entries current by sending heartbeats to any controller.
 //
-// Package catalog merges what was heard, and package feed carries it from the
-// controllers to the gateways.
+// Package catalog merges the entries of several sources, and package feed streams
+// them from the controllers to the gateways.
 package registry
 
 import (
@@ -17,7 +17,7 @@
 
 //go:generate ../../bin/stringer -type=State -linecomment -output=names_string.go
 
-// State is what an upstream last said of itself. The values are those of
+// State is the state that an upstream last reported. The values are those of
 // peerv1.UpstreamState.
 type State int
 
@@ -29,13 +29,13 @@
 	Gone                 // gone
 )
 
-// Entry is what is known of one upstream.
+// Entry is the registration of one upstream.
 type Entry struct {
 	ID fleet.UpstreamID
-	// Born is the start of the process in Unix milliseconds. An upstream that
-	// starts again under its id has a higher one.
+	// Born is the start time of the process in Unix milliseconds. An upstream that
+	// restarts under the same id has a higher one.
 	Born fleet.Incarnation
-	// Sequence grows with each heartbeat of one incarnation.
+	// Sequence increases with each heartbeat of one incarnation.
 	Sequence   uint64
 	Pool       fleet.PoolID
 	Address    string // IP address and port
@@ -45,29 +45,30 @@
 	// Card is the kind of accelerator, or empty for a plain service.
 	Card   string
 	Layers upstream.LayerRange
-	// Cold is how much longer the upstream is slow after its start.
+	// Cold is the time for which the upstream will still be slow after its start.
 	Cold time.Duration
-	// Heard is the time of the last heartbeat by the own clock.
+	// Heard is the time of the last heartbeat by the local clock.
 	Heard time.Time
 }
 
-// Sign is a heartbeat that tells nothing but that an upstream is alive.
-type Sign struct {
+// Renewal is a heartbeat that leaves the entry of an upstream unchanged, so that only
+// the digest of the entry is sent.
+type Renewal struct {
 	ID       fleet.UpstreamID
 	Born     fleet.Incarnation
 	Sequence uint64
-	// Digest is that of the entry that the sign belongs to.
+	// Digest is the digest of the entry that is renewed.
 	Digest uint64
-	Heard  time.Time // by the own clock
+	Heard  time.Time // by the local clock
 }
 
-// Digest returns a hash of what Same compares.
+// Digest returns a hash of the fields that SameContent compares.
 func (e Entry) Digest() uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%d %d %q %q %d %d %d %q %q",
 		e.Born, e.State, e.Address, e.Pool, e.Layers.From, e.Layers.To, e.Slots, e.Card, e.DataCentre))
 }
 
-// Newer reports whether e replaces o, which has the same id.
+// Newer reports whether e replaces o, an entry with the same id.
 func (e Entry) Newer(o Entry) bool {
 	if e.Born != o.Born {
 		return e.Born > o.Born
@@ -81,8 +82,9 @@
 	return e.Sequence > o.Sequence
 }
 
-// Same reports whether e tells nothing new beside being alive.
-func (e Entry) Same(o Entry) bool {
+// SameContent reports whether e and o differ at most in the fields that each heartbeat
+// renews.
+func (e Entry) SameContent(o Entry) bool {
 	return e.Born == o.Born && e.State == o.State && e.Address == o.Address && e.Pool == o.Pool &&
 		e.Layers == o.Layers && e.Slots == o.Slots && e.Card == o.Card && e.DataCentre == o.DataCentre
 }
--- a/internal/registry/usage/usage.go
+++ b/internal/registry/usage/usage.go
@@ -1,6 +1,6 @@
-// Package usage adds up how many requests all gateways have on each upstream, and
-// which upstreams failed for several of them. No upstream is asked: gateways tell
-// their controller, and controllers tell each other their sums.
+// Package usage adds up the requests in progress of all gateways at each upstream, and
+// determines which upstreams failed for several of them. Upstreams are not queried:
+// gateways report to their controller, and controllers exchange their sums.
 package usage
 
 import (
@@ -12,75 +12,75 @@
 )
 
 const (
-	// failureAge is how long a failure that a gateway saw counts.
-	failureAge = time.Second
-	// witnesses is the number of gateways that must have seen a failure. A single
-	// one may itself be cut off.
-	witnesses = 2
-	// reportAge is the age up to which a report counts. Gateways and controllers
-	// report four times a second.
-	reportAge = 2 * time.Second
-	// sumsAge is the time for which sums are used again. Each of many followers asks
-	// for them four times a second.
-	sumsAge = 50 * time.Millisecond
+	// maxFailureAge is how long a failure that a gateway reported counts.
+	maxFailureAge = time.Second
+	// minReporters is the number of gateways that must report a failure of an upstream
+	// before it counts. A single gateway may itself be partitioned.
+	minReporters = 2
+	// maxReportAge is how long a report counts. Gateways and controllers report four
+	// times per second.
+	maxReportAge = 2 * time.Second
+	// maxSumsAge is how long sums are cached. Each of many followers requests them four
+	// times per second.
+	maxSumsAge = 50 * time.Millisecond
 )
 
-// Use is what one gateway, or several together, have on one upstream.
+// Use holds the statistics of one gateway, or of several together, on one upstream.
 type Use struct {
 	ID     fleet.UpstreamID
 	Active int
-	// Failed tells that requests failed there lately, and Served that requests made
-	// progress.
+	// Failed is set if requests recently failed there, and Served if requests recently
+	// made progress.
 	Failed, Served bool
-	// Full tells that it lately refused a request for want of memory.
+	// Full is set if the upstream recently refused a request for lack of memory.
 	Full bool
-	// Pace is the factor by which it lately said that it is slower than its card, or
-	// 0 if nobody asked.
+	// Pace is the factor by which the upstream recently reported that it is slower than
+	// its kind of card, or 0 if it was not queried.
 	Pace float64
 }
 
-// Report is what one gateway, or several together, say.
+// Report is the report of one gateway, or the sums of several.
 type Report struct {
-	// Gateways is the number of gateways that it adds up.
+	// Gateways is the number of gateways in the sums.
 	Gateways int
 	Uses     []Use
-	// Sends are the first attempts and the retries of each pool lately.
+	// Sends holds the recent first attempts and retries of each pool.
 	Sends map[fleet.PoolID]budget.Count
-	// At is when sums were added up. It is zero in the report of one gateway.
-	At time.Time
+	// ComputedAt is when the sums were computed. It is zero in the report of one gateway.
+	ComputedAt time.Time
 }
 
 // Table adds up the reports of gateways. It is safe for concurrent use.
 type Table struct {
-	clock     fleet.Clock
-	mu        sync.Mutex
-	gateways  map[fleet.InstanceID]told
-	peers     map[string]told // by address
-	failures  map[fleet.UpstreamID]map[fleet.InstanceID]time.Time
-	confirmed map[fleet.UpstreamID]time.Time // told by another controller
-	// newest are the last sums, without and with other controllers.
-	newest [2]Report
+	clock        fleet.Clock
+	mu           sync.Mutex
+	gateways     map[fleet.InstanceID]receivedReport
+	peers        map[string]receivedReport // by address of the controller
+	failures     map[fleet.UpstreamID]map[fleet.InstanceID]time.Time
+	peerFailures map[fleet.UpstreamID]time.Time // confirmed by another controller
+	// cached holds the last sums: those of the own gateways, and those of all.
+	cached [2]Report
 }
 
-// told is a report with the time of its arrival.
-type told struct {
-	report Report
-	at     time.Time
+// receivedReport is a report with the time at which it was received.
+type receivedReport struct {
+	report   Report
+	received time.Time
 }
 
 // New returns an empty Table.
 func New(clock fleet.Clock) *Table {
 	return &Table{
-		clock:     clock,
-		gateways:  make(map[fleet.InstanceID]told),
-		peers:     make(map[string]told),
-		failures:  make(map[fleet.UpstreamID]map[fleet.InstanceID]time.Time),
-		confirmed: make(map[fleet.UpstreamID]time.Time),
+		clock:        clock,
+		gateways:     make(map[fleet.InstanceID]receivedReport),
+		peers:        make(map[string]receivedReport),
+		failures:     make(map[fleet.UpstreamID]map[fleet.InstanceID]time.Time),
+		peerFailures: make(map[fleet.UpstreamID]time.Time),
 	}
 }
 
-// Set replaces the report of a gateway.
-func (t *Table) Set(g fleet.InstanceID, r Report) {
+// SetGateway replaces the report of a gateway.
+func (t *Table) SetGateway(g fleet.InstanceID, r Report) {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,11 +94,11 @@
 		t.failures[u.ID][g] = now
 	}
 	r.Gateways = 1
-	t.gateways[g] = told{report: r, at: now}
+	t.gateways[g] = receivedReport{report: r, received: now}
 }
 
-// Drop forgets a gateway that no longer follows.
-func (t *Table) Drop(g fleet.InstanceID) {
+// DropGateway removes a gateway whose stream has ended.
+func (t *Table) DropGateway(g fleet.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.gateways, g)
@@ -111,54 +111,54 @@
 	defer t.mu.Unlock()
 	for _, u := range r.Uses {
 		if u.Failed {
-			t.confirmed[u.ID] = now
+			t.peerFailures[u.ID] = now
 		}
 	}
-	t.peers[address] = told{report: r, at: now}
+	t.peers[address] = receivedReport{report: r, received: now}
 }
 
-// DropPeer forgets another controller.
+// DropPeer removes another controller.
 func (t *Table) DropPeer(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.peers, address)
 }
 
-// Sums returns the sums of the own gateways, or of all. They may be sumsAge old
-// and must not be changed.
+// Sums returns the sums of the gateways that report to this controller, or of all
+// gateways. They may be up to maxSumsAge old and must not be changed.
 func (t *Table) Sums(all bool) Report {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := &t.newest[0]
+	n := &t.cached[0]
 	if all {
-		n = &t.newest[1]
+		n = &t.cached[1]
 	}
-	if n.At.IsZero() || now.Sub(n.At) >= sumsAge {
-		*n = t.add(all, now)
+	if n.ComputedAt.IsZero() || now.Sub(n.ComputedAt) >= maxSumsAge {
+		*n = t.aggregate(all, now)
 	}
 	return *n
 }
 
-func (t *Table) add(all bool, now time.Time) Report {
-	sum := Report{Sends: make(map[fleet.PoolID]budget.Count), At: now}
+func (t *Table) aggregate(all bool, now time.Time) Report {
+	sum := Report{Sends: make(map[fleet.PoolID]budget.Count), ComputedAt: now}
 	uses := make(map[fleet.UpstreamID]Use)
 	for g, k := range t.gateways {
-		if now.Sub(k.at) > reportAge {
+		if now.Sub(k.received) > maxReportAge {
 			delete(t.gateways, g)
 			continue
 		}
-		sum.include(k.report, uses)
+		sum.merge(k.report, uses)
 	}
 	for id := range t.failures {
-		if t.failed(id, now) {
+		if t.confirmedFailed(id, now) {
 			u := uses[id]
 			u.Failed = true
 			uses[id] = u
 		}
 	}
 	if all {
-		t.addPeers(&sum, uses, now)
+		t.aggregatePeers(&sum, uses, now)
 	}
 	sum.Uses = make([]Use, 0, len(uses))
 	for id, u := range uses {
@@ -168,15 +168,15 @@
 	return sum
 }
 
-func (t *Table) addPeers(sum *Report, uses map[fleet.UpstreamID]Use, now time.Time) {
+func (t *Table) aggregatePeers(sum *Report, uses map[fleet.UpstreamID]Use, now time.Time) {
 	for _, p := range t.peers {
-		if now.Sub(p.at) <= reportAge {
-			sum.include(p.report, uses)
+		if now.Sub(p.received) <= maxReportAge {
+			sum.merge(p.report, uses)
 		}
 	}
-	for id, at := range t.confirmed {
-		if now.Sub(at) > failureAge {
-			delete(t.confirmed, id)
+	for id, at := range t.peerFailures {
+		if now.Sub(at) > maxFailureAge {
+			delete(t.peerFailures, id)
 			continue
 		}
 		u := uses[id]
@@ -185,8 +185,9 @@
 	}
 }
 
-// include adds a report. Failures need more than one witness and are left out.
-func (r *Report) include(o Report, uses map[fleet.UpstreamID]Use) {
+// merge adds a report, without its failures, which count only if several gateways
+// report them.
+func (r *Report) merge(o Report, uses map[fleet.UpstreamID]Use) {
 	r.Gateways += o.Gateways
 	for id, c := range o.Sends {
 		r.Sends[id] = r.Sends[id].Add(c)
@@ -201,16 +202,17 @@
 	}
 }
 
-// failed reports whether enough gateways saw an upstream fail.
-func (t *Table) failed(id fleet.UpstreamID, now time.Time) bool {
+// confirmedFailed reports whether at least minReporters gateways recently reported a
+// failure of an upstream.
+func (t *Table) confirmedFailed(id fleet.UpstreamID, now time.Time) bool {
 	seen := t.failures[id]
 	for g, at := range seen {
-		if now.Sub(at) > failureAge {
+		if now.Sub(at) > maxFailureAge {
 			delete(seen, g)
 		}
 	}
 	if len(seen) == 0 {
 		delete(t.failures, id)
 	}
-	return len(seen) >= witnesses
+	return len(seen) >= minReporters
 }
--- a/internal/registry/usage/usage_test.go
+++ b/internal/registry/usage/usage_test.go
@@ -19,7 +19,8 @@
 	return us
 }
 
-// fixture is a table under a clock that moves on before each look at the sums.
+// fixture is a table with a fake clock that advances before each call of Sums, so that
+// cached sums have expired.
 type fixture struct {
 	*usage.Table
 	clock *fakeclock.Clock
@@ -30,7 +31,9 @@
 	return fixture{Table: usage.New(c), clock: c}
 }
 
-func (f fixture) set(g fleet.InstanceID, us ...usage.Use) { f.Set(g, usage.Report{Uses: us}) }
+func (f fixture) setGateway(g fleet.InstanceID, us ...usage.Use) {
+	f.SetGateway(g, usage.Report{Uses: us})
+}
 
 func (f fixture) sums(all bool) usage.Report {
 	f.clock.Advance(50 * time.Millisecond)
@@ -39,69 +42,69 @@
 	return r
 }
 
-func (f fixture) uses(all bool) []usage.Use { return f.sums(all).Uses }
+func (f fixture) upstreams(all bool) []usage.Use { return f.sums(all).Uses }
 
-// Guards against sums that count a gateway twice or keep one that left, and
-// against sums that travel in circles between controllers.
+// Guards against sums that count a gateway twice or still count one that left, and
+// against controllers that send each other's sums back.
 func TestSums(t *testing.T) {
 	is := is.New(t)
 	u := newFixture()
-	u.set("g1", usage.Use{ID: "e1", Active: 2})
-	u.set("g2", usage.Use{ID: "e1", Active: 1}, usage.Use{ID: "e2", Active: 5, Full: true})
-	u.set("g1", usage.Use{ID: "e1", Active: 3})
+	u.setGateway("g1", usage.Use{ID: "e1", Active: 2})
+	u.setGateway("g2", usage.Use{ID: "e1", Active: 1}, usage.Use{ID: "e2", Active: 5, Full: true})
+	u.setGateway("g1", usage.Use{ID: "e1", Active: 3})
 	u.SetPeer("c2", usage.Report{Gateways: 7, Uses: []usage.Use{{ID: "e1", Active: 10}}})
-	is.Equal(u.uses(true), []usage.Use{{ID: "e1", Active: 14}, {ID: "e2", Active: 5, Full: true}})
-	is.Equal(u.uses(false), []usage.Use{{ID: "e1", Active: 4}, {ID: "e2", Active: 5, Full: true}})
+	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 14}, {ID: "e2", Active: 5, Full: true}})
+	is.Equal(u.upstreams(false), []usage.Use{{ID: "e1", Active: 4}, {ID: "e2", Active: 5, Full: true}})
 	is.Equal(u.sums(true).Gateways, 9)
 	is.Equal(u.sums(false).Gateways, 2)
-	u.Drop("g2")
+	u.DropGateway("g2")
 	u.DropPeer("c2")
-	is.Equal(u.uses(true), []usage.Use{{ID: "e1", Active: 3}})
+	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 3}})
 }
 
-// Guards against retries of the fleet that are counted twice or forgotten with the
-// gateway that sent them.
-func TestSends(t *testing.T) {
+// Guards against attempts and retries that are counted twice or lost.
+func TestAttempts(t *testing.T) {
 	is := is.New(t)
 	u := newFixture()
-	sends := func(a, r int) map[fleet.PoolID]budget.Count {
+	attempts := func(a, r int) map[fleet.PoolID]budget.Count {
 		return map[fleet.PoolID]budget.Count{"p": {Attempts: a, Retries: r}}
 	}
-	u.Set("g1", usage.Report{Sends: sends(10, 2)})
-	u.Set("g2", usage.Report{Sends: sends(5, 1)})
-	u.Set("g2", usage.Report{Sends: sends(6, 1)})
-	u.SetPeer("c2", usage.Report{Gateways: 3, Sends: sends(100, 20)})
-	is.Equal(u.sums(true).Sends, sends(116, 23))
-	is.Equal(u.sums(false).Sends, sends(16, 3))
+	u.SetGateway("g1", usage.Report{Sends: attempts(10, 2)})
+	u.SetGateway("g2", usage.Report{Sends: attempts(5, 1)})
+	u.SetGateway("g2", usage.Report{Sends: attempts(6, 1)})
+	u.SetPeer("c2", usage.Report{Gateways: 3, Sends: attempts(100, 20)})
+	is.Equal(u.sums(true).Sends, attempts(116, 23))
+	is.Equal(u.sums(false).Sends, attempts(16, 3))
 }
 
-// Guards against sums of a controller that died: its gateways follow others by
-// then and would count twice, and engines that they used would count as serving.
+// Guards against counting the last sums of a failed controller. Its gateways follow
+// other controllers by then and would count twice, and the engines that they used would
+// still count as serving.
 func TestSilentControllersDoNotCount(t *testing.T) {
 	is := is.New(t)
 	u := newFixture()
-	u.set("g1", usage.Use{ID: "e1", Active: 1})
+	u.setGateway("g1", usage.Use{ID: "e1", Active: 1})
 	u.SetPeer("c2", usage.Report{Gateways: 3, Uses: []usage.Use{{ID: "e1", Active: 10, Served: true}}})
-	is.Equal(u.uses(true), []usage.Use{{ID: "e1", Active: 11, Served: true}})
+	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 11, Served: true}})
 	u.clock.Advance(2 * time.Second)
-	u.set("g1", usage.Use{ID: "e1", Active: 1})
-	is.Equal(u.uses(true), []usage.Use{{ID: "e1", Active: 1}})
+	u.setGateway("g1", usage.Use{ID: "e1", Active: 1})
+	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1}})
 	is.Equal(u.sums(true).Gateways, 1)
 	u.clock.Advance(2 * time.Second)
-	is.Equal(u.sums(true).Gateways, 0) // a gateway whose end was not noticed
+	is.Equal(u.sums(true).Gateways, 0) // a gateway that failed without ending its stream
 }
 
-// Guards against a single gateway, which may itself be cut off, that sets an
-// upstream aside for all others, and against failures that count for ever.
-func TestFailuresNeedTwoWitnesses(t *testing.T) {
+// Guards against a single gateway, which may itself be partitioned, that marks an
+// upstream as failed for all others, and against failures that never expire.
+func TestFailuresNeedTwoGateways(t *testing.T) {
 	is := is.New(t)
 	u := newFixture()
-	u.set("g1", usage.Use{ID: "e1", Active: 1, Failed: true})
-	is.Equal(u.uses(true), []usage.Use{{ID: "e1", Active: 1}})
-	u.set("g2", usage.Use{ID: "e1", Failed: true})
-	is.Equal(u.uses(true), []usage.Use{{ID: "e1", Active: 1, Failed: true}})
+	u.setGateway("g1", usage.Use{ID: "e1", Active: 1, Failed: true})
+	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1}})
+	u.setGateway("g2", usage.Use{ID: "e1", Failed: true})
+	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1, Failed: true}})
 	u.clock.Advance(time.Second + 1)
-	is.Equal(u.uses(true), []usage.Use{{ID: "e1", Active: 1}})
+	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1}})
 	u.SetPeer("c2", usage.Report{Uses: []usage.Use{{ID: "e3", Failed: true}}})
-	is.Equal(u.uses(true), []usage.Use{{ID: "e1", Active: 1}, {ID: "e3", Failed: true}})
+	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1}, {ID: "e3", Failed: true}})
 }
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -14,18 +14,18 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/refusal"
 )
 
-//go:generate ../../bin/stringer -type=Repeat -linecomment -output=names_string.go
+//go:generate ../../bin/stringer -type=RouteType -linecomment -output=names_string.go
 
 // Version orders releases. Zero means that there is none.
 type Version uint64
 
-// Repeat tells how often a request of a route may run.
-type Repeat int
+// RouteType tells how often a request of a route may run.
+type RouteType int
 
 // The kinds of routes.
 const (
 	// Once is a request that may run at most once.
-	Once Repeat = iota // once
+	Once RouteType = iota // once
 	// Idempotent is a request that may run any number of times.
 	Idempotent // idempotent
 	// Stream is a request whose answer is a series of numbered events.
@@ -46,7 +46,7 @@
 	Name   string
 	Host   string
 	Prefix string
-	Repeat Repeat
+	Repeat RouteType
 	// Timeout is the longest time that a request waits for its answer.
 	Timeout time.Duration
 	// Target is the time within which an answer has its full worth.
@@ -159,14 +159,14 @@
 }
 
 func (r *Release) checkRoutes(pools map[fleet.PoolID]bool) error {
-	type place struct{ host, prefix string }
-	places := make(map[place]string)
+	type routeMatch struct{ host, prefix string }
+	routeNames := make(map[routeMatch]string)
 	for _, t := range r.Routes {
-		p := place{t.Host, t.Prefix}
-		if other, ok := places[p]; ok {
+		match := routeMatch{t.Host, t.Prefix}
+		if other, ok := routeNames[match]; ok {
 			return refusal.New(refusal.BadRequest, "routes %q and %q share host and prefix", other, t.Name)
 		}
-		places[p] = t.Name
+		routeNames[match] = t.Name
 		if t.Timeout <= 0 {
 			return refusal.New(refusal.BadRequest, "route %q has no timeout", t.Name)
 		}
--- a/internal/release/store/store.go
+++ b/internal/release/store/store.go
@@ -26,14 +26,14 @@
 // Held is a release as the log carries it.
 type Held struct {
 	Version release.Version
-	// Packed is the content, compressed with gzip.
-	Packed []byte
+	// Gzipped is the content, compressed with gzip.
+	Gzipped []byte
 }
 
 // Store holds the newest release. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
-	held    Held
+	current Held
 	applied quorum.Index
 	changed chan struct{}
 }
@@ -59,7 +59,7 @@
 
 // Unpack returns the content of a release as the operator sent it.
 func (h Held) Unpack() ([]byte, error) {
-	z, err := gzip.NewReader(bytes.NewReader(h.Packed))
+	z, err := gzip.NewReader(bytes.NewReader(h.Gzipped))
 	if err != nil {
 		return nil, errors.Wrapf(err, "release %d", h.Version)
 	}
@@ -82,7 +82,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.applied = i
-	if h, ok := parse(command); ok && h.Version > s.held.Version {
+	if h, ok := parse(command); ok && h.Version > s.current.Version {
 		s.set(h)
 	}
 	return s.version()
@@ -107,7 +107,7 @@
 func (s *Store) Snapshot() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append(s.version(), s.held.Packed...), nil
+	return append(s.version(), s.current.Gzipped...), nil
 }
 
 // Restore replaces the release that is held.
@@ -127,17 +127,17 @@
 func (s *Store) Current() (Held, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held, s.changed
+	return s.current, s.changed
 }
 
 func (s *Store) set(h Held) {
-	s.held = h
+	s.current = h
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *Store) version() []byte {
-	return binary.BigEndian.AppendUint64(nil, uint64(s.held.Version))
+	return binary.BigEndian.AppendUint64(nil, uint64(s.current.Version))
 }
 
 func parse(b []byte) (Held, bool) {
@@ -146,6 +146,6 @@
 	}
 	return Held{
 		Version: release.Version(binary.BigEndian.Uint64(b)),
-		Packed:  bytes.Clone(b[versionBytes:]),
+		Gzipped: bytes.Clone(b[versionBytes:]),
 	}, true
 }
--- a/internal/release/table/table.go
+++ b/internal/release/table/table.go
@@ -30,8 +30,8 @@
 		o := &r.Routes[i]
 		t.hosts[o.Host] = append(t.hosts[o.Host], o)
 	}
-	for _, os := range t.hosts {
-		sort.SliceStable(os, func(i, j int) bool { return len(os[i].Prefix) > len(os[j].Prefix) })
+	for _, routes := range t.hosts {
+		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	for i := range r.Accounts {
 		a := &r.Accounts[i]
