--- a/internal/placement/placer/placer_test.go
+++ b/internal/placement/placer/placer_test.go
@@ -74,18 +74,18 @@
 // returns whether the order is then still valid.
 func orderValidAfterChange(t *testing.T, next fleet.Fence) bool {
 	clock := fakeclock.New(fakeclock.Start)
-	roster := catalog.New(clock)
+	registryCatalog := catalog.New(clock)
 	entry := registry.Entry{
 		ID: "e1", Born: 1, Pool: "model", Address: "127.0.0.1:1", State: registry.Ready, Card: "card", Slots: 10,
 	}
 	l := &leadership{fence: 3}
 	m := &commander{beforeOrder: func() { l.set(next) }, valid: make(chan bool, 1)}
-	p := placer.New(clock, roster, l, testReleases{}, m, noSuspects{}, time.Hour, zap.NewNop())
+	p := placer.New(clock, registryCatalog, l, testReleases{}, m, noSuspects{}, time.Hour, zap.NewNop())
 	defer p.Stop()
 	for {
 		entry.Sequence++
 		entry.Heard = clock.Now()
-		roster.Put(entry, true)
+		registryCatalog.Put(entry, true)
 		select {
 		case valid := <-m.valid:
 			return valid
--- a/internal/registry/feed/client.go
+++ b/internal/registry/feed/client.go
@@ -24,61 +24,61 @@
 	// unreachable. It covers a few intervals and a slow controller.
 	silenceTimeout = 4 * Interval
 	// confirmationTimeout is the time without a confirmation by a majority after which a
-	// gateway turns to another controller. It is longer than an election.
+	// gateway switches to another controller. It is longer than an election.
 	confirmationTimeout = 1100 * time.Millisecond
-	// minFollowTime is the least time to follow a controller of another data centre while one
-	// of the own data centre is known.
+	// minFollowTime is the least time for which a controller of another data centre is
+	// followed while one of the local data centre is known.
 	minFollowTime = 5 * time.Second
-	// firstMessageTimeout bounds the time to connect and get the first message.
+	// firstMessageTimeout limits the time to connect and receive the first message.
 	firstMessageTimeout = 1200 * time.Millisecond
-	// retryBackoff is the wait before the next controller is tried.
+	// retryBackoff is the pause before the next controller is tried.
 	retryBackoff = 60 * time.Millisecond
 )
 
-// Update is one message of a controller in the types of the system.
+// Update is a decoded message of a controller.
 type Update struct {
 	From    string // peer address of the controller
 	Held    store.Held
 	Entries []registry.Entry
-	// Renewals belong to entries that came before.
+	// Renewals belong to entries that the stream has sent before.
 	Renewals []registry.Renewal
-	// Confirmed is the own clock at a time after which a majority confirmed that
-	// ConfirmedVersion was the newest release, or 0.
+	// Confirmed is a reading of the clock of the Receiver, or 0. After that time a
+	// majority confirmed that ConfirmedVersion was the newest release.
 	Confirmed        time.Duration
 	ConfirmedVersion release.Version
 	Controllers      []Controller
-	// Sums add up what all gateways say, or those of one controller. They are nil in
-	// messages between two intervals.
+	// Sums are the sums of all gateways, or of those of the sending controller if a
+	// controller follows it. They are nil in messages between two intervals.
 	Sums *usage.Report
 }
 
-// Renew merges the signs of life into a catalog that has the entries of the stream. An
-// error tells that it has another content of one.
+// Renew merges the renewals into a catalog that has the entries of the stream. It fails
+// if the catalog lacks one of the entries or has it with other content.
 func (u *Update) Renew(c *catalog.Catalog) error {
-	var failed error
+	var mismatch error
 	for _, s := range u.Renewals {
 		if !c.Renew(s) {
-			failed = errors.Errorf("a sign of life of upstream %s is not that of the entry known", s.ID)
+			mismatch = errors.Errorf("renewal of upstream %s does not match the known entry", s.ID)
 		}
 	}
-	return failed
+	return mismatch
 }
 
-// Receiver gets the updates of a Client from one goroutine.
+// Receiver handles the updates of a Client. It is called from one goroutine.
 type Receiver interface {
-	// Stamp reads a clock that goes on while the machine is suspended.
+	// Stamp reads a clock that keeps running while the machine is suspended.
 	Stamp() time.Duration
-	// Receive takes an update. An error ends the stream, and all entries come anew with
-	// the next one.
+	// Receive handles an update. An error ends the stream, and the next stream sends all
+	// entries again.
 	Receive(u Update) error
-	// Report returns the own requests in progress and the sends.
+	// Report returns the requests in progress and the attempts of this instance.
 	Report() usage.Report
 	// Version returns the newest release that the receiver has.
 	Version() release.Version
 }
 
-// Client follows one controller at a time and turns to another one when it goes
-// silent.
+// Client follows one controller at a time and switches to another one when it stops
+// sending.
 type Client struct {
 	instance    fleet.InstanceID
 	clock       fleet.Clock
@@ -98,10 +98,10 @@
 // ClientOption sets one property of a Client.
 type ClientOption func(*Client)
 
-// Only makes a controller follow one other controller and nothing else.
+// Only makes the client of a controller follow a single other controller.
 func Only(address string) ClientOption { return func(c *Client) { c.onlyController = address } }
 
-// Seeds sets the controllers that are known from the start.
+// Seeds sets the controllers that are known initially.
 func Seeds(addresses ...string) ClientOption {
 	return func(c *Client) { c.AddControllers(seedControllers(addresses)) }
 }
@@ -114,15 +114,15 @@
 	return ks
 }
 
-// Home sets the data centre whose controllers go first.
+// Home sets the local data centre, whose controllers are preferred.
 func Home(d fleet.DataCentreID) ClientOption { return func(c *Client) { c.dataCentre = d } }
 
-// Dial adds options for connections.
+// Dial adds gRPC dial options.
 func Dial(os ...grpc.DialOption) ClientOption {
 	return func(c *Client) { c.dialOptions = append(c.dialOptions, os...) }
 }
 
-// NewClient starts to follow. Stop ends it.
+// NewClient starts a client that follows controllers until Stop is called.
 func NewClient(id fleet.InstanceID, clock fleet.Clock, r Receiver, l *zap.Logger, os ...ClientOption) *Client {
 	c := &Client{instance: id, clock: clock, receiver: r, logger: l.Named("feed")}
 	for _, o := range os {
@@ -138,7 +138,7 @@
 			if address != "" {
 				err := c.follow(ctx, address)
 				if ctx.Err() == nil {
-					c.logger.Warn("The feed of a controller ended.", zap.String("controller", address), zap.Error(err))
+					c.logger.Warn("Feed stream ended.", zap.String("controller", address), zap.Error(err))
 				}
 			}
 			select {
@@ -150,13 +150,14 @@
 	return c
 }
 
-// Stop ends the stream and waits for it.
+// Stop ends the stream and waits until it is closed.
 func (c *Client) Stop() {
 	c.cancel()
 	c.wg.Wait()
 }
 
-// nextController returns the controller to try after last.
+// nextController returns the controller to try after last. It prefers the local data
+// centre unless last was in it.
 func (c *Client) nextController(last string) string {
 	if c.onlyController != "" {
 		return c.onlyController
@@ -178,8 +179,8 @@
 	return slices.Contains(c.controllers, Controller{Address: address, DataCentre: c.dataCentre})
 }
 
-// canFollowLocal reports whether a controller of the own data centre is known while
-// another one is followed.
+// canFollowLocal reports whether a controller of the local data centre is known while
+// address is in another one.
 func (c *Client) canFollowLocal(address string) bool {
 	if c.onlyController != "" || c.dataCentre == "" {
 		return false
@@ -189,7 +190,8 @@
 	return !c.isLocal(address) && slices.ContainsFunc(c.controllers, func(k Controller) bool { return k.DataCentre == c.dataCentre })
 }
 
-// AddControllers adds controllers to those that may be followed.
+// AddControllers adds controllers that may be followed, and updates the data centre of
+// known ones.
 func (c *Client) AddControllers(ks []Controller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,10 +206,11 @@
 	}
 }
 
-// LearnSeeds adds the controllers at some addresses.
+// LearnSeeds adds controllers by address, without a data centre.
 func (c *Client) LearnSeeds(addresses []string) { c.AddControllers(seedControllers(addresses)) }
 
-// follow reads one stream until it fails or goes silent.
+// follow reads the stream of one controller until it fails or times out, or until
+// another controller should be followed.
 func (c *Client) follow(ctx context.Context, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -231,16 +234,16 @@
 	if err := s.Send(request); err != nil {
 		return errors.Wrapf(err, "follow %s", address)
 	}
-	first := true
+	firstUpdate := true
 	for {
 		p, err := s.Recv()
 		if err != nil {
 			return errors.Wrapf(err, "follow %s", address)
 		}
 		timer.Reset(silenceTimeout)
-		if first {
+		if firstUpdate {
 			c.logger.Info("Following a controller.", zap.String("controller", address))
-			first = false
+			firstUpdate = false
 		}
 		u, err := c.decode(address, p)
 		if err != nil {
@@ -254,10 +257,10 @@
 			lastConfirmed, confirmed = c.clock.Now(), u.Confirmed
 		}
 		if c.clock.Now().Sub(started) > minFollowTime && c.canFollowLocal(address) {
-			return errors.Errorf("controller %s is in another data centre", address)
+			return errors.Errorf("controller %s is in another data centre and a local one is known", address)
 		}
 		if c.onlyController == "" && c.clock.Now().Sub(lastConfirmed) > confirmationTimeout {
-			return errors.Errorf("controller %s is cut off from the majority", address)
+			return errors.Errorf("controller %s sent no new confirmation by a majority in time", address)
 		}
 		request := &peerv1.FollowRequest{Stamp: uint64(c.receiver.Stamp().Microseconds()), Bare: u.Sums == nil}
 		if u.Sums != nil {
--- a/internal/registry/feed/codec.go
+++ b/internal/registry/feed/codec.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// ageToProto returns the time since an upstream was heard in microseconds.
+// ageToProto returns the time since a heartbeat in microseconds, and at least 0.
 func ageToProto(lastHeartbeat, now time.Time) uint64 {
 	return uint64(max(0, now.Sub(lastHeartbeat)).Microseconds())
 }
--- a/internal/registry/feed/feed_test.go
+++ b/internal/registry/feed/feed_test.go
@@ -20,13 +20,13 @@
 	"github.com/bilberryrock/bilberryrock/internal/release/store"
 )
 
-// source has a confirmation from the start.
+// source is a Source that always has a confirmation and knows no controllers.
 type source struct{ clock *fakeclock.Clock }
 
 func (s source) Confirmation() feed.Confirmation { return feed.Confirmation{Start: s.clock.Now()} }
 func (s source) Controllers() []feed.Controller  { return nil }
 
-// fakeStream is the stream of one gateway.
+// fakeStream is the server side of the stream of one gateway.
 type fakeStream struct {
 	grpc.ServerStream
 	ctx      context.Context
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// harness is a controller under a fake clock.
+// harness is the feed server of a controller with a fake clock.
 type harness struct {
 	clock   *fakeclock.Clock
 	catalog *catalog.Catalog
@@ -59,8 +59,8 @@
 
 func newHarness() *harness {
 	c := fakeclock.New(fakeclock.Start)
-	roster := catalog.New(c)
-	return &harness{clock: c, catalog: roster, server: feed.NewServer(c, roster, store.New(), source{c}, zap.NewNop())}
+	registryCatalog := catalog.New(c)
+	return &harness{clock: c, catalog: registryCatalog, server: feed.NewServer(c, registryCatalog, store.New(), source{c}, zap.NewNop())}
 }
 
 func (r *harness) follow(t *testing.T, instance string) *fakeStream {
@@ -79,7 +79,7 @@
 	return f
 }
 
-// next returns the next message, for which the clock moves on.
+// next returns the next update. It advances the clock until one is sent.
 func (r *harness) next(f *fakeStream) *peerv1.FeedUpdate {
 	for {
 		select {
@@ -103,29 +103,29 @@
 	}, true)
 }
 
-// Guards against sums of all engines in each message: a burst of heartbeats wakes all
-// followers many times a second, and so does a gateway that waits for its first
-// confirmation.
+// Guards against sending the sums of all engines in each message. A burst of heartbeats
+// triggers many messages per second to all followers, and so does a gateway that waits
+// for its first confirmation.
 func TestSumsSentOncePerInterval(t *testing.T) {
 	is := is.New(t)
 	r := newHarness()
 	f := r.follow(t, "g1")
 	is.Equal(decodeSums(t, r.next(f)).GetGateways(), uint32(1))
-	start, between := r.clock.Now(), 0
+	start, withoutSums := r.clock.Now(), 0
 	for i := uint64(1); ; i++ {
 		r.put("e"+string(rune('a'+i%20)), i)
 		u := r.next(f)
 		if len(u.GetSums()) > 0 {
 			break
 		}
-		between++
+		withoutSums++
 	}
 	is.True(r.clock.Now().Sub(start) >= feed.Interval)
-	is.True(between > 1)
+	is.True(withoutSums > 1)
 }
 
-// Guards against the uses of a gateway that are forgotten with a message that tells
-// only its stamp.
+// Guards against losing the report of a gateway when it sends a request that carries
+// only a clock reading.
 func TestBareRequestKeepsUsage(t *testing.T) {
 	is := is.New(t)
 	r := newHarness()
@@ -147,8 +147,8 @@
 	}
 }
 
-// Guards against a follower that renews an entry by a sign of life of another content,
-// which it would then keep for good.
+// Guards against a follower that applies the renewal of other content to an entry. It
+// would keep the outdated content permanently.
 func TestRenewalOfOtherContent(t *testing.T) {
 	is := is.New(t)
 	r := newHarness()
@@ -163,8 +163,8 @@
 	is.Equal(kept.Sequence, uint64(2))
 }
 
-// Guards against whole entries in each message, and against signs of life of entries
-// that a follower never got.
+// Guards against sending unchanged entries in full in each message, and against renewals
+// of entries that a follower never received.
 func TestRenewalsFollowEntries(t *testing.T) {
 	is := is.New(t)
 	r := newHarness()
--- a/internal/registry/feed/server.go
+++ b/internal/registry/feed/server.go
@@ -1,8 +1,8 @@
-// Package feed carries releases and the roster from the controllers to the
-// gateways, and the roster between controllers.
+// Package feed streams releases and the upstream registry from the controllers to the
+// gateways, and the registry between controllers.
 //
-// A Server streams updates. A message comes at least once in Interval, so that a
-// Client notices a connection that went silent and follows another controller.
+// A Server sends a message at least once per Interval, so that a Client detects a dead
+// connection and follows another controller.
 package feed
 
 import (
@@ -23,32 +23,32 @@
 const (
 	// Interval is the longest time between two messages of a Server.
 	Interval = 250 * time.Millisecond
-	// batchDelay lets changes that come together share a message.
+	// batchDelay is the pause after a change in which further changes join its message.
 	batchDelay = 5 * time.Millisecond
-	// unconfirmedInterval is the time between two messages to a gateway that has no
-	// confirmation yet, and therefore accepts no requests.
+	// unconfirmedInterval replaces Interval for a gateway without a confirmation, since it
+	// accepts no requests until it has one.
 	unconfirmedInterval = 40 * time.Millisecond
 )
 
-// Confirmation tells that a majority confirmed a release as the newest one, at
-// some time after Start. The zero value stands for none.
+// Confirmation records that a majority confirmed a release as the newest one at some
+// time after Start. The zero value means that there is none.
 type Confirmation struct {
 	Version release.Version
 	Start   time.Time
 }
 
-// Source is what a Server streams.
+// Source provides the confirmations and controllers that a Server streams.
 type Source interface {
 	// Confirmation returns the newest confirmation.
 	Confirmation() Confirmation
-	// Controllers returns all controllers that are known.
+	// Controllers returns all known controllers.
 	Controllers() []Controller
 }
 
-// Controller is where a controller is reached.
+// Controller is the address and the location of a controller.
 type Controller struct {
-	Address string // for other daemons
-	// DataCentre is empty while it is not known.
+	Address string // peer address
+	// DataCentre is empty if it is not known.
 	DataCentre fleet.DataCentreID
 }
 
@@ -65,8 +65,8 @@
 	stop    chan struct{}
 }
 
-// NewServer returns a Server that streams what the catalog, the store and the
-// source hold.
+// NewServer returns a Server that streams the contents of a catalog, a store and a
+// source.
 func NewServer(clock fleet.Clock, c *catalog.Catalog, s *store.Store, o Source, l *zap.Logger) *Server {
 	table := usage.New(clock)
 	return &Server{
@@ -75,14 +75,14 @@
 	}
 }
 
-// Suspects returns the upstreams at which requests of several gateways lately
+// Suspects returns the upstreams at which requests of several gateways recently
 // failed.
 func (s *Server) Suspects() []fleet.UpstreamID {
 	return s.selectUpstreams(func(u usage.Use) bool { return u.Failed })
 }
 
-// Serving returns the upstreams that requests of any gateway lately made progress
-// at.
+// Serving returns the upstreams at which requests of any gateway recently made
+// progress.
 func (s *Server) Serving() []fleet.UpstreamID {
 	return s.selectUpstreams(func(u usage.Use) bool { return u.Served })
 }
@@ -97,17 +97,17 @@
 	return ids
 }
 
-// Stop ends all streams, so that the followers turn to other controllers.
+// Stop ends all streams, so that the followers switch to other controllers.
 func (s *Server) Stop() { close(s.stop) }
 
-// NotePeer records the gateways of another controller and what they use.
+// NotePeer records the sums of the gateways of another controller.
 func (s *Server) NotePeer(u Update) {
 	if u.Sums != nil {
 		s.usage.SetPeer(u.From, *u.Sums)
 	}
 }
 
-// DropPeer forgets a controller that is no member any more.
+// DropPeer removes the sums of a controller that is no longer a member.
 func (s *Server) DropPeer(address string) {
 	s.usage.DropPeer(address)
 }
@@ -125,7 +125,7 @@
 		for {
 			q, err := stream.Recv()
 			if err != nil {
-				return // the context of the stream ends as well
+				return // the context of the stream is done as well
 			}
 			readings.add(q.GetStamp(), s.clock.Now())
 			if !r.GetController() && !q.GetBare() {
@@ -137,11 +137,11 @@
 		return err
 	}
 	if !r.GetController() {
-		s.usage.SetGateway(instance, usage.Report{}) // counts before its first report
+		s.usage.SetGateway(instance, usage.Report{}) // so that the gateway counts before its first report
 	}
 	defer s.usage.DropGateway(instance)
-	s.logger.Info("A follower came.", zap.String("instance", r.GetInstance()), zap.Bool("controller", r.GetController()))
-	defer s.logger.Info("A follower left.", zap.String("instance", r.GetInstance()))
+	s.logger.Info("Follower connected.", zap.String("instance", r.GetInstance()), zap.Bool("controller", r.GetController()))
+	defer s.logger.Info("Follower disconnected.", zap.String("instance", r.GetInstance()))
 	sentVersion := release.Version(r.GetVersion())
 	revision := uint64(0)
 	var sumsSent time.Time // when the newest sums were sent
@@ -186,8 +186,8 @@
 	}
 }
 
-// checkRelease turns gateways away while this controller lacks a release that it knows
-// of, as after the loss of its disk.
+// checkRelease rejects gateways while this controller lacks the newest confirmed release,
+// such as after the loss of its disk, or has no confirmation yet.
 func (s *Server) checkRelease(r *peerv1.FollowRequest) error {
 	held, _ := s.store.Current()
 	c := s.source.Confirmation()
@@ -197,8 +197,8 @@
 	return status.Errorf(codes.Unavailable, "release %d has not arrived here", c.Version)
 }
 
-// clockReadings holds the clock readings that a follower sent, with the times of their
-// arrival.
+// clockReadings holds the clock readings that a follower sent, with the local times at
+// which they were received.
 type clockReadings struct {
 	mu      sync.Mutex
 	pending []clockReading
@@ -216,8 +216,8 @@
 	t.pending = append(t.pending, clockReading{value, at})
 }
 
-// before returns the newest stamp that arrived before a time. Times that are
-// asked for must not decrease.
+// before returns the newest reading received before start, or 0. start must not
+// decrease from call to call.
 func (t *clockReadings) before(start time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/feed/sums.go
+++ b/internal/registry/feed/sums.go
@@ -10,14 +10,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// sumsCache encodes the sums of a table once for all followers that ask before they are added
-// up anew. Otherwise each of 60 followers would have those of 220 engines encoded for
-// itself four times a second.
+// sumsCache encodes the sums of a table once for all followers that request them before
+// they are recomputed. Otherwise the sums of 220 engines would be encoded four times per
+// second for each of 60 followers.
 type sumsCache struct {
 	table *usage.Table
 
 	mu sync.Mutex
-	// cached are those of the own gateways, and those of all.
+	// cached holds the sums of the gateways that report to this controller, and of all.
 	cached [2]encodedSums
 }
 
@@ -26,7 +26,8 @@
 	computedAt time.Time
 }
 
-// encode returns the sums of the own gateways, or of all. They must not be changed.
+// encode returns the encoded sums of the gateways that report to this controller, or of
+// all gateways. The result must not be changed.
 func (s *sumsCache) encode(all bool) ([]byte, error) {
 	r := s.table.Sums(all)
 	s.mu.Lock()
@@ -48,14 +49,14 @@
 	return b, nil
 }
 
-// decodeSums returns nil if a message has no sums.
+// decodeSums returns nil if a message carries no sums.
 func decodeSums(b []byte) (*usage.Report, error) {
 	if len(b) == 0 {
 		return nil, nil
 	}
 	var p peerv1.Sums
 	if err := proto.Unmarshal(b, &p); err != nil {
-		return nil, errors.Wrap(err, "decode the sums")
+		return nil, errors.Wrap(err, "decode sums")
 	}
 	return &usage.Report{Gateways: int(p.GetGateways()), Uses: statsFromProto(p.GetUses()), Sends: attemptsFromProto(p.GetSends())}, nil
 }
--- a/internal/registry/usage/usage.go
+++ b/internal/registry/usage/usage.go
@@ -142,36 +142,36 @@
 
 func (t *Table) aggregate(all bool, now time.Time) Report {
 	sum := Report{Sends: make(map[fleet.PoolID]budget.Count), ComputedAt: now}
-	uses := make(map[fleet.UpstreamID]Use)
+	stats := make(map[fleet.UpstreamID]Use)
 	for g, k := range t.gateways {
 		if now.Sub(k.received) > maxReportAge {
 			delete(t.gateways, g)
 			continue
 		}
-		sum.merge(k.report, uses)
+		sum.merge(k.report, stats)
 	}
 	for id := range t.failures {
 		if t.confirmedFailed(id, now) {
-			u := uses[id]
+			u := stats[id]
 			u.Failed = true
-			uses[id] = u
+			stats[id] = u
 		}
 	}
 	if all {
-		t.aggregatePeers(&sum, uses, now)
+		t.aggregatePeers(&sum, stats, now)
 	}
-	sum.Uses = make([]Use, 0, len(uses))
-	for id, u := range uses {
+	sum.Uses = make([]Use, 0, len(stats))
+	for id, u := range stats {
 		u.ID = id
 		sum.Uses = append(sum.Uses, u)
 	}
 	return sum
 }
 
-func (t *Table) aggregatePeers(sum *Report, uses map[fleet.UpstreamID]Use, now time.Time) {
+func (t *Table) aggregatePeers(sum *Report, stats map[fleet.UpstreamID]Use, now time.Time) {
 	for _, p := range t.peers {
 		if now.Sub(p.received) <= maxReportAge {
-			sum.merge(p.report, uses)
+			sum.merge(p.report, stats)
 		}
 	}
 	for id, at := range t.peerFailures {
@@ -179,26 +179,26 @@
 			delete(t.peerFailures, id)
 			continue
 		}
-		u := uses[id]
+		u := stats[id]
 		u.Failed = true
-		uses[id] = u
+		stats[id] = u
 	}
 }
 
 // merge adds a report, without its failures, which count only if several gateways
 // report them.
-func (r *Report) merge(o Report, uses map[fleet.UpstreamID]Use) {
+func (r *Report) merge(o Report, stats map[fleet.UpstreamID]Use) {
 	r.Gateways += o.Gateways
 	for id, c := range o.Sends {
 		r.Sends[id] = r.Sends[id].Add(c)
 	}
 	for _, n := range o.Uses {
-		u := uses[n.ID]
+		u := stats[n.ID]
 		u.Active += n.Active
 		u.Served = u.Served || n.Served
 		u.Full = u.Full || n.Full
 		u.Pace = max(u.Pace, n.Pace)
-		uses[n.ID] = u
+		stats[n.ID] = u
 	}
 }
 
--- a/internal/registry/usage/usage_test.go
+++ b/internal/registry/usage/usage_test.go
@@ -62,7 +62,8 @@
 	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 3}})
 }
 
-// Guards against attempts and retries that are counted twice or lost.
+// Guards against attempts and retries that are counted twice, or lost together with the
+// gateway that sent them.
 func TestAttempts(t *testing.T) {
 	is := is.New(t)
 	u := newFixture()
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -1,10 +1,9 @@
-// Package release holds the types of a configuration that is replaced as a
-// whole: a Release carries a Version, and the highest accepted Version is in
-// force.
+// Package release defines the types of a configuration that is replaced as a whole.
+// Each Release has a Version, and the highest accepted Version is active.
 //
-// A Decoder turns the bytes that an operator sent into a checked Release.
-// Package store keeps the accepted bytes in a replicated log, and package table
-// answers which route and which account a request belongs to.
+// A Decoder converts the bytes that an operator submitted to a checked Release.
+// Package store keeps the accepted bytes in a replicated log, and package table looks
+// up the route and the account of a request.
 package release
 
 import (
@@ -16,23 +15,23 @@
 
 //go:generate ../../bin/stringer -type=RouteType -linecomment -output=names_string.go
 
-// Version orders releases. Zero means that there is none.
+// Version orders releases. Zero stands for no release.
 type Version uint64
 
-// RouteType tells how often a request of a route may run.
+// RouteType determines how often a request of a route may be executed.
 type RouteType int
 
 // The kinds of routes.
 const (
-	// Once is a request that may run at most once.
+	// Once routes have requests that may be executed at most once.
 	Once RouteType = iota // once
-	// Idempotent is a request that may run any number of times.
+	// Idempotent routes have requests that may be executed any number of times.
 	Idempotent // idempotent
-	// Stream is a request whose answer is a series of numbered events.
+	// Stream routes have requests whose response is a sequence of numbered events.
 	Stream // stream
 )
 
-// Release is one whole configuration.
+// Release is a complete configuration.
 type Release struct {
 	Version  Version
 	Routes   []Route
@@ -47,19 +46,19 @@
 	Host   string
 	Prefix string
 	Repeat RouteType
-	// Timeout is the longest time that a request waits for its answer.
+	// Timeout is the longest time that a request waits for its response.
 	Timeout time.Duration
-	// Target is the time within which an answer has its full worth.
+	// Target is the time within which a response should arrive to have its full value.
 	Target   time.Duration
 	Priority int
 	Split    []Share
-	// MaxAttempts bounds the upstreams to which one request is sent.
+	// MaxAttempts limits the number of upstreams to which one request is sent.
 	MaxAttempts int
 	// Public routes need no account key.
 	Public bool
-	// Resumable streams may go on at another upstream.
+	// Resumable streams may be continued by another upstream.
 	Resumable bool
-	// MaxGap is the longest pause between two events of a stream that is on time.
+	// MaxGap is the longest pause between two events of a stream that meets its target.
 	MaxGap time.Duration
 }
 
@@ -72,7 +71,7 @@
 // Service is a set of interchangeable upstreams.
 type Service struct {
 	Pool fleet.PoolID
-	// MaxConnections bounds the connections that one upstream accepts.
+	// MaxConnections is the number of connections that one upstream accepts.
 	MaxConnections int
 	// Engine describes the model engines of the pool. It is nil for plain
 	// services.
@@ -82,34 +81,36 @@
 // Engine describes the engines of one pool and the model that they run together.
 type Engine struct {
 	Layers int
-	// LayerMB is the weight of one layer in megabytes.
+	// LayerMB is the size of the weights of one layer in megabytes.
 	LayerMB float64
-	// TokenBytes is the KV-cache memory of one token over all layers.
+	// TokenBytes is the KV-cache memory of one token for all layers.
 	TokenBytes float64
-	// StepMS is the time of one token over all layers on a card of pace 1.
+	// StepMS is the time in milliseconds that all layers take to generate one token, on
+	// a card with step factor 1.
 	StepMS float64
-	// ReadPerSecond is the rate of prompt tokens over all layers on a card of read
-	// factor 1.
+	// ReadPerSecond is the number of prompt tokens per second that all layers process, on
+	// a card with prefill factor 1.
 	ReadPerSecond float64
-	// ActivationBytes is what one token sends to the next stage.
+	// ActivationBytes is the size of the activations that one token sends to the next stage.
 	ActivationBytes float64
-	// PipeMbps is the rate between two data centres.
+	// PipeMbps is the data rate between two data centres in megabits per second.
 	PipeMbps float64
-	// UsualPrompt and UsualAnswer are mean numbers of tokens.
+	// UsualPrompt and MeanAnswerTokens are the mean lengths of prompts and answers.
 	UsualPrompt, UsualAnswer int
-	// LoadSeconds is the time to load all layers.
+	// LoadSeconds is the time to load all layers in seconds.
 	LoadSeconds float64
-	// LoadsAtOnce is the number of loads that the weight store serves at full rate.
+	// LoadsAtOnce is the number of concurrent loads that the weight store serves at full
+	// rate.
 	LoadsAtOnce int
 	Cards       map[string]Card
 }
 
-// Card is one kind of accelerator.
+// Card describes one kind of accelerator card.
 type Card struct {
 	MemoryMB float64
-	// Pace multiplies StepMS.
+	// Pace multiplies StepMS. Slower cards have a higher factor.
 	Pace float64
-	// ReadFactor divides ReadPerSecond.
+	// ReadFactor divides PrefillPerSecond.
 	ReadFactor float64
 }
 
@@ -128,13 +129,13 @@
 	Priority int
 }
 
-// Decoder reads a configuration in the format of the operator. An error has the
-// kind refusal.BadRequest and says what is invalid.
+// Decoder decodes a configuration in the format of the operator. Its errors have the
+// kind refusal.BadRequest and say what is invalid.
 type Decoder interface {
 	Decode(content []byte) (*Release, error)
 }
 
-// Check returns what makes a release invalid, with kind refusal.BadRequest.
+// Check returns an error of kind refusal.BadRequest if the release is invalid.
 func (r *Release) Check() error {
 	if r.Version == 0 {
 		return refusal.New(refusal.BadRequest, "version is missing")
--- a/internal/release/store/store.go
+++ b/internal/release/store/store.go
@@ -1,10 +1,11 @@
-// Package store is the state machine of accepted releases: it keeps the content
-// of the highest version that was proposed.
+// Package store is the replicated state machine of accepted releases. It keeps the
+// content of the highest version that was proposed.
 //
 //	s := store.New()
 //	v, err := voter.New(voter.Group(quorum.ConfigGroup, s), ...)
-//	reply, err := v.Propose(ctx, quorum.ConfigGroup, store.Command(version, content))
-//	current := s.Current()
+//	command, err := store.Command(version, content)
+//	reply, err := v.Propose(ctx, quorum.ConfigGroup, command)
+//	current, changed := s.Current()
 package store
 
 import (
@@ -20,13 +21,13 @@
 	"github.com/pkg/errors"
 )
 
-// versionBytes is the length of the version before the packed content.
+// versionBytes is the length of the version that precedes the gzipped content.
 const versionBytes = 8
 
-// Held is a release as the log carries it.
+// Held is a release as it is stored in the replicated log.
 type Held struct {
 	Version release.Version
-	// Gzipped is the content, compressed with gzip.
+	// Gzipped is the content that the operator submitted, compressed with gzip.
 	Gzipped []byte
 }
 
@@ -40,10 +41,10 @@
 
 var _ quorum.Reader = (*Store)(nil)
 
-// New returns a Store without a release.
+// New returns an empty Store.
 func New() *Store { return &Store{changed: make(chan struct{})} }
 
-// Command returns the log entry that offers a release.
+// Command returns the log entry that proposes a release.
 func Command(v release.Version, content []byte) ([]byte, error) {
 	var b bytes.Buffer
 	_ = binary.Write(&b, binary.BigEndian, uint64(v)) // a Buffer does not fail
@@ -57,7 +58,7 @@
 	return b.Bytes(), nil
 }
 
-// Unpack returns the content of a release as the operator sent it.
+// Unpack returns the content of a release as the operator submitted it.
 func (h Held) Unpack() ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(h.Gzipped))
 	if err != nil {
@@ -67,7 +68,7 @@
 	return content, errors.Wrapf(err, "release %d", h.Version)
 }
 
-// Read unpacks a release and decodes it.
+// Read decompresses and decodes a release.
 func (h Held) Read(d release.Decoder) (*release.Release, error) {
 	content, err := h.Unpack()
 	if err != nil {
@@ -76,8 +77,8 @@
 	return d.Decode(content)
 }
 
-// Apply takes a release if its version is higher than the one held. The reply is
-// the version that is held then.
+// Apply stores a release if its version is higher than the current one. The reply is
+// the version that is then current.
 func (s *Store) Apply(i quorum.Index, command []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +89,7 @@
 	return s.version()
 }
 
-// Query returns the version that is held.
+// Query returns the current version.
 func (s *Store) Query([]byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,14 +104,14 @@
 	return release.Version(binary.BigEndian.Uint64(reply)), nil
 }
 
-// Snapshot returns the release that is held.
+// Snapshot returns the current release.
 func (s *Store) Snapshot() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append(s.version(), s.current.Gzipped...), nil
 }
 
-// Restore replaces the release that is held.
+// Restore replaces the current release by that of a snapshot.
 func (s *Store) Restore(snapshot []byte) error {
 	h, ok := parse(snapshot)
 	if !ok {
@@ -122,8 +123,8 @@
 	return nil
 }
 
-// Current returns the newest release that this instance has applied, and a
-// channel that is closed once there is a newer one.
+// Current returns the newest release that this instance has applied, and a channel that
+// is closed when it is replaced.
 func (s *Store) Current() (Held, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/release/store/store_test.go
+++ b/internal/release/store/store_test.go
@@ -18,8 +18,8 @@
 	return held
 }
 
-// Guards against a release that reverts: an older version, and other content under
-// the version that is held, change nothing.
+// Guards against a release that is reverted. An older version, and other content with the
+// current version, must not change it.
 func TestHighestVersionStays(t *testing.T) {
 	is := is.New(t)
 	s := store.New()
--- a/internal/release/table/table.go
+++ b/internal/release/table/table.go
@@ -1,5 +1,5 @@
-// Package table answers which route, service and account a request belongs to.
-// A Table is built once for a release and does not change.
+// Package table looks up the route, service and account of a request. A Table is built
+// once for a release and does not change.
 package table
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/release"
 )
 
-// Table is the index of one release.
+// Table indexes one release.
 type Table struct {
 	Release  *release.Release
 	hosts    map[string][]*release.Route
@@ -45,7 +45,8 @@
 	return t
 }
 
-// Route returns the route of a host with the longest prefix of a path.
+// Route returns the route of a host with the longest prefix that matches a path. A port
+// in host is ignored.
 func (t *Table) Route(host, path string) (*release.Route, bool) {
 	if h, _, ok := strings.Cut(host, ":"); ok {
 		host = h
@@ -75,8 +76,8 @@
 	return s, ok
 }
 
-// Pick draws a service of a route by the weights of its split. draw returns a random
-// number below its argument.
+// Pick selects a service of a route at random, by the weights of its split. draw returns
+// a random number below its argument.
 func Pick(o *release.Route, draw func(int) int) fleet.PoolID {
 	total := 0
 	for _, s := range o.Split {
--- a/internal/release/table/table_test.go
+++ b/internal/release/table/table_test.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// Guards against a shorter prefix that hides a longer one, and against a route of
-// another host.
+// Guards against a shorter prefix that takes precedence over a longer one, and against a
+// route of another host.
 func TestRoute(t *testing.T) {
 	for _, c := range []struct{ host, path, name string }{
 		{"h", "/a/x", "short"},
@@ -43,8 +43,8 @@
 	}
 }
 
-// Guards against keys of one account that count for another, and against public
-// routes that ask for a key.
+// Guards against keys of one account that are accepted for another, and against public
+// routes that require a key.
 func TestAccounts(t *testing.T) {
 	is := is.New(t)
 	s := sample()
