--- a/internal/placement/cover/cover.go
+++ b/internal/placement/cover/cover.go
@@ -187,8 +187,7 @@
 }
 
 // bestSurplus returns the index of the engine whose layers have the highest minimum
-// coverage, if it is at least minCoverageGap above that of the run,
-// or -1.
+// coverage, if that is at least minCoverageGap above the coverage of the run, or -1.
 func (g *group) bestSurplus(count []int, run upstream.LayerRange) int {
 	least := count[run.From]
 	best, most := -1, 0
--- a/internal/registry/catalog/catalog.go
+++ b/internal/registry/catalog/catalog.go
@@ -202,9 +202,9 @@
 // Renew merges a renewal. It returns false if the upstream is unknown or the renewal is
 // newer but of other content than the known entry. The known content may come from
 // another source, which the sender of the renewal never received.
-func (c *Catalog) Renew(s registry.Renewal) bool {
+func (c *Catalog) Renew(r registry.Renewal) bool {
 	c.mu.Lock()
-	it, ok := c.records[s.ID]
+	it, ok := c.records[r.ID]
 	if !ok {
 		c.mu.Unlock()
 		return false
@@ -212,11 +212,11 @@
 	e, digest := it.entry, it.digest
 	c.mu.Unlock()
 	known := e
-	e.Born, e.Sequence, e.Heard = s.Born, s.Sequence, s.Heard
+	e.Born, e.Sequence, e.Heard = r.Born, r.Sequence, r.Heard
 	if !e.Newer(known) {
 		return true
 	}
-	if s.Digest != digest {
+	if r.Digest != digest {
 		return false
 	}
 	c.Put(e, false)
--- a/internal/registry/feed/client.go
+++ b/internal/registry/feed/client.go
@@ -56,9 +56,9 @@
 // if the catalog lacks one of the entries or has it with other content.
 func (u *Update) Renew(c *catalog.Catalog) error {
 	var mismatch error
-	for _, s := range u.Renewals {
-		if !c.Renew(s) {
-			mismatch = errors.Errorf("renewal of upstream %s does not match the known entry", s.ID)
+	for _, r := range u.Renewals {
+		if !c.Renew(r) {
+			mismatch = errors.Errorf("renewal of upstream %s does not match the known entry", r.ID)
 		}
 	}
 	return mismatch
@@ -292,8 +292,8 @@
 	for _, e := range p.GetEntries() {
 		u.Entries = append(u.Entries, entryFromProto(e, now))
 	}
-	for _, g := range p.GetSigns() {
-		u.Renewals = append(u.Renewals, renewalFromProto(g, now))
+	for _, r := range p.GetSigns() {
+		u.Renewals = append(u.Renewals, renewalFromProto(r, now))
 	}
 	return u, nil
 }
--- a/internal/registry/feed/codec.go
+++ b/internal/registry/feed/codec.go
@@ -65,9 +65,9 @@
 	}
 }
 
-func renewalToProto(s registry.Renewal, now time.Time) *peerv1.UpstreamSign {
+func renewalToProto(r registry.Renewal, now time.Time) *peerv1.UpstreamSign {
 	return &peerv1.UpstreamSign{
-		Id: string(s.ID), Born: uint64(s.Born), Sequence: s.Sequence, AgeUs: ageToProto(s.Heard, now), Digest: s.Digest,
+		Id: string(r.ID), Born: uint64(r.Born), Sequence: r.Sequence, AgeUs: ageToProto(r.Heard, now), Digest: r.Digest,
 	}
 }
 
--- a/internal/registry/feed/server.go
+++ b/internal/registry/feed/server.go
@@ -147,7 +147,7 @@
 	var sumsSent time.Time // when the newest sums were sent
 	for {
 		changed := s.catalog.Changed()
-		held, newer := s.store.Current()
+		current, replaced := s.store.Current()
 		u := s.update(r.GetController(), &revision)
 		if now := s.clock.Now(); now.Sub(sumsSent) >= Interval {
 			if u.Sums, err = s.sums.encode(!r.GetController()); err != nil {
@@ -157,9 +157,9 @@
 		}
 		c := s.source.Confirmation()
 		u.ConfirmedVersion, u.ConfirmedStamp = uint64(c.Version), readings.before(c.Start)
-		if held.Version > sentVersion && !r.GetController() {
-			u.Version, u.Release = uint64(held.Version), held.Gzipped
-			sentVersion = held.Version
+		if current.Version > sentVersion && !r.GetController() {
+			u.Version, u.Release = uint64(current.Version), current.Gzipped
+			sentVersion = current.Version
 		}
 		if err := stream.Send(u); err != nil {
 			return err
@@ -174,7 +174,7 @@
 		case <-s.stop:
 			return nil
 		case <-changed:
-		case <-newer:
+		case <-replaced:
 		case <-s.clock.After(interval):
 			continue
 		}
@@ -189,9 +189,9 @@
 // checkRelease rejects gateways while this controller lacks the newest confirmed release,
 // such as after the loss of its disk, or has no confirmation yet.
 func (s *Server) checkRelease(r *peerv1.FollowRequest) error {
-	held, _ := s.store.Current()
+	current, _ := s.store.Current()
 	c := s.source.Confirmation()
-	if r.GetController() || held.Version >= c.Version && !c.Start.IsZero() {
+	if r.GetController() || current.Version >= c.Version && !c.Start.IsZero() {
 		return nil
 	}
 	return status.Errorf(codes.Unavailable, "release %d has not arrived here", c.Version)
@@ -241,8 +241,8 @@
 	for _, e := range n.Entries {
 		u.Entries = append(u.Entries, entryToProto(e, now))
 	}
-	for _, g := range n.Renewals {
-		u.Signs = append(u.Signs, renewalToProto(g, now))
+	for _, r := range n.Renewals {
+		u.Signs = append(u.Signs, renewalToProto(r, now))
 	}
 	return u
 }
--- a/internal/registry/usage/usage.go
+++ b/internal/registry/usage/usage.go
@@ -58,7 +58,8 @@
 	peers        map[string]receivedReport // by address of the controller
 	failures     map[fleet.UpstreamID]map[fleet.InstanceID]time.Time
 	peerFailures map[fleet.UpstreamID]time.Time // confirmed by another controller
-	// cached holds the last sums: those of the own gateways, and those of all.
+	// cached holds the last sums: those of the gateways that report to this controller,
+	// and those of all.
 	cached [2]Report
 }
 
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -71,7 +71,7 @@
 // Service is a set of interchangeable upstreams.
 type Service struct {
 	Pool fleet.PoolID
-	// MaxConnections is the number of connections that one upstream accepts.
+	// MaxConnections limits the connections that one upstream accepts.
 	MaxConnections int
 	// Engine describes the model engines of the pool. It is nil for plain
 	// services.
--- a/internal/release/store/store_test.go
+++ b/internal/release/store/store_test.go
@@ -13,9 +13,9 @@
 	t.Helper()
 	c, err := store.Command(v, []byte(content))
 	is.New(t).NoErr(err)
-	held, err := store.VersionOf(s.Apply(1, c))
+	version, err := store.VersionOf(s.Apply(1, c))
 	is.New(t).NoErr(err)
-	return held
+	return version
 }
 
 // Guards against a release that is reverted. An older version, and other content with the
@@ -26,12 +26,12 @@
 	is.Equal(apply(t, s, 7, "seven"), release.Version(7))
 	is.Equal(apply(t, s, 5, "five"), release.Version(7))
 	is.Equal(apply(t, s, 7, "other"), release.Version(7))
-	held, newer := s.Current()
-	content, err := held.Unpack()
+	current, replaced := s.Current()
+	content, err := current.Unpack()
 	is.NoErr(err)
 	is.Equal(string(content), "seven")
 	is.Equal(apply(t, s, 9, "nine"), release.Version(9))
-	<-newer
+	<-replaced
 }
 
 // Guards against a snapshot that loses the release or its version.
@@ -43,10 +43,10 @@
 	is.NoErr(err)
 	other := store.New()
 	is.NoErr(other.Restore(b))
-	held, _ := other.Current()
-	content, err := held.Unpack()
+	restored, _ := other.Current()
+	content, err := restored.Unpack()
 	is.NoErr(err)
-	is.Equal(held.Version, release.Version(7))
+	is.Equal(restored.Version, release.Version(7))
 	is.Equal(string(content), "seven")
 	is.True(other.Restore([]byte("short")) != nil)
 }
