--- a/internal/placement/placer/placer.go
+++ b/internal/placement/placer/placer.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// liveEntries returns the upstreams with a heartbeat within the timeout, and those
-// without one that gateways report as serving.
+// liveEntries returns the upstreams with a heartbeat within the timeout, and those that
+// gateways report as serving with one within servingTimeoutFactor times the timeout.
 func (p *Placer) liveEntries(now time.Time) []registry.Entry {
 	serving := p.suspects.Serving()
 	return slices.DeleteFunc(p.catalog.All(servingTimeoutFactor*p.heartbeatTimeout), func(e registry.Entry) bool {
