--- a/internal/registry/feed/server.go
+++ b/internal/registry/feed/server.go
@@ -1,8 +1,8 @@
-// Package feed carries releases and the roster from the controllers to the
-// gateways, and the roster between controllers.
+// Package feed streams releases and the upstream registry from the controllers to the
+// gateways, and the registry between controllers.
 //
-// A Server streams updates. A message comes at least once in Interval, so that a
-// Client notices a connection that went silent and follows another controller.
+// A Server sends a message at least once per Interval, so that a Client detects a dead
+// connection and follows another controller.
 package feed
 
 import (
@@ -23,32 +23,32 @@
 const (
 	// Interval is the longest time between two messages of a Server.
 	Interval = 250 * time.Millisecond
-	// settle lets changes that come together share a message.
-	settle = 5 * time.Millisecond
-	// unconfirmedInterval is the time between two messages to a gateway that has no
-	// confirmation yet, and therefore accepts no requests.
+	// batchDelay is the pause after a change in which further changes join its message.
+	batchDelay = 5 * time.Millisecond
+	// unconfirmedInterval replaces Interval for a gateway without a confirmation, since it
+	// accepts no requests until it has one.
 	unconfirmedInterval = 40 * time.Millisecond
 )
 
-// Confirmation tells that a majority confirmed a release as the newest one, at
-// some time after Start. The zero value stands for none.
+// Confirmation records that a majority confirmed a release as the newest one at some
+// time after Start. The zero value means that there is none.
 type Confirmation struct {
 	Version release.Version
 	Start   time.Time
 }
 
-// Source is what a Server streams.
+// Source provides the confirmations and controllers that a Server streams.
 type Source interface {
 	// Confirmation returns the newest confirmation.
 	Confirmation() Confirmation
-	// Controllers returns all controllers that are known.
+	// Controllers returns all known controllers.
 	Controllers() []Controller
 }
 
-// Controller is where a controller is reached.
+// Controller is the address and the location of a controller.
 type Controller struct {
-	Address string // for other daemons
-	// DataCentre is empty while it is not known.
+	Address string // peer address
+	// DataCentre is empty if it is not known.
 	DataCentre fleet.DataCentreID
 }
 
@@ -60,34 +60,34 @@
 	store   *store.Store
 	source  Source
 	usage   *usage.Table
-	sums    *sums
+	sums    *sumsCache
 	logger  *zap.Logger
 	stop    chan struct{}
 }
 
-// NewServer returns a Server that streams what the catalog, the store and the
-// source hold.
+// NewServer returns a Server that streams the contents of a catalog, a store and a
+// source.
 func NewServer(clock fleet.Clock, c *catalog.Catalog, s *store.Store, o Source, l *zap.Logger) *Server {
 	table := usage.New(clock)
 	return &Server{
-		clock: clock, catalog: c, store: s, source: o, usage: table, sums: &sums{table: table},
+		clock: clock, catalog: c, store: s, source: o, usage: table, sums: &sumsCache{table: table},
 		logger: l.Named("feed"), stop: make(chan struct{}),
 	}
 }
 
-// Suspects returns the upstreams at which requests of several gateways lately
+// Suspects returns the upstreams at which requests of several gateways recently
 // failed.
 func (s *Server) Suspects() []fleet.UpstreamID {
-	return s.pick(func(u usage.Use) bool { return u.Failed })
+	return s.selectUpstreams(func(u usage.Use) bool { return u.Failed })
 }
 
-// Serving returns the upstreams that requests of any gateway lately made progress
-// at.
+// Serving returns the upstreams at which requests of any gateway recently made
+// progress.
 func (s *Server) Serving() []fleet.UpstreamID {
-	return s.pick(func(u usage.Use) bool { return u.Served })
+	return s.selectUpstreams(func(u usage.Use) bool { return u.Served })
 }
 
-func (s *Server) pick(keep func(usage.Use) bool) []fleet.UpstreamID {
+func (s *Server) selectUpstreams(keep func(usage.Use) bool) []fleet.UpstreamID {
 	var ids []fleet.UpstreamID
 	for _, u := range s.usage.Sums(true).Uses {
 		if keep(u) {
@@ -97,17 +97,17 @@
 	return ids
 }
 
-// Stop ends all streams, so that the followers turn to other controllers.
+// Stop ends all streams, so that the followers switch to other controllers.
 func (s *Server) Stop() { close(s.stop) }
 
-// NotePeer records the gateways of another controller and what they use.
+// NotePeer records the sums of the gateways of another controller.
 func (s *Server) NotePeer(u Update) {
 	if u.Sums != nil {
 		s.usage.SetPeer(u.From, *u.Sums)
 	}
 }
 
-// DropPeer forgets a controller that is no member any more.
+// DropPeer removes the sums of a controller that is no longer a member.
 func (s *Server) DropPeer(address string) {
 	s.usage.DropPeer(address)
 }
@@ -119,47 +119,47 @@
 		return err
 	}
 	instance := fleet.InstanceID(r.GetInstance())
-	var seen stamps
-	seen.add(r.GetStamp(), s.clock.Now())
+	var readings clockReadings
+	readings.add(r.GetStamp(), s.clock.Now())
 	go func() {
 		for {
 			q, err := stream.Recv()
 			if err != nil {
-				return // the context of the stream ends as well
+				return // the context of the stream is done as well
 			}
-			seen.add(q.GetStamp(), s.clock.Now())
+			readings.add(q.GetStamp(), s.clock.Now())
 			if !r.GetController() && !q.GetBare() {
-				s.usage.Set(instance, usage.Report{Uses: usesFromProto(q.GetUses()), Sends: sendsFromProto(q.GetSends())})
+				s.usage.SetGateway(instance, usage.Report{Uses: statsFromProto(q.GetUses()), Sends: attemptsFromProto(q.GetSends())})
 			}
 		}
 	}()
-	if err := s.mayServe(r); err != nil {
+	if err := s.checkRelease(r); err != nil {
 		return err
 	}
 	if !r.GetController() {
-		s.usage.Set(instance, usage.Report{}) // counts before its first report
+		s.usage.SetGateway(instance, usage.Report{}) // so that the gateway counts before its first report
 	}
-	defer s.usage.Drop(instance)
-	s.logger.Info("A follower came.", zap.String("instance", r.GetInstance()), zap.Bool("controller", r.GetController()))
-	defer s.logger.Info("A follower left.", zap.String("instance", r.GetInstance()))
-	sent := release.Version(r.GetVersion())
-	stamp := uint64(0)
-	var summed time.Time // when the newest sums were sent
+	defer s.usage.DropGateway(instance)
+	s.logger.Info("Follower connected.", zap.String("instance", r.GetInstance()), zap.Bool("controller", r.GetController()))
+	defer s.logger.Info("Follower disconnected.", zap.String("instance", r.GetInstance()))
+	sentVersion := release.Version(r.GetVersion())
+	revision := uint64(0)
+	var sumsSent time.Time // when the newest sums were sent
 	for {
 		changed := s.catalog.Changed()
-		held, newer := s.store.Current()
-		u := s.update(r.GetController(), &stamp)
-		if now := s.clock.Now(); now.Sub(summed) >= Interval {
+		current, replaced := s.store.Current()
+		u := s.update(r.GetController(), &revision)
+		if now := s.clock.Now(); now.Sub(sumsSent) >= Interval {
 			if u.Sums, err = s.sums.encode(!r.GetController()); err != nil {
 				return status.Errorf(codes.Internal, "encode the sums: %v", err)
 			}
-			summed = now
+			sumsSent = now
 		}
 		c := s.source.Confirmation()
-		u.ConfirmedVersion, u.ConfirmedStamp = uint64(c.Version), seen.before(c.Start)
-		if held.Version > sent && !r.GetController() {
-			u.Version, u.Release = uint64(held.Version), held.Packed
-			sent = held.Version
+		u.ConfirmedVersion, u.ConfirmedStamp = uint64(c.Version), readings.before(c.Start)
+		if current.Version > sentVersion && !r.GetController() {
+			u.Version, u.Release = uint64(current.Version), current.Gzipped
+			sentVersion = current.Version
 		}
 		if err := stream.Send(u); err != nil {
 			return err
@@ -174,75 +174,75 @@
 		case <-s.stop:
 			return nil
 		case <-changed:
-		case <-newer:
+		case <-replaced:
 		case <-s.clock.After(interval):
 			continue
 		}
 		select {
 		case <-stream.Context().Done():
 			return nil
-		case <-s.clock.After(settle):
+		case <-s.clock.After(batchDelay):
 		}
 	}
 }
 
-// mayServe turns gateways away while this controller lacks a release that it knows
-// of, as after the loss of its disk.
-func (s *Server) mayServe(r *peerv1.FollowRequest) error {
-	held, _ := s.store.Current()
+// checkRelease rejects gateways while this controller lacks the newest confirmed release,
+// such as after the loss of its disk, or has no confirmation yet.
+func (s *Server) checkRelease(r *peerv1.FollowRequest) error {
+	current, _ := s.store.Current()
 	c := s.source.Confirmation()
-	if r.GetController() || held.Version >= c.Version && !c.Start.IsZero() {
+	if r.GetController() || current.Version >= c.Version && !c.Start.IsZero() {
 		return nil
 	}
 	return status.Errorf(codes.Unavailable, "release %d has not arrived here", c.Version)
 }
 
-// stamps holds the clock readings that a follower sent, with the times of their
-// arrival.
-type stamps struct {
-	mu   sync.Mutex
-	list []arrival
-	best uint64
+// clockReadings holds the clock readings that a follower sent, with the local times at
+// which they were received.
+type clockReadings struct {
+	mu      sync.Mutex
+	pending []clockReading
+	newest  uint64
 }
 
-type arrival struct {
-	stamp uint64
-	at    time.Time
+type clockReading struct {
+	value    uint64
+	received time.Time
 }
 
-func (t *stamps) add(stamp uint64, at time.Time) {
+func (t *clockReadings) add(value uint64, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.list = append(t.list, arrival{stamp, at})
+	t.pending = append(t.pending, clockReading{value, at})
 }
 
-// before returns the newest stamp that arrived before a time. Times that are
-// asked for must not decrease.
-func (t *stamps) before(start time.Time) uint64 {
+// before returns the newest reading received before start, or 0. start must not
+// decrease from call to call.
+func (t *clockReadings) before(start time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for n < len(t.list) && t.list[n].at.Before(start) {
-		t.best = max(t.best, t.list[n].stamp)
+	for n < len(t.pending) && t.pending[n].received.Before(start) {
+		t.newest = max(t.newest, t.pending[n].value)
 		n++
 	}
-	t.list = t.list[n:]
-	return t.best
+	t.pending = t.pending[n:]
+	return t.newest
 }
 
-func (s *Server) update(controller bool, stamp *uint64) *peerv1.FeedUpdate {
+func (s *Server) update(controller bool, revision *uint64) *peerv1.FeedUpdate {
 	u := &peerv1.FeedUpdate{}
 	for _, k := range s.source.Controllers() {
 		u.Controllers = append(u.Controllers, &peerv1.Controller{Address: k.Address, DataCentre: string(k.DataCentre)})
 	}
-	n := s.catalog.Since(*stamp, controller)
-	*stamp = n.Stamp
+	n := s.catalog.Since(*revision, controller)
+	*revision = n.Revision
 	now := s.clock.Now()
 	for _, e := range n.Entries {
-		u.Entries = append(u.Entries, toProto(e, now))
+		u.Entries = append(u.Entries, entryToProto(e, now))
 	}
-	for _, g := range n.Signs {
-		u.Signs = append(u.Signs, signToProto(g, now))
+	for _, r := range n.Renewals {
+		u.Signs = append(u.Signs, renewalToProto(r, now))
 	}
 	return u
 }
