--- a/internal/quiet/calendar/calendar.go
+++ b/internal/quiet/calendar/calendar.go
@@ -1,11 +1,11 @@
 // Package calendar computes the occurrences of weekly quiet-hours windows.
 //
-// A window is given in times of day of a time zone. Where the zone changes its
-// offset, the occurrence is the longest reading: a start that occurs twice is
-// the first one, an end that occurs twice is the second one, and a time that
-// does not exist is the moment of the change. The bound on the clock error is
-// added at both sides, so an instance whose clock is wrong by no more than that
-// is inside of the window for the whole of it.
+// A window is defined by times of day in a time zone. Where the zone changes its
+// UTC offset, the longest interpretation applies: a start time that occurs twice
+// means the first occurrence, an end time that occurs twice means the second, and a
+// time that does not exist means the instant of the change. Each occurrence is
+// extended on both sides by the maximum clock error, so that an instance whose clock
+// is wrong by no more than that applies the window for all of its actual duration.
 //
 //	spans := calendar.Spans(windows, now, now.Add(24*time.Hour), time.Second)
 package calendar
@@ -21,7 +21,7 @@
 const day = 24 * time.Hour
 
 // Spans returns the occurrences of windows that overlap [from, to), ordered by
-// start and name. clockError widens each of them at both sides.
+// start and name. Each is extended by clockError on both sides.
 func Spans(windows []document.Window, from, to time.Time, clockError time.Duration) []quiet.Span {
 	var spans []quiet.Span
 	for i := range windows {
@@ -41,14 +41,15 @@
 	if zone == nil {
 		zone = time.UTC
 	}
-	// A window is at most a day long and a zone at most a day away from UTC.
+	// A window is at most one day long, and the offset of a zone from UTC is at most
+	// one day.
 	for d := midnight(from.Add(-3 * day)); d.Before(to.Add(2 * day)); d = d.Add(day) {
-		if !on(w.Days, d.Weekday()) {
+		if !containsDay(w.Days, d.Weekday()) {
 			continue
 		}
 		s := occurrence(w, d, zone)
 		if !s.Start.Before(s.End) {
-			continue // the zone skips the whole of it
+			continue // skipped entirely by a change of the zone offset
 		}
 		s.Start, s.End = s.Start.Add(-clockError), s.End.Add(clockError)
 		if s.Start.Before(to) && from.Before(s.End) {
@@ -58,8 +59,7 @@
 	return spans
 }
 
-// occurrence returns the span of w that starts on the date of d, a midnight in
-// UTC.
+// occurrence returns the span of w that starts on the date of d. d is midnight UTC.
 func occurrence(w *document.Window, d time.Time, zone *time.Location) quiet.Span {
 	until := w.To
 	if until <= w.From {
@@ -75,13 +75,13 @@
 	}
 }
 
-// instants returns the first and the last instant at which clocks in zone show
-// the date and time that wall shows in UTC. For a time that does not exist both
-// are the moment at which clocks jump over it.
+// instants returns the first and the last instant at which the wall clock in zone
+// shows the date and time of wall, which is given in UTC. For a time that does not
+// exist, both are the instant of the change that skips it.
 func instants(wall time.Time, zone *time.Location) (first, last time.Time) {
 	before := wall.Add(-offset(wall.Add(-day), zone))
 	after := wall.Add(-offset(wall.Add(day), zone))
-	beforeShows, afterShows := shows(before, wall, zone), shows(after, wall, zone)
+	beforeShows, afterShows := showsWallTime(before, wall, zone), showsWallTime(after, wall, zone)
 	switch {
 	case beforeShows && afterShows:
 		return before, after
@@ -90,12 +90,14 @@
 	case afterShows:
 		return after, after
 	}
-	// With the old offset the time lies after the change.
+	// The time does not exist in zone. With the old offset it lies after the change.
 	change, _ := before.In(zone).ZoneBounds()
 	return change.UTC(), change.UTC()
 }
 
-func shows(t, wall time.Time, zone *time.Location) bool {
+// showsWallTime reports whether the wall clock in zone shows the date and time of wall
+// at t.
+func showsWallTime(t, wall time.Time, zone *time.Location) bool {
 	return t.Add(offset(t, zone)).Equal(wall)
 }
 
@@ -109,7 +111,7 @@
 	return time.Date(y, m, d, 0, 0, 0, 0, time.UTC)
 }
 
-func on(days []time.Weekday, d time.Weekday) bool {
+func containsDay(days []time.Weekday, d time.Weekday) bool {
 	for _, o := range days {
 		if o == d {
 			return true
--- a/internal/quiet/calendar/calendar_test.go
+++ b/internal/quiet/calendar/calendar_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 	"time"
-	_ "time/tzdata" // the same zones on every machine
+	_ "time/tzdata" // makes the test independent of the zone database of the machine
 
 	"github.com/cockroachdb/datadriven"
 	"github.com/matryer/is"
@@ -14,8 +14,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/quiet/calendar"
 )
 
-// Guards against occurrences that are short or missing where a zone changes its
-// offset, over midnight, and at the ends of the queried time.
+// Guards against occurrences that are too short or missing where a zone changes its
+// offset, across midnight, and at the ends of the queried interval.
 func TestSpans(t *testing.T) {
 	datadriven.RunTest(t, "testdata/spans.txt", func(t *testing.T, d *datadriven.TestData) string {
 		is := is.New(t)
@@ -33,12 +33,12 @@
 		is.NoErr(err)
 		start, err := time.Parse(time.RFC3339, args["at"])
 		is.NoErr(err)
-		whole, err := time.ParseDuration(args["for"])
+		duration, err := time.ParseDuration(args["for"])
 		is.NoErr(err)
-		e, err := time.ParseDuration(args["error"])
+		clockError, err := time.ParseDuration(args["error"])
 		is.NoErr(err)
 		var b strings.Builder
-		for _, s := range calendar.Spans([]document.Window{w}, start, start.Add(whole), e) {
+		for _, s := range calendar.Spans([]document.Window{w}, start, start.Add(duration), clockError) {
 			fmt.Fprintf(&b, "%s - %s (%s)\n", s.Start.UTC().Format(time.RFC3339), s.End.UTC().Format(time.RFC3339), s.End.Sub(s.Start))
 		}
 		return b.String()
--- a/internal/quiet/governor/governor.go
+++ b/internal/quiet/governor/governor.go
@@ -1,15 +1,16 @@
-// Package governor keeps the work in progress of an instance within its part of
-// the quiet-hours bound.
+// Package governor keeps the work in progress of an instance within its share of
+// the quiet-hours limit.
 //
-// The bound of a data centre is divided by the number of its instances, without
-// a message between them, so that the sum of the parts cannot exceed the bound
-// in any partition. Only an instance that knows all the others may also hold one
-// of the places that the division leaves over.
+// The limit of a data centre is divided by the number of its instances, without
+// communication between them, so that the sum of the shares cannot exceed the limit
+// in any network partition. The remainder of the division is assigned one by one to
+// the instances with the lowest ids, but only an instance that knows all the others
+// uses its part of the remainder.
 //
-// Work that is expected to run into a window counts for that window from its
-// start on. So the work in progress drains before the window, and what runs on
-// is within the bound when it opens. Capacity falls in a ramp before a window
-// and rises in one after it.
+// Work that is expected to run into a window counts towards the limit of that
+// window from the time it starts. The work in progress therefore drains before the
+// window, and what still runs is within the limit when the window opens. Capacity
+// is ramped down before a window and ramped up after it.
 //
 //	g := governor.New(time.Second)
 //	g.SetFleet(self, 5, known)
@@ -19,8 +20,8 @@
 //		defer end()
 //	}
 //
-// Work that runs on into a window although it was expected to end earlier may
-// exceed the bound. Move asks so much of it to stop as is over the bound.
+// Work that runs into a window although it was expected to end earlier may exceed
+// the limit. Move asks as much of it to leave as is over the limit.
 package governor
 
 import (
@@ -36,18 +37,22 @@
 )
 
 const (
-	// horizon is how far ahead windows are looked up, and lookupEvery how often.
-	// The difference is the longest work that is seen to run into a window.
-	horizon     = 26 * time.Hour
-	lookupEvery = 2 * time.Hour
-	// drainTime and returnTime are the ramps before and after a window.
-	drainTime  = 20 * time.Second
-	returnTime = 30 * time.Second
-	// overrun is the factor on the expected time of work that is allowed for.
-	overrun = 1.5
+	// lookAhead is how far ahead windows are looked up, and lookupInterval how
+	// often. Their difference is the longest duration of work that is certain to be
+	// recognized as running into a window.
+	lookAhead      = 26 * time.Hour
+	lookupInterval = 2 * time.Hour
+	// rampDownTime and rampUpTime are the durations of the ramps before and after a
+	// window.
+	rampDownTime = 20 * time.Second
+	rampUpTime   = 30 * time.Second
+	// overrunFactor is the factor on the expected duration of work that allows for
+	// overruns.
+	overrunFactor = 1.5
 )
 
-// Counters are sums since the start of a Governor and its state now.
+// Counters are the totals since a Governor was created, and the number of tasks that
+// are running now.
 type Counters struct {
 	Started uint64
 	Refused uint64
@@ -55,32 +60,34 @@
 	Running int
 }
 
-// Governor bounds the work of one instance. It is safe for concurrent use.
+// Governor limits the work in progress of one instance. It is safe for concurrent
+// use.
 type Governor struct {
 	clockError time.Duration
 
-	mu       sync.Mutex
-	windows  []document.Window
-	self     fleet.InstanceID
-	size     int
-	known    []fleet.InstanceID
-	full     int
-	spans    []*span
-	lookedUp time.Time
-	running  runs
-	counts   Counters
+	mu            sync.Mutex
+	windows       []document.Window
+	self          fleet.InstanceID
+	instanceCount int
+	alive         []fleet.InstanceID
+	capacity      int
+	spans         []*span
+	lookedUpAt    time.Time
+	running       taskHeap
+	counters      Counters
 }
 
-// span is an occurrence of a window and the number of runs that count for it.
+// span is an occurrence of a window and the number of tasks counted in it.
 type span struct {
 	quiet.Span
-	counted int
+	assigned int
 }
 
-// New returns a Governor without windows for an instance whose clock is wrong by
-// at most clockError. Until SetFleet is called it is the only instance.
+// New returns a Governor without windows for an instance whose clock error is at
+// most clockError. Until SetFleet is called, the instance is assumed to be the only
+// one.
 func New(clockError time.Duration) *Governor {
-	return &Governor{clockError: clockError, size: 1}
+	return &Governor{clockError: clockError, instanceCount: 1}
 }
 
 // SetWindows replaces the windows of the data centre.
@@ -88,70 +95,71 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.windows = w
-	g.lookedUp = time.Time{}
+	g.lookedUpAt = time.Time{}
 }
 
-// SetFleet sets the configured number of instances of the data centre and those
-// that are known to be alive, self included. size must be the largest number
-// that may run at once, because the bound is divided by it.
-func (g *Governor) SetFleet(self fleet.InstanceID, size int, known []fleet.InstanceID) {
+// SetFleet sets the configured number of instances of the data centre and the
+// instances that are known to be alive, including self. instanceCount must be the
+// maximum number of instances that may run at the same time, because the limit is
+// divided by it.
+func (g *Governor) SetFleet(self fleet.InstanceID, instanceCount int, alive []fleet.InstanceID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.self = self
-	g.size = max(size, 1)
-	g.known = known
+	g.instanceCount = max(instanceCount, 1)
+	g.alive = alive
 }
 
-// SetFull sets the work that this instance runs at most outside of windows. It
-// is the upper end of the ramps; zero turns the ramps off.
-func (g *Governor) SetFull(n int) {
+// SetCapacity sets the maximum number of tasks that this instance runs outside of
+// windows. It is the upper end of the ramps; zero disables the ramps.
+func (g *Governor) SetCapacity(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.full = n
+	g.capacity = n
 }
 
-// Start returns whether work of the expected time may start at now. When it may,
+// Start reports whether work of the expected duration may start at now. If it may,
 // end must be called once when the work has ended. move is called at most once,
 // when the work has to leave because of a window; it may be nil.
 func (g *Governor) Start(now time.Time, expected time.Duration, move func()) (end func(), ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
-	allowed := time.Duration(float64(expected) * overrun)
-	r := &run{end: now.Add(allowed), extension: max(allowed, time.Second), move: move}
+	allowed := time.Duration(float64(expected) * overrunFactor)
+	r := &task{expectedEnd: now.Add(allowed), extension: max(allowed, time.Second), move: move}
 	if !g.fits(r, now) {
-		g.counts.Refused++
+		g.counters.Refused++
 		return nil, false
 	}
-	g.count(r, 0)
+	g.assign(r, 0)
 	heap.Push(&g.running, r)
-	g.counts.Started++
+	g.counters.Started++
 	return func() { g.finish(r) }, true
 }
 
-// Retry returns the time for which no work can start at all, however much ends,
-// or zero.
+// Retry returns the time for which no work can start at all, even if all running
+// work ends, or zero.
 func (g *Governor) Retry(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
-	b := g.bound(now)
-	if !b.Limited || b.MaxInFlight > 0 {
+	limit := g.currentLimit(now)
+	if !limit.Limited || limit.MaxInFlight > 0 {
 		return 0
 	}
-	return b.Until.Sub(now)
+	return limit.Until.Sub(now)
 }
 
-// Bound returns the bound of this instance at now.
-func (g *Governor) Bound(now time.Time) quiet.Bound {
+// Limit returns the limit of this instance at now.
+func (g *Governor) Limit(now time.Time) quiet.Limit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
-	return g.bound(now)
+	return g.currentLimit(now)
 }
 
-// Excess returns how much of the running work has to be moved or refused, for
-// the bound of the window that is open to hold.
+// Excess returns the number of running tasks that have to be moved or refused to
+// meet the limits of the windows that are open at now.
 func (g *Governor) Excess(now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -159,11 +167,11 @@
 	return g.excess(now)
 }
 
-// Move asks running work to leave until no more than the bound is left, the work
-// that is expected to run longest first. A controller calls it a few times a
-// second. It returns the number of pieces of work that it asked.
+// Move asks running work to leave until no more than the limit remains, starting with
+// the latest expected end. A controller calls it a few times per second. It returns
+// the number of tasks that it asked.
 func (g *Governor) Move(now time.Time) int {
-	asked := g.leaving(now)
+	asked := g.selectForMove(now)
 	for _, r := range asked {
 		if r.move != nil {
 			r.move()
@@ -172,168 +180,173 @@
 	return len(asked)
 }
 
-// Counters returns the sums and the state.
+// Counters returns the current counters.
 func (g *Governor) Counters() Counters {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c := g.counts
+	c := g.counters
 	c.Running = len(g.running)
 	return c
 }
 
-// leaving marks the work that has to leave and was not asked yet, and returns it.
-func (g *Governor) leaving(now time.Time) []*run {
+// selectForMove marks the tasks that have to leave and were not asked yet, and
+// returns them.
+func (g *Governor) selectForMove(now time.Time) []*task {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
-	staying := slices.DeleteFunc(slices.Clone(g.running), func(r *run) bool { return r.moved })
-	over := g.excess(now) - (len(g.running) - len(staying))
-	if over <= 0 {
+	staying := slices.DeleteFunc(slices.Clone(g.running), func(r *task) bool { return r.moved })
+	surplus := g.excess(now) - (len(g.running) - len(staying))
+	if surplus <= 0 {
 		return nil
 	}
-	slices.SortFunc(staying, func(a, b *run) int { return b.end.Compare(a.end) })
-	asked := staying[:over]
+	slices.SortFunc(staying, func(a, b *task) int { return b.expectedEnd.Compare(a.expectedEnd) })
+	asked := staying[:surplus]
 	for _, r := range asked {
 		r.moved = true
 	}
-	g.counts.Moved += uint64(len(asked))
+	g.counters.Moved += uint64(len(asked))
 	return asked
 }
 
 func (g *Governor) excess(now time.Time) int {
 	excess := 0
 	for _, s := range g.spans {
-		if open(s, now) {
-			excess = max(excess, len(g.running)-g.part(s.MaxInFlight))
+		if isOpen(s, now) {
+			excess = max(excess, len(g.running)-g.share(s.MaxInFlight))
 		}
 	}
 	return excess
 }
 
-// fits returns whether r keeps every window that it meets within the bound.
-func (g *Governor) fits(r *run, now time.Time) bool {
+// fits reports whether starting r at now keeps every window that it overlaps, and
+// the current limit, within bounds.
+func (g *Governor) fits(r *task, now time.Time) bool {
 	for _, s := range g.spans {
-		if !s.Start.Before(r.end) || !now.Before(s.End) {
+		if !s.Start.Before(r.expectedEnd) || !now.Before(s.End) {
 			continue
 		}
-		if s.counted >= g.part(s.MaxInFlight) {
+		if s.assigned >= g.share(s.MaxInFlight) {
 			return false
 		}
 	}
-	b := g.bound(now)
+	b := g.currentLimit(now)
 	return !b.Limited || len(g.running) < b.MaxInFlight
 }
 
-// bound returns the lowest of the bounds of open windows and of the ramps.
-func (g *Governor) bound(now time.Time) quiet.Bound {
-	var b quiet.Bound
+// currentLimit returns the lowest of the limits of open windows and of ramps.
+func (g *Governor) currentLimit(now time.Time) quiet.Limit {
+	var limit quiet.Limit
 	for _, s := range g.spans {
-		limit, until, limited := g.limit(s, now)
+		spanLimit, until, limited := g.spanLimit(s, now)
 		if !limited {
-			if s.Start.After(now) && (b.Until.IsZero() || s.Start.Add(-drainTime).Before(b.Until)) {
-				b.Until = s.Start.Add(-drainTime)
+			if s.Start.After(now) && (limit.Until.IsZero() || s.Start.Add(-rampDownTime).Before(limit.Until)) {
+				limit.Until = s.Start.Add(-rampDownTime)
 			}
 			continue
 		}
-		if !b.Limited || limit < b.MaxInFlight {
-			b = quiet.Bound{Limited: true, MaxInFlight: limit, Until: until, Window: s.Window}
+		if !limit.Limited || spanLimit < limit.MaxInFlight {
+			limit = quiet.Limit{Limited: true, MaxInFlight: spanLimit, Until: until, Window: s.Window}
 		}
 	}
-	return b
+	return limit
 }
 
-// limit returns what s allows at now and until when.
-func (g *Governor) limit(s *span, now time.Time) (limit int, until time.Time, limited bool) {
-	part := g.part(s.MaxInFlight)
-	if open(s, now) {
-		return part, s.End, true
+// spanLimit returns the limit that s sets at now, and until when. Outside of the span
+// and its ramps, limited is false.
+func (g *Governor) spanLimit(s *span, now time.Time) (limit int, until time.Time, limited bool) {
+	share := g.share(s.MaxInFlight)
+	if isOpen(s, now) {
+		return share, s.End, true
 	}
-	extra := max(g.full-part, 0)
+	extra := max(g.capacity-share, 0)
 	before, after := s.Start.Sub(now), now.Sub(s.End)
 	switch {
 	case extra == 0:
 		return 0, time.Time{}, false
-	case before > 0 && before < drainTime:
-		return part + scale(extra, before, drainTime), s.Start, true
-	case after >= 0 && after < returnTime:
-		return part + scale(extra, after, returnTime), s.End.Add(returnTime), true
+	case before > 0 && before < rampDownTime:
+		return share + scale(extra, before, rampDownTime), s.Start, true
+	case after >= 0 && after < rampUpTime:
+		return share + scale(extra, after, rampUpTime), s.End.Add(rampUpTime), true
 	}
 	return 0, time.Time{}, false
 }
 
-// part returns the part of a bound that this instance may use.
-func (g *Governor) part(bound int) int {
-	n := max(g.size, len(g.known))
-	part := bound / n
+// share returns the part of limit that this instance may use.
+func (g *Governor) share(limit int) int {
+	n := max(g.instanceCount, len(g.alive))
+	share := limit / n
 	rank, complete := g.rank(n)
-	if complete && rank < bound%n {
-		part++
+	if complete && rank < limit%n {
+		share++
 	}
-	return part
+	return share
 }
 
-// rank returns the number of instances that come before this one, and whether
-// all n are known.
+// rank returns the number of alive instances with a lower id than this one, and
+// whether all n instances, including this one, are known to be alive.
 func (g *Governor) rank(n int) (rank int, complete bool) {
-	self := false
-	for _, id := range g.known {
-		self = self || id == g.self
+	selfAlive := false
+	for _, id := range g.alive {
+		selfAlive = selfAlive || id == g.self
 		if id < g.self {
 			rank++
 		}
 	}
-	return rank, self && len(g.known) == n
+	return rank, selfAlive && len(g.alive) == n
 }
 
-// advance looks windows up and extends work that runs longer than expected.
+// advance refreshes the spans if due and extends tasks that run longer than expected.
 func (g *Governor) advance(now time.Time) {
-	if g.lookedUp.IsZero() || now.Sub(g.lookedUp) >= lookupEvery || now.Before(g.lookedUp) {
-		g.lookUp(now)
+	if g.lookedUpAt.IsZero() || now.Sub(g.lookedUpAt) >= lookupInterval || now.Before(g.lookedUpAt) {
+		g.refreshSpans(now)
 	}
-	for len(g.running) > 0 && !g.running[0].end.After(now) {
+	for len(g.running) > 0 && !g.running[0].expectedEnd.After(now) {
 		r := g.running[0]
-		old := r.spans
-		r.end = now.Add(r.extension)
-		g.count(r, old)
+		counted := r.spanCount
+		r.expectedEnd = now.Add(r.extension)
+		g.assign(r, counted)
 		heap.Fix(&g.running, 0)
 	}
 }
 
-// lookUp replaces the spans and counts all running work again.
-func (g *Governor) lookUp(now time.Time) {
-	g.lookedUp = now
+// refreshSpans looks up the spans and counts all running tasks again.
+func (g *Governor) refreshSpans(now time.Time) {
+	g.lookedUpAt = now
 	g.spans = g.spans[:0]
-	for _, s := range calendar.Spans(g.windows, now.Add(-returnTime), now.Add(horizon), g.clockError) {
+	for _, s := range calendar.Spans(g.windows, now.Add(-rampUpTime), now.Add(lookAhead), g.clockError) {
 		g.spans = append(g.spans, &span{Span: s})
 	}
 	for _, r := range g.running {
-		g.count(r, 0)
+		g.assign(r, 0)
 	}
 }
 
-// count counts r for the spans from index from on that start before it ends.
-// Spans are ordered by start, so r counts for the first r.spans of them.
-func (g *Governor) count(r *run, from int) {
-	r.spans = from
-	for r.spans < len(g.spans) && g.spans[r.spans].Start.Before(r.end) {
-		g.spans[r.spans].counted++
-		r.spans++
+// assign counts r in the spans from index first that start before its expected end.
+// Spans are ordered by start, so r is counted in the first r.spanCount of them.
+func (g *Governor) assign(r *task, first int) {
+	r.spanCount = first
+	for r.spanCount < len(g.spans) && g.spans[r.spanCount].Start.Before(r.expectedEnd) {
+		g.spans[r.spanCount].assigned++
+		r.spanCount++
 	}
 }
 
-func (g *Governor) finish(r *run) {
+func (g *Governor) finish(r *task) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, s := range g.spans[:r.spans] {
-		s.counted--
+	for _, s := range g.spans[:r.spanCount] {
+		s.assigned--
 	}
-	heap.Remove(&g.running, r.position)
+	heap.Remove(&g.running, r.heapIndex)
 }
 
-func open(s *span, now time.Time) bool {
+// isOpen reports whether now lies within s.
+func isOpen(s *span, now time.Time) bool {
 	return !now.Before(s.Start) && now.Before(s.End)
 }
 
-func scale(n int, passed, whole time.Duration) int {
-	return int(float64(n) * float64(passed) / float64(whole))
+// scale returns n times elapsed/duration, rounded down.
+func scale(n int, elapsed, duration time.Duration) int {
+	return int(float64(n) * float64(elapsed) / float64(duration))
 }
--- a/internal/quiet/governor/governor_test.go
+++ b/internal/quiet/governor/governor_test.go
@@ -13,63 +13,63 @@
 	"github.com/bilberryrock/bilberryrock/internal/quiet/governor"
 )
 
-var opens = time.Date(2026, time.January, 5, 22, 0, 0, 0, time.UTC)
+var windowStart = time.Date(2026, time.January, 5, 22, 0, 0, 0, time.UTC)
 
-func window(bound int) []document.Window {
+func window(limit int) []document.Window {
 	return []document.Window{{
 		Name:        "night",
 		Days:        []time.Weekday{time.Monday},
 		From:        22 * time.Hour,
 		To:          22*time.Hour + 5*time.Minute,
-		MaxInFlight: bound,
+		MaxInFlight: limit,
 	}}
 }
 
-// job is work in progress of one instance of the test.
+// job is work in progress on one of the simulated instances.
 type job struct {
 	until time.Time
 	end   func()
 }
 
-// Guards against a sum of work over the bound: instances with random views of
-// each other, which change at any moment, and work that takes up to its allowed
-// time. The sum must hold at every moment of the window.
+// Guards against a total of running work over the limit. The instances have random
+// views of each other, which change at any time, and work takes up to its allowed
+// duration. The total must stay within the limit during the whole window.
 func TestSumNeverExceedsBound(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		size := 1 + r.IntN(15)
-		bound := r.IntN(40)
+		limit := r.IntN(40)
 		ids := make([]fleet.InstanceID, size)
-		all := make([]*governor.Governor, size)
-		for i := range all {
+		governors := make([]*governor.Governor, size)
+		for i := range governors {
 			ids[i] = fleet.InstanceID(fmt.Sprintf("i%02d", i))
-			all[i] = governor.New(0)
-			all[i].SetWindows(window(bound))
-			all[i].SetFull(20)
+			governors[i] = governor.New(0)
+			governors[i].SetWindows(window(limit))
+			governors[i].SetCapacity(20)
 		}
 		jobs := make([][]job, size)
-		for now := opens.Add(-90 * time.Second); now.Before(opens.Add(6 * time.Minute)); now = now.Add(500 * time.Millisecond) {
-			running, parts := 0, 0
-			for i, g := range all {
-				if r.IntN(20) == 0 || now.Equal(opens.Add(-90*time.Second)) {
-					g.SetFleet(ids[i], size, view(r, ids, ids[i]))
+		for now := windowStart.Add(-90 * time.Second); now.Before(windowStart.Add(6 * time.Minute)); now = now.Add(500 * time.Millisecond) {
+			running, shares := 0, 0
+			for i, g := range governors {
+				if r.IntN(20) == 0 || now.Equal(windowStart.Add(-90*time.Second)) {
+					g.SetFleet(ids[i], size, randomView(r, ids, ids[i]))
 				}
 				jobs[i] = step(r, g, jobs[i], now)
 				running += len(jobs[i])
-				parts += g.Bound(now).MaxInFlight
+				shares += g.Limit(now).MaxInFlight
 			}
-			if now.Before(opens) || !now.Before(opens.Add(5*time.Minute)) {
+			if now.Before(windowStart) || !now.Before(windowStart.Add(5*time.Minute)) {
 				continue
 			}
-			if running > bound || parts > bound {
-				t.Fatalf("seed %d: %d running, parts %d, bound %d, %v after the start", seed, running, parts, bound, now.Sub(opens))
+			if running > limit || shares > limit {
+				t.Fatalf("seed %d: %d running, shares %d, limit %d, %v after the start", seed, running, shares, limit, now.Sub(windowStart))
 			}
 		}
 	}
 }
 
-// view returns a random part of ids that holds self, or all of them.
-func view(r *rand.Rand, ids []fleet.InstanceID, self fleet.InstanceID) []fleet.InstanceID {
+// randomView returns a random subset of ids that includes self, or all of them.
+func randomView(r *rand.Rand, ids []fleet.InstanceID, self fleet.InstanceID) []fleet.InstanceID {
 	if r.IntN(2) == 0 {
 		return ids
 	}
@@ -82,12 +82,12 @@
 	return known
 }
 
-// step ends the jobs that are done at now and starts as many new ones as may.
+// step ends the jobs that are done at now and attempts to start three new ones.
 func step(r *rand.Rand, g *governor.Governor, jobs []job, now time.Time) []job {
-	left := jobs[:0]
+	running := jobs[:0]
 	for _, j := range jobs {
 		if j.until.After(now) {
-			left = append(left, j)
+			running = append(running, j)
 			continue
 		}
 		j.end()
@@ -99,25 +99,25 @@
 			continue
 		}
 		took := time.Duration(float64(expected) * 1.49 * r.Float64())
-		left = append(left, job{until: now.Add(took), end: end})
+		running = append(running, job{until: now.Add(took), end: end})
 	}
-	return left
+	return running
 }
 
-// Guards against capacity that falls off or comes back at once, and against
-// work in progress over the bound that goes unreported.
+// Guards against capacity that changes abruptly instead of in ramps, and against
+// work in progress over the limit that Excess does not report.
 func TestRampsAndExcess(t *testing.T) {
 	is := is.New(t)
 	g := governor.New(time.Second)
 	g.SetFleet("a", 1, []fleet.InstanceID{"a"})
-	g.SetFull(100)
+	g.SetCapacity(100)
 	g.SetWindows(window(10))
 	limits := func(from, to time.Duration) (low, high, jump int) {
 		last := -1
 		for d := from; d < to; d += time.Second {
-			b := g.Bound(opens.Add(d))
-			is.True(b.Limited)
-			n := b.MaxInFlight
+			limit := g.Limit(windowStart.Add(d))
+			is.True(limit.Limited)
+			n := limit.MaxInFlight
 			if last >= 0 {
 				jump = max(jump, n-last, last-n)
 			}
@@ -128,31 +128,32 @@
 		}
 		return low, high, jump
 	}
-	is.True(!g.Bound(opens.Add(-22 * time.Second)).Limited)
+	is.True(!g.Limit(windowStart.Add(-22 * time.Second)).Limited)
 	low, high, jump := limits(-20*time.Second, 0)
 	is.True(low <= 14 && high >= 90 && jump <= 5)
 	low, high, _ = limits(0, 5*time.Minute)
 	is.True(low == 10 && high == 10)
 	low, high, jump = limits(5*time.Minute+2*time.Second, 5*time.Minute+30*time.Second)
 	is.True(low <= 14 && high >= 90 && jump <= 5)
-	is.True(!g.Bound(opens.Add(5*time.Minute + 31*time.Second)).Limited)
+	is.True(!g.Limit(windowStart.Add(5*time.Minute + 31*time.Second)).Limited)
 
-	// Work that runs far longer than expected is reported when the window opens.
-	before, moved := opens.Add(-time.Minute), 0
+	// Work that runs far longer than expected is reported as excess when the window
+	// opens.
+	before, moved := windowStart.Add(-time.Minute), 0
 	for range 30 {
 		_, ok := g.Start(before, time.Second, func() { moved++ })
 		is.True(ok)
 	}
 	is.Equal(g.Excess(before), 0)
-	is.Equal(g.Excess(opens), 20)
-	is.Equal(g.Move(opens), 20)
-	is.Equal(g.Move(opens), 0) // asked once
+	is.Equal(g.Excess(windowStart), 20)
+	is.Equal(g.Move(windowStart), 20)
+	is.Equal(g.Move(windowStart), 0) // each task is asked only once
 	is.Equal(moved, 20)
-	_, ok := g.Start(opens, time.Second, nil)
+	_, ok := g.Start(windowStart, time.Second, nil)
 	is.True(!ok)
-	is.Equal(g.Retry(opens), time.Duration(0)) // work may start as soon as enough has ended
+	is.Equal(g.Retry(windowStart), time.Duration(0)) // work may start as soon as enough running work has ended
 
-	// Without a place of its own an instance is closed for the whole window.
+	// An instance with a share of zero cannot start work during the whole window.
 	g.SetFleet("a", 11, []fleet.InstanceID{"a"})
-	is.Equal(g.Retry(opens.Add(time.Second)), 5*time.Minute)
+	is.Equal(g.Retry(windowStart.Add(time.Second)), 5*time.Minute)
 }
--- a/internal/quiet/governor/runs.go
+++ b/internal/quiet/governor/runs.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// run is work in progress.
-type run struct {
-	end       time.Time // expected end, with the allowance for an overrun
-	extension time.Duration
-	spans     int // it counts for this many of the first spans
-	position  int
-	move      func()
-	moved     bool // move was called
+// task is a unit of work in progress.
+type task struct {
+	expectedEnd time.Time // includes the allowance for an overrun
+	extension   time.Duration
+	spanCount   int // number of leading spans in which the task is counted
+	heapIndex   int
+	move        func()
+	moved       bool // the task was selected by Move
 }
 
-// runs is a heap of runs, the one that ends first at the top.
-type runs []*run
+// taskHeap implements heap.Interface, ordered by expectedEnd.
+type taskHeap []*task
 
-func (h runs) Len() int           { return len(h) }
-func (h runs) Less(i, j int) bool { return h[i].end.Before(h[j].end) }
+func (h taskHeap) Len() int           { return len(h) }
+func (h taskHeap) Less(i, j int) bool { return h[i].expectedEnd.Before(h[j].expectedEnd) }
 
-func (h runs) Swap(i, j int) {
+func (h taskHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].position, h[j].position = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-func (h *runs) Push(x any) {
-	r := x.(*run)
-	r.position = len(*h)
+func (h *taskHeap) Push(x any) {
+	r := x.(*task)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
 
-func (h *runs) Pop() any {
+func (h *taskHeap) Pop() any {
 	old := *h
 	r := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/quiet/quiet.go
+++ b/internal/quiet/quiet.go
@@ -1,27 +1,27 @@
-// Package quiet holds the types of quiet-hours windows, during which the load of
-// a data centre has a bound.
+// Package quiet defines the types of quiet-hours windows, during which the number of
+// requests in progress in a data centre is limited.
 package quiet
 
 import "time"
 
-// Span is one occurrence of a window: the half-open time [Start, End) with its
-// load bound.
+// Span is one occurrence of a window: the half-open interval [Start, End) with its
+// load limit.
 type Span struct {
 	Window string
 	Start  time.Time
 	End    time.Time
-	// MaxInFlight bounds the requests in progress in the data centre.
+	// MaxInFlight is the maximum number of requests in progress in the data centre.
 	MaxInFlight int
 }
 
-// Bound is the bound that holds for an instance now.
-type Bound struct {
-	// Limited tells whether there is a bound.
+// Limit is the limit that currently applies to one instance.
+type Limit struct {
+	// Limited reports whether there is a limit.
 	Limited bool
-	// MaxInFlight is the share of this instance.
+	// MaxInFlight is the maximum number of requests in progress on this instance.
 	MaxInFlight int
-	// Until is the time at which the bound may change.
+	// Until is the earliest time at which the limit may change.
 	Until time.Time
-	// Window names the window that sets the bound.
+	// Window is the name of the window that sets the limit.
 	Window string
 }
--- a/internal/routing/measures_test.go
+++ b/internal/routing/measures_test.go
@@ -10,69 +10,70 @@
 	"github.com/bilberryrock/bilberryrock/internal/quiet/calendar"
 )
 
-// accountShares are the parts of the load of the accounts: two large ones and
-// six small ones.
+// accountShares are the shares of the accounts in the offered load: two large
+// accounts and six small ones.
 var accountShares = []float64{0.4, 0.3, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05}
 
-// measures are the figures of one run, taken from the requests that arrived
-// after the warm-up and early enough to end before the run does.
+// measures are the metrics of one run. Except for the time series and the slot
+// usage, they cover the requests that arrive after the warm-up and early enough to
+// end before the run does.
 type measures struct {
-	w                    *world
-	bound                float64 // requests a second that the hardware can do
-	arrivals, good       int
-	refusals, justified  int
-	ranButRefused        int
-	losses               int
-	byAccount            [2][8]float64 // arrivals, good
-	latency, first, next *hdrhistogram.Histogram
-	wasted, used         time.Duration
-	hits, lookups        int
-	overBound, quietPeak int          // work over the quiet-hours bound, and most work at once, in a window
-	second               [2][]float64 // arrivals and good by second of arrival
+	w                             *simulation
+	capacity                      float64 // requests per second that the workers can serve
+	arrivals, good                int
+	refusals, justifiedRefusals   int
+	refusedAfterRun               int
+	lost                          int
+	byAccount                     [2][8]float64 // arrivals and successes
+	latency, firstToken, perToken *hdrhistogram.Histogram
+	wasted, used                  time.Duration
+	cacheHits, cacheLookups       int
+	overLimit, quietPeak          int          // in a quiet window: requests over the limit and not reported as excess, and most requests running
+	bySecond                      [2][]float64 // arrivals and successes by second of arrival
 }
 
-func (m *measures) init(w *world) {
+func (m *measures) init(w *simulation) {
 	m.w = w
-	for _, s := range w.speeds {
-		m.bound += float64(w.slots) / (meanService.Seconds() * s)
+	for _, s := range w.serviceTimeFactors {
+		m.capacity += float64(w.slots) / (meanServiceTime.Seconds() * s)
 	}
 	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3) }
-	m.latency, m.first, m.next = newHistogram(), newHistogram(), newHistogram()
-	m.second[0] = make([]float64, int(w.length/time.Second)+2)
-	m.second[1] = make([]float64, int(w.length/time.Second)+2)
+	m.latency, m.firstToken, m.perToken = newHistogram(), newHistogram(), newHistogram()
+	m.bySecond[0] = make([]float64, int(w.length/time.Second)+2)
+	m.bySecond[1] = make([]float64, int(w.length/time.Second)+2)
 }
 
-func (m *measures) counts(r *request) bool {
-	return r.arrived >= m.w.warmUp && r.arrived < m.w.length-callerDeadline
+func (m *measures) inMeasuredPeriod(r *request) bool {
+	return r.arrivedAt >= m.w.warmUp && r.arrivedAt < m.w.length-callerDeadline
 }
 
-func (m *measures) offered(r *request) {
-	m.second[0][r.arrived/time.Second]++
-	if m.counts(r) {
+func (m *measures) recordArrival(r *request) {
+	m.bySecond[0][r.arrivedAt/time.Second]++
+	if m.inMeasuredPeriod(r) {
 		m.arrivals++
 		m.byAccount[0][r.account]++
 	}
 }
 
-func (m *measures) served(a *attempt) {
-	m.used += a.service
-	m.second[1][a.arrived/time.Second]++
-	if !m.counts(a.request) {
+func (m *measures) recordSuccess(a *attempt) {
+	m.used += a.serviceTime
+	m.bySecond[1][a.arrivedAt/time.Second]++
+	if !m.inMeasuredPeriod(a.request) {
 		return
 	}
 	m.good++
 	m.byAccount[1][a.account]++
 	micro := func(d time.Duration) int64 { return int64(d / time.Microsecond) }
-	_ = m.latency.RecordValue(micro(m.w.now - a.arrived))
-	_ = m.first.RecordValue(micro(a.started + a.first + a.to.link - a.arrived))
-	_ = m.next.RecordValue(micro(a.service-a.first) / tokensPerWork)
+	_ = m.latency.RecordValue(micro(m.w.now - a.arrivedAt))
+	_ = m.firstToken.RecordValue(micro(a.startedAt + a.timeToFirstToken + a.to.linkDelay - a.arrivedAt))
+	_ = m.perToken.RecordValue(micro(a.serviceTime-a.timeToFirstToken) / tokensPerWork)
 }
 
-func (m *measures) refused(r *request) {
+func (m *measures) recordRefusal(r *request) {
 	if r.ran {
-		m.ranButRefused++
+		m.refusedAfterRun++
 	}
-	if !m.counts(r) {
+	if !m.inMeasuredPeriod(r) {
 		return
 	}
 	m.refusals++
@@ -84,51 +85,52 @@
 		}
 	}
 	if float64(busy) >= 0.95*float64(slots) {
-		m.justified++
+		m.justifiedRefusals++
 	}
 }
 
-func (m *measures) waste(d time.Duration) { m.wasted += d }
+func (m *measures) recordWaste(d time.Duration) { m.wasted += d }
 
-// watchBound checks the work in progress against the open quiet-hours window.
-func (m *measures) watchBound() {
+// checkQuietLimit compares the requests in progress with the limit of the open
+// quiet-hours window.
+func (m *measures) checkQuietLimit() {
 	for _, s := range calendar.Spans(m.w.windows, m.w.Now(), m.w.Now().Add(1), 0) {
 		running, excess := 0, 0
 		for _, n := range m.w.instances {
 			running += n.lane.Counters().Running
-			excess += n.quiet.Excess(m.w.Now())
+			excess += n.quietGovernor.Excess(m.w.Now())
 		}
 		m.quietPeak = max(m.quietPeak, running)
-		m.overBound = max(m.overBound, running-excess-s.MaxInFlight)
+		m.overLimit = max(m.overLimit, running-excess-s.MaxInFlight)
 	}
 }
 
-// goodput returns good requests as a part of the lower of offered load and
-// bound.
+// goodput returns the ratio of the successful requests to the lower of the offered
+// load and the capacity.
 func (m *measures) goodput() float64 {
 	seconds := (m.w.length - callerDeadline - m.w.warmUp).Seconds()
-	return float64(m.good) / min(float64(m.arrivals), m.bound*seconds)
+	return float64(m.good) / min(float64(m.arrivals), m.capacity*seconds)
 }
 
-// utilisation returns the part of the slot time that was used, over the whole
+// utilisation returns the fraction of the slot time that was used during the whole
 // run.
 func (m *measures) utilisation() float64 {
 	slots := float64(m.w.slots * len(m.w.workers))
 	return (m.used + m.wasted).Seconds() / (slots * m.w.length.Seconds())
 }
 
-// fairness returns the lowest ratio over all accounts of what an account got to
-// its max-min fair part of the bound.
+// fairness returns the lowest ratio, over all accounts, of the successful requests of
+// an account to its max-min fair share of the capacity.
 func (m *measures) fairness() float64 {
 	seconds := (m.w.length - callerDeadline - m.w.warmUp).Seconds()
 	lowest := math.Inf(1)
-	for i, p := range maxMin(m.byAccount[0][:], m.bound*seconds) {
-		lowest = min(lowest, m.byAccount[1][i]/p)
+	for i, fairShare := range maxMin(m.byAccount[0][:], m.capacity*seconds) {
+		lowest = min(lowest, m.byAccount[1][i]/fairShare)
 	}
 	return lowest
 }
 
-// maxMin returns the max-min fair parts of a capacity.
+// maxMin returns the max-min fair shares of a capacity.
 func maxMin(demands []float64, capacity float64) []float64 {
 	parts := slices.Clone(demands)
 	for i, d := range slices.Sorted(slices.Values(demands)) {
@@ -144,20 +146,20 @@
 	return parts
 }
 
-// steadySeconds is the number of good seconds in a row that end a recovery.
+// steadySeconds is the number of consecutive good seconds that end a recovery.
 const steadySeconds = 5
 
-// recovery returns the time from the fault until requests that arrive are served
-// as before for steadySeconds. A second is bad when fewer than 95% of what could
-// be served was, and at least two requests are missing.
+// recovery returns the time from the fault until arriving requests are served as
+// before for steadySeconds. A second is bad if less than 95% of the requests that
+// could have been served were served, and at least two are missing.
 func (m *measures) recovery() time.Duration {
 	end := m.w.faultAt
 	for s := int(m.w.faultAt / time.Second); s < int((m.w.length-callerDeadline)/time.Second); s++ {
 		if time.Duration(s)*time.Second >= end+steadySeconds*time.Second {
 			break
 		}
-		missing := min(m.second[0][s], m.bound) - m.second[1][s]
-		if missing >= 2 && missing > 0.05*min(m.second[0][s], m.bound) {
+		missing := min(m.bySecond[0][s], m.capacity) - m.bySecond[1][s]
+		if missing >= 2 && missing > 0.05*min(m.bySecond[0][s], m.capacity) {
 			end = time.Duration(s+1) * time.Second
 		}
 	}
--- a/internal/routing/sim_test.go
+++ b/internal/routing/sim_test.go
@@ -19,23 +19,24 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// The simulation is a discrete-event model of queues with service times: a
-// number of instances with the real lane and pool send work to workers with
-// slots and a first-in-first-out queue. Times are since its start.
+// This file contains a discrete-event simulation. Instances with the real
+// admission lane and upstream pool send requests to simulated workers, which have a
+// number of slots and a FIFO queue. Times are durations since the start of the
+// simulation.
 
 const (
-	meanService    = 500 * time.Millisecond // at full batch, for a kind of speed 1
-	attemptTimeout = 3 * time.Second
-	callerDeadline = 5 * time.Second
-	reportEvery    = time.Second
-	refreshEvery   = 250 * time.Millisecond
-	prefillShare   = 0.3 // of the service time, saved by a cached prompt
-	tokensPerWork  = 20
-	cachedPrefixes = 12 // that a worker holds
-	prefixes       = 150
+	meanServiceTime = 500 * time.Millisecond // with a full batch and a serviceTimeFactor of 1
+	attemptTimeout  = 3 * time.Second
+	callerDeadline  = 5 * time.Second
+	reportInterval  = time.Second
+	refreshInterval = 250 * time.Millisecond
+	prefillShare    = 0.3 // fraction of the service time that a cached prompt saves
+	tokensPerWork   = 20
+	cacheCapacity   = 12 // prefixes per worker
+	prefixCount     = 150
 )
 
-// picker is the part of a pool that the simulation uses.
+// picker is the subset of the methods of pool.Pool that the simulation uses.
 type picker interface {
 	Refresh(usable []upstream.Upstream, peers int)
 	Pick(a pool.Ask) (lease, error)
@@ -54,167 +55,167 @@
 	do  func()
 }
 
-type events []event
+type eventHeap []event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return e
 }
 
-type world struct {
+type simulation struct {
 	scenario
 	now       time.Duration
 	seq       int
-	events    events
-	random    *rand.Rand
+	pending   eventHeap
+	rng       *rand.Rand
 	workers   []*worker
 	instances []*instance
 	measures
 }
 
 // Now and After implement fleet.Clock.
-func (w *world) Now() time.Time                       { return fakeclock.Start.Add(w.now) }
-func (w *world) After(time.Duration) <-chan time.Time { panic("not used") }
+func (w *simulation) Now() time.Time                       { return fakeclock.Start.Add(w.now) }
+func (w *simulation) After(time.Duration) <-chan time.Time { panic("not used") }
 
-func (w *world) at(t time.Duration, do func()) {
+func (w *simulation) schedule(t time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.events, event{max(t, w.now), w.seq, do})
+	heap.Push(&w.pending, event{max(t, w.now), w.seq, do})
 }
 
-func (w *world) run() {
-	for len(w.events) > 0 && w.events[0].at <= w.length {
-		e := heap.Pop(&w.events).(event)
+func (w *simulation) run() {
+	for len(w.pending) > 0 && w.pending[0].at <= w.length {
+		e := heap.Pop(&w.pending).(event)
 		w.now = e.at
 		e.do()
-		w.watchBound()
+		w.checkQuietLimit()
 	}
 }
 
 type worker struct {
-	*world
-	index        int
-	announcement upstream.Announcement
-	speed        float64
-	link         time.Duration
-	dead, frozen bool
-	busy         int
-	peak         int // work at once in the 3 s after the fault
-	queue        []*attempt
-	active       []*attempt
-	history      []upstream.Load
-	cached       map[uint64]time.Duration // prefix to last use
-	cacheSeq     uint64
+	*simulation
+	index             int
+	announcement      upstream.Announcement
+	serviceTimeFactor float64
+	linkDelay         time.Duration
+	dead, frozen      bool
+	busy              int
+	peakAfterFault    int // maximum number of running and queued attempts in the 3 s after the fault
+	queue             []*attempt
+	active            []*attempt
+	history           []upstream.Load
+	cached            map[uint64]time.Duration // time of last use by prefix
+	cacheSeq          uint64
 }
 
 type request struct {
-	account  int
-	arrived  time.Duration
-	deadline time.Duration
-	work     float64
-	prefix   []uint64
-	waiter   *lane.Waiter
-	granted  time.Duration
-	avoid    []fleet.UpstreamID
-	ran      bool
+	account    int
+	arrivedAt  time.Duration
+	deadline   time.Duration
+	work       float64
+	prefix     []uint64
+	waiter     *lane.Waiter
+	admittedAt time.Duration
+	exclude    []fleet.UpstreamID
+	ran        bool
 }
 
 type attempt struct {
 	*request
-	from    *instance
-	to      *worker
-	lease   lease
-	started time.Duration
-	service time.Duration
-	first   time.Duration
-	running bool
-	over    bool // the instance does not wait for it any more
+	from             *instance
+	to               *worker
+	lease            lease
+	startedAt        time.Duration
+	serviceTime      time.Duration
+	timeToFirstToken time.Duration
+	running          bool
+	settled          bool // the instance no longer waits for it
 }
 
 type instance struct {
-	*world
-	index int
-	pool  picker
-	lane  *lane.Lane
-	retry *budget.Budget
-	known []upstream.Upstream // as last delivered, by worker
-	quiet *governor.Governor
+	*simulation
+	index          int
+	pool           picker
+	lane           *lane.Lane
+	retryBudget    *budget.Budget
+	knownUpstreams []upstream.Upstream // last delivered announcements, by worker index
+	quietGovernor  *governor.Governor
 }
 
-func newWorld(s scenario, policy policy) *world {
-	w := &world{scenario: s, random: rand.New(rand.NewPCG(s.seed, 42))}
+func newSimulation(s scenario, policy policy) *simulation {
+	w := &simulation{scenario: s, rng: rand.New(rand.NewPCG(s.seed, 42))}
 	w.measures.init(w)
-	for i := range s.speeds {
+	for i := range s.serviceTimeFactors {
 		w.addWorker(i)
 	}
 	for i := range s.instances {
 		w.addInstance(i, policy)
 	}
 	for _, f := range s.faults {
-		w.at(f.at, func() { f.do(w) })
+		w.schedule(f.at, func() { f.do(w) })
 	}
 	w.nextArrival()
 	return w
 }
 
-func (w *world) addWorker(i int) {
-	k := &worker{world: w, index: i, speed: w.speeds[i], link: w.links[i%len(w.links)], cached: map[uint64]time.Duration{}}
+func (w *simulation) addWorker(i int) {
+	k := &worker{simulation: w, index: i, serviceTimeFactor: w.serviceTimeFactors[i], linkDelay: w.linkDelays[i%len(w.linkDelays)], cached: map[uint64]time.Duration{}}
 	k.announcement = upstream.Announcement{
 		ID:          fleet.UpstreamID(fmt.Sprintf("w%02d", i)),
 		Incarnation: 1,
-		Accelerator: fmt.Sprint(w.speeds[i]),
+		Accelerator: fmt.Sprint(w.serviceTimeFactors[i]),
 		Slots:       w.slots,
 	}
 	w.workers = append(w.workers, k)
-	w.at(time.Duration(i)*reportEvery/time.Duration(len(w.speeds)), k.report)
+	w.schedule(time.Duration(i)*reportInterval/time.Duration(len(w.serviceTimeFactors)), k.report)
 }
 
-func (w *world) addInstance(i int, policy policy) {
-	n := &instance{world: w, index: i, retry: budget.New(), quiet: governor.New(0)}
-	n.quiet.SetWindows(w.windows)
-	n.quiet.SetFleet(fleet.InstanceID(fmt.Sprint(i)), w.scenario.instances, nil)
-	n.lane = lane.New("pool", 1024, n.quiet)
+func (w *simulation) addInstance(i int, policy policy) {
+	n := &instance{simulation: w, index: i, retryBudget: budget.New(), quietGovernor: governor.New(0)}
+	n.quietGovernor.SetWindows(w.windows)
+	n.quietGovernor.SetFleet(fleet.InstanceID(fmt.Sprint(i)), w.scenario.instances, nil)
+	n.lane = lane.New("pool", 1024, n.quietGovernor)
 	n.pool = policy.picker(w)
-	n.known = make([]upstream.Upstream, len(w.workers))
+	n.knownUpstreams = make([]upstream.Upstream, len(w.workers))
 	for j, k := range w.workers {
-		n.known[j] = upstream.Upstream{Announcement: k.announcement, Confirmed: w.Now()}
+		n.knownUpstreams[j] = upstream.Upstream{Announcement: k.announcement, Confirmed: w.Now()}
 	}
 	w.instances = append(w.instances, n)
-	w.at(time.Duration(i)*refreshEvery/time.Duration(w.scenario.instances), n.refresh)
+	w.schedule(time.Duration(i)*refreshInterval/time.Duration(w.scenario.instances), n.refresh)
 }
 
-func (w *world) nextArrival() {
+func (w *simulation) nextArrival() {
 	if w.now >= w.length {
 		return
 	}
-	rate := w.load * w.bound
-	w.at(w.now+time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), func() {
+	rate := w.load * w.capacity
+	w.schedule(w.now+time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		w.arrive()
 		w.nextArrival()
 	})
 }
 
-func (w *world) arrive() {
-	r := &request{arrived: w.now, deadline: w.now + callerDeadline, account: w.drawAccount()}
-	r.work = math.Exp(0.5*w.random.NormFloat64() - 0.125) // log-normal with mean 1
+func (w *simulation) arrive() {
+	r := &request{arrivedAt: w.now, deadline: w.now + callerDeadline, account: w.drawAccount()}
+	r.work = math.Exp(0.5*w.rng.NormFloat64() - 0.125) // log-normal with mean 1
 	if w.caching {
-		// Zipf-like popularity of conversations.
-		p := uint64(math.Pow(prefixes, w.random.Float64()))
+		// The popularity of the conversations is Zipf-like.
+		p := uint64(math.Pow(prefixCount, w.rng.Float64()))
 		r.prefix = []uint64{p * 7919, p*7919 + 1, p*7919 + 2, p*7919 + 3}
 	}
-	w.offered(r)
-	w.instances[w.random.IntN(w.entries)].admit(r)
+	w.recordArrival(r)
+	w.instances[w.rng.IntN(w.entryInstances)].admit(r)
 }
 
-func (w *world) drawAccount() int {
-	x := w.random.Float64()
+func (w *simulation) drawAccount() int {
+	x := w.rng.Float64()
 	for i, s := range accountShares {
 		if x -= s; x < 0 {
 			return i
@@ -223,24 +224,25 @@
 	return len(accountShares) - 1
 }
 
-// report sends what the worker says of itself to all instances that it reaches.
+// report sends the announcement of the worker with its lagging load to all instances
+// that it can reach.
 func (k *worker) report() {
 	if k.dead {
 		return
 	}
-	k.at(k.now+reportEvery, k.report)
+	k.schedule(k.now+reportInterval, k.report)
 	if k.frozen {
 		return
 	}
 	a := k.announcement
 	k.history = append(k.history, upstream.Load{At: k.Now(), Running: k.busy, Waiting: len(k.queue)})
-	if late := int(k.lag / reportEvery); late < len(k.history) {
+	if late := int(k.lag / reportInterval); late < len(k.history) {
 		a.Load = k.history[len(k.history)-1-late]
 	}
-	k.at(k.now+k.lag%reportEvery, func() {
+	k.schedule(k.now+k.lag%reportInterval, func() {
 		for _, n := range k.instances {
-			if !k.cut(n.index, k.index) {
-				n.known[k.index] = upstream.Upstream{Announcement: a, Confirmed: k.Now()}
+			if !k.partitioned(n.index, k.index) {
+				n.knownUpstreams[k.index] = upstream.Upstream{Announcement: a, Confirmed: k.Now()}
 			}
 		}
 	})
@@ -248,11 +250,11 @@
 
 func (k *worker) receive(a *attempt) {
 	if k.now >= k.faultAt && k.now < k.faultAt+3*time.Second {
-		k.peak = max(k.peak, k.busy+len(k.queue)+1)
+		k.peakAfterFault = max(k.peakAfterFault, k.busy+len(k.queue)+1)
 	}
 	switch {
-	case k.dead || k.cut(a.from.index, k.index):
-		k.at(k.now+k.link, func() { a.from.fail(a, pool.Unreachable) })
+	case k.dead || k.partitioned(a.from.index, k.index):
+		k.schedule(k.now+k.linkDelay, func() { a.from.fail(a, pool.Unreachable) })
 	case k.frozen || k.busy >= k.slots:
 		k.queue = append(k.queue, a)
 	default:
@@ -265,28 +267,28 @@
 	k.active = append(k.active, a)
 	a.ran = true
 	a.running = true
-	a.started = k.now
+	a.startedAt = k.now
 	batch := (1 + 0.5*float64(k.busy)/float64(k.slots)) / 1.5
-	full := float64(meanService) * a.work * k.speed * batch
-	saved := full * prefillShare * k.use(a.prefix)
-	a.service = time.Duration(full - saved)
-	a.first = time.Duration(full*prefillShare - saved)
-	k.at(k.now+a.service, func() { k.finish(a) })
+	full := float64(meanServiceTime) * a.work * k.serviceTimeFactor * batch
+	saved := full * prefillShare * k.lookUpPrefix(a.prefix)
+	a.serviceTime = time.Duration(full - saved)
+	a.timeToFirstToken = time.Duration(full*prefillShare - saved)
+	k.schedule(k.now+a.serviceTime, func() { k.finish(a) })
 }
 
 func (k *worker) finish(a *attempt) {
 	if !a.running || k.frozen || k.dead {
 		return
 	}
-	k.free(a)
-	k.at(k.now+k.link, func() { a.from.succeed(a) })
+	k.releaseSlot(a)
+	k.schedule(k.now+k.linkDelay, func() { a.from.succeed(a) })
 }
 
-// free ends the use of a slot and starts the next work.
-func (k *worker) free(a *attempt) {
+// releaseSlot releases the slot of a and starts queued attempts.
+func (k *worker) releaseSlot(a *attempt) {
 	a.running = false
 	k.busy--
-	k.active = without(k.active, a)
+	k.active = remove(k.active, a)
 	for len(k.queue) > 0 && k.busy < k.slots && !k.frozen && !k.dead {
 		next := k.queue[0]
 		k.queue = k.queue[1:]
@@ -296,32 +298,33 @@
 
 func (k *worker) cancel(a *attempt) {
 	if a.running {
-		k.waste(k.now - a.started)
-		k.free(a)
+		k.recordWaste(k.now - a.startedAt)
+		k.releaseSlot(a)
 		return
 	}
-	k.queue = without(k.queue, a)
+	k.queue = remove(k.queue, a)
 }
 
-func without(list []*attempt, a *attempt) []*attempt {
+func remove(list []*attempt, a *attempt) []*attempt {
 	return slices.DeleteFunc(list, func(q *attempt) bool { return q == a })
 }
 
-// use returns 1 when the prefix is cached, and caches it.
-func (k *worker) use(prefix []uint64) float64 {
+// lookUpPrefix returns 1 if the prefix is cached. Otherwise it caches it, evicting the
+// least recently used prefix if necessary, and returns 0.
+func (k *worker) lookUpPrefix(prefix []uint64) float64 {
 	if len(prefix) == 0 {
 		return 0
 	}
 	p := prefix[0]
 	_, hit := k.cached[p]
 	k.cached[p] = k.now
-	k.lookups++
+	k.cacheLookups++
 	if hit {
-		k.hits++
+		k.cacheHits++
 		return 1
 	}
 	k.emit(affinity.Event{Stored: prefix})
-	if len(k.cached) > cachedPrefixes {
+	if len(k.cached) > cacheCapacity {
 		oldest := p
 		for q, t := range k.cached {
 			if t < k.cached[oldest] || t == k.cached[oldest] && q < oldest {
@@ -334,15 +337,16 @@
 	return 0
 }
 
-// emit publishes a cache event, late, and with gaps when the scenario has them.
+// emit delivers a cache event to all instances after the lag of the scenario, unless
+// the event is lost.
 func (k *worker) emit(e affinity.Event) {
 	k.cacheSeq++
 	e.Sequence = k.cacheSeq
 	e.Upstream = k.announcement.ID
-	if k.random.Float64() < k.eventLoss {
+	if k.rng.Float64() < k.eventLoss {
 		return
 	}
-	k.at(k.now+k.lag, func() {
+	k.schedule(k.now+k.lag, func() {
 		for _, n := range k.instances {
 			n.pool.Apply(e)
 		}
@@ -350,22 +354,22 @@
 }
 
 func (n *instance) refresh() {
-	n.at(n.now+refreshEvery, n.refresh)
+	n.schedule(n.now+refreshInterval, n.refresh)
 	var usable []upstream.Upstream
-	for _, u := range n.known {
+	for _, u := range n.knownUpstreams {
 		if n.Now().Sub(u.Confirmed) <= 3*time.Second {
 			usable = append(usable, u)
 		}
 	}
 	peers := 0
 	for i := range n.instances {
-		if i != n.index && !n.cut(i, n.index) {
+		if i != n.index && !n.partitioned(i, n.index) {
 			peers++
 		}
 	}
 	n.pool.Refresh(usable, peers)
 	l := n.pool.Load()
-	n.quiet.SetFull(int(l.Slots / float64(peers+1)))
+	n.quietGovernor.SetCapacity(int(l.Slots / float64(peers+1)))
 	n.lane.Adapt(lane.Capacity{Slots: l.Slots, Instances: peers + 1, Reported: l.Reported, Known: l.Known}, n.Now())
 }
 
@@ -377,78 +381,79 @@
 	}
 	w, err := n.lane.Join(ask, n.Now(), func(err error) {
 		if err != nil {
-			n.refused(r)
+			n.recordRefusal(r)
 			return
 		}
-		r.granted = n.now
-		// After Join has returned.
-		n.at(n.now, func() { n.try(r) })
+		r.admittedAt = n.now
+		// Deferred until Join has returned, so that r.waiter is set.
+		n.schedule(n.now, func() { n.try(r) })
 	})
 	if err != nil {
-		n.refused(r)
+		n.recordRefusal(r)
 		return
 	}
 	r.waiter = w
-	n.at(w.LatestStart().Sub(fakeclock.Start)+1, func() { n.lane.Wake(n.Now()) })
+	n.schedule(w.LatestStart().Sub(fakeclock.Start)+1, func() { n.lane.Wake(n.Now()) })
 }
 
 func (n *instance) try(r *request) {
-	l, err := n.pool.Pick(pool.Ask{Prefix: r.prefix, Avoid: r.avoid})
+	l, err := n.pool.Pick(pool.Ask{Prefix: r.prefix, Avoid: r.exclude})
 	if err != nil {
-		n.end(r, 0, false)
+		n.finish(r, 0, false)
 		return
 	}
-	n.retry.Deposit()
+	n.retryBudget.Deposit()
 	u := l.Upstream()
 	a := &attempt{request: r, from: n, lease: l}
 	a.to = n.workers[slices.IndexFunc(n.workers, func(k *worker) bool { return k.announcement.ID == u.ID })]
-	n.at(n.now+a.to.link, func() { a.to.receive(a) })
-	n.at(min(n.now+attemptTimeout, r.deadline), func() { n.timeout(a) })
+	n.schedule(n.now+a.to.linkDelay, func() { a.to.receive(a) })
+	n.schedule(min(n.now+attemptTimeout, r.deadline), func() { n.timeout(a) })
 }
 
 func (n *instance) succeed(a *attempt) {
-	if a.over {
-		n.waste(a.service)
+	if a.settled {
+		n.recordWaste(a.serviceTime)
 		return
 	}
-	a.over = true
+	a.settled = true
 	a.lease.Done(pool.Succeeded)
-	n.served(a)
-	n.end(a.request, n.now-a.granted, true)
+	n.recordSuccess(a)
+	n.finish(a.request, n.now-a.admittedAt, true)
 }
 
 func (n *instance) timeout(a *attempt) {
-	if a.over {
+	if a.settled {
 		return
 	}
-	n.at(n.now+a.to.link, func() { a.to.cancel(a) })
+	n.schedule(n.now+a.to.linkDelay, func() { a.to.cancel(a) })
 	if n.now < a.deadline {
 		n.fail(a, pool.Failed)
 		return
 	}
-	a.over = true
+	a.settled = true
 	a.lease.Done(pool.Canceled)
-	n.end(a.request, n.now-a.granted, false)
+	n.finish(a.request, n.now-a.admittedAt, false)
 }
 
 func (n *instance) fail(a *attempt, r pool.Result) {
-	if a.over {
+	if a.settled {
 		return
 	}
-	a.over = true
+	a.settled = true
 	a.lease.Done(r)
-	a.avoid = append(a.avoid, a.to.announcement.ID)
-	// An attempt that was not sent costs the pool nothing, so it needs no budget.
-	if n.now >= a.deadline || r == pool.Failed && !n.retry.Withdraw() {
-		n.end(a.request, 0, false)
+	a.exclude = append(a.exclude, a.to.announcement.ID)
+	// An attempt that was not sent causes no load on the pool, so its retry needs no
+	// budget.
+	if n.now >= a.deadline || r == pool.Failed && !n.retryBudget.Withdraw() {
+		n.finish(a.request, 0, false)
 		return
 	}
 	n.try(a.request)
 }
 
-func (n *instance) end(r *request, took time.Duration, good bool) {
+func (n *instance) finish(r *request, took time.Duration, good bool) {
 	n.lane.Finish(r.waiter, took, n.Now())
-	if !good && n.counts(r) {
-		n.losses++
+	if !good && n.inMeasuredPeriod(r) {
+		n.lost++
 	}
 }
