--- a/internal/routing/affinity/affinity.go
+++ b/internal/routing/affinity/affinity.go
@@ -1,15 +1,15 @@
-// Package affinity tracks which upstream probably has which prompt
-// prefixes in its cache.
+// Package affinity tracks which upstream probably has which prompt prefixes in its
+// cache.
 //
-// The table is filled from the work that this instance sent itself and from cache
-// events of the engines. Events come late and with gaps. A gap makes everything
-// known of the upstream doubtful: its share counts half until later events
-// confirm it. The table is a hint; when it is wrong, work takes longer but
-// stays correct.
+// The table is filled from the requests that this instance has sent and from the
+// cache events of the engines. Events are delayed, and some are lost. A gap in the
+// sequence makes all entries of the upstream uncertain: their share counts half
+// until later events confirm them. The table is only a hint; if it is wrong,
+// requests take longer but the results are still correct.
 //
 // A prompt is a list of chained block hashes: the hash of a block covers all
-// blocks before it, so one hash stands for a whole prefix. Memory is bounded: a
-// new entry displaces the oldest of its set.
+// blocks before it, so one hash identifies a whole prefix. The table is
+// set-associative and of fixed size: a new entry replaces the oldest of its set.
 package affinity
 
 import (
@@ -25,38 +25,40 @@
 )
 
 const (
-	// MaxHolders is the number of upstreams that Find returns at most.
+	// MaxHolders is the maximum number of upstreams that Find returns.
 	MaxHolders = 4
 
 	shardCount   = 64
 	setsPerShard = 256
 	waysPerSet   = 4
 
-	// halfLife is the age at which an entry counts half.
-	halfLife = 2 * time.Minute
-	// doubt is the factor on what was known before a gap.
-	doubt = 0.5
+	// entryHalfLife is the age at which the confidence in an entry is one half.
+	entryHalfLife = 2 * time.Minute
+	// gapConfidence is the factor on the confidence in entries from before a gap.
+	gapConfidence = 0.5
 )
 
-// Event is one message about the cache of an engine.
+// Event reports changes of the prefix cache of an engine.
 type Event struct {
 	Upstream fleet.UpstreamID
-	// Sequence grows by one with each event of an upstream.
+	// Sequence increases by one with each event of an upstream.
 	Sequence uint64
 	Stored   []uint64
 	Removed  []uint64
-	// Cleared tells that the cache was emptied before Stored.
+	// Cleared reports that the cache was emptied before Stored was added.
 	Cleared bool
 }
 
-// Holder is an upstream and the share of the prompt that it probably holds.
+// Holder is an upstream with the estimated share of the prompt, from 0 to 1, in its
+// cache.
 type Holder struct {
-	Source *Source
-	Share  float64
+	Cache *Cache
+	Share float64
 }
 
-// Table maps block hashes to upstreams. The zero value is empty and ready for use. It is safe
-// for concurrent use and must not be copied after first use.
+// Table maps block hashes to the caches that probably hold them. The zero value is
+// empty and ready for use. It is safe for concurrent use and must not be copied
+// after first use.
 type Table struct {
 	shards [shardCount]shard
 }
@@ -67,33 +69,34 @@
 }
 
 type entry struct {
-	hash   uint64
-	source *Source
-	at     int64
+	hash  uint64
+	cache *Cache
+	at    int64
 }
 
-// Source is one incarnation of an upstream. It is safe for concurrent use.
-type Source struct {
-	id        fleet.UpstreamID
-	mu        sync.Mutex
-	sequence  uint64
-	started   bool
-	doubtful  atomic.Int64 // entries up to this time are doubtful
-	forgotten atomic.Int64 // entries up to this time are gone
+// Cache identifies the prefix cache of one incarnation of an upstream and tracks the
+// sequence of its events. It is safe for concurrent use.
+type Cache struct {
+	id             fleet.UpstreamID
+	mu             sync.Mutex
+	sequence       uint64
+	hasSequence    bool
+	uncertainUntil atomic.Int64 // entries recorded up to this time are uncertain
+	invalidUntil   atomic.Int64 // entries recorded up to this time are invalid
 }
 
-// Chain appends to dst the hashes of the whole blocks of a prompt of token ids.
-// Each hash covers the blocks before it too. size is in tokens.
+// Chain appends to dst the chained hashes of the complete blocks of a prompt of
+// token ids. size is the number of tokens per block.
 func Chain(dst, prompt []uint64, size int) []uint64 {
 	if size <= 0 {
 		return dst
 	}
 	var d xxhash.Digest
 	d.Reset()
-	var word [8]byte
+	var buf [8]byte
 	for i, t := range prompt {
-		binary.LittleEndian.PutUint64(word[:], t)
-		_, _ = d.Write(word[:])
+		binary.LittleEndian.PutUint64(buf[:], t)
+		_, _ = d.Write(buf[:])
 		if (i+1)%size == 0 {
 			dst = append(dst, d.Sum64())
 		}
@@ -101,56 +104,56 @@
 	return dst
 }
 
-// NewSource returns the Source of an upstream of which nothing is known.
-func NewSource(id fleet.UpstreamID) *Source {
-	s := &Source{id: id}
-	s.doubtful.Store(math.MinInt64)
-	s.forgotten.Store(math.MinInt64)
-	return s
+// NewCache returns a Cache without events for an upstream.
+func NewCache(id fleet.UpstreamID) *Cache {
+	c := &Cache{id: id}
+	c.uncertainUntil.Store(math.MinInt64)
+	c.invalidUntil.Store(math.MinInt64)
+	return c
 }
 
-// ID returns the upstream.
-func (s *Source) ID() fleet.UpstreamID { return s.id }
+// ID returns the id of the upstream.
+func (c *Cache) ID() fleet.UpstreamID { return c.id }
 
-// Release makes all entries of the source void.
-func (s *Source) Release() { s.forgotten.Store(math.MaxInt64) }
+// Invalidate invalidates all entries of c, past and future.
+func (c *Cache) Invalidate() { c.invalidUntil.Store(math.MaxInt64) }
 
-// Note records that work with this prefix was sent to u.
-func (t *Table) Note(u *Source, prefix []uint64, now int64) {
+// RecordUse records that a request with this prefix was sent to the upstream of c.
+func (t *Table) RecordUse(c *Cache, prefix []uint64, now int64) {
 	for _, h := range prefix {
-		t.put(h, u, now)
+		t.put(h, c, now)
 	}
 }
 
-// Apply takes over an event of s.
-func (t *Table) Apply(s *Source, e Event, now int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.started && e.Sequence <= s.sequence {
-		return // late or repeated
+// Apply applies an event of c.
+func (t *Table) Apply(c *Cache, e Event, now int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.hasSequence && e.Sequence <= c.sequence {
+		return // late or duplicate
 	}
-	if s.started && e.Sequence != s.sequence+1 {
-		s.doubtful.Store(now)
+	if c.hasSequence && e.Sequence != c.sequence+1 {
+		c.uncertainUntil.Store(now)
 	}
-	s.started = true
-	s.sequence = e.Sequence
+	c.hasSequence = true
+	c.sequence = e.Sequence
 	if e.Cleared {
-		s.forgotten.Store(now - 1)
+		c.invalidUntil.Store(now - 1)
 	}
 	for _, h := range e.Removed {
-		t.remove(h, s)
+		t.remove(h, c)
 	}
 	for _, h := range e.Stored {
-		// Stored is later than a gap that this event made known.
-		t.put(h, s, now+1)
+		// The +1 makes the entries newer than a gap that this event revealed.
+		t.put(h, c, now+1)
 	}
 }
 
 // Find fills found with upstreams that probably hold a part of the prefix and
-// returns their number. The longest parts come first.
+// returns their number. The longest matches come first.
 func (t *Table) Find(prefix []uint64, now int64, found *[MaxHolders]Holder) int {
 	count := 0
-	// The length halves each time, so the search is logarithmic in the prompt.
+	// Halving the length makes the search logarithmic in the length of the prompt.
 	for length := len(prefix); length > 0 && count < MaxHolders; length /= 2 {
 		share := float64(length) / float64(len(prefix))
 		count = t.match(prefix[length-1], share, now, found, count)
@@ -160,71 +163,72 @@
 
 func (t *Table) match(hash uint64, share float64, now int64, found *[MaxHolders]Holder, count int) int {
 	var set [waysPerSet]entry
-	h, at := t.place(hash)
+	h, at := t.locate(hash)
 	h.mu.Lock()
 	set = h.sets[at]
 	h.mu.Unlock()
 	for _, e := range set {
-		if e.hash != hash || e.source == nil || count == MaxHolders || holds(found[:count], e.source) {
+		if e.hash != hash || e.cache == nil || count == MaxHolders || contains(found[:count], e.cache) {
 			continue
 		}
-		if likely := trust(e, now); likely > 0 {
-			found[count] = Holder{Source: e.source, Share: share * likely}
+		if likelihood := confidence(e, now); likelihood > 0 {
+			found[count] = Holder{Cache: e.cache, Share: share * likelihood}
 			count++
 		}
 	}
 	return count
 }
 
-// trust returns how likely an entry still holds.
-func trust(e entry, now int64) float64 {
-	if e.at <= e.source.forgotten.Load() {
+// confidence returns the estimated probability, from 0 to 1, that an entry is still
+// in the cache.
+func confidence(e entry, now int64) float64 {
+	if e.at <= e.cache.invalidUntil.Load() {
 		return 0
 	}
 	age := float64(max(now-e.at, 0))
-	likely := 1 / (1 + age/float64(halfLife))
-	if e.at <= e.source.doubtful.Load() {
-		likely *= doubt
+	likelihood := 1 / (1 + age/float64(entryHalfLife))
+	if e.at <= e.cache.uncertainUntil.Load() {
+		likelihood *= gapConfidence
 	}
-	return likely
+	return likelihood
 }
 
-func (t *Table) place(hash uint64) (*shard, int) {
+func (t *Table) locate(hash uint64) (*shard, int) {
 	return &t.shards[hash%shardCount], int(hash / shardCount % setsPerShard)
 }
 
-func (t *Table) put(hash uint64, u *Source, at int64) {
-	h, i := t.place(hash)
+func (t *Table) put(hash uint64, c *Cache, at int64) {
+	h, i := t.locate(hash)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	oldest := 0
 	for w := range h.sets[i] {
 		e := &h.sets[i][w]
-		if e.hash == hash && e.source == u {
+		if e.hash == hash && e.cache == c {
 			e.at = max(e.at, at)
 			return
 		}
-		if e.source == nil || e.at < h.sets[i][oldest].at {
+		if e.cache == nil || e.at < h.sets[i][oldest].at {
 			oldest = w
 		}
 	}
-	h.sets[i][oldest] = entry{hash: hash, source: u, at: at}
+	h.sets[i][oldest] = entry{hash: hash, cache: c, at: at}
 }
 
-func (t *Table) remove(hash uint64, u *Source) {
-	h, i := t.place(hash)
+func (t *Table) remove(hash uint64, c *Cache) {
+	h, i := t.locate(hash)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for w := range h.sets[i] {
-		if e := &h.sets[i][w]; e.hash == hash && e.source == u {
+		if e := &h.sets[i][w]; e.hash == hash && e.cache == c {
 			*e = entry{}
 		}
 	}
 }
 
-func holds(found []Holder, u *Source) bool {
+func contains(found []Holder, c *Cache) bool {
 	for _, f := range found {
-		if f.Source == u {
+		if f.Cache == c {
 			return true
 		}
 	}
--- a/internal/routing/dispatch/dispatch.go
+++ b/internal/routing/dispatch/dispatch.go
@@ -1,9 +1,9 @@
-// Package dispatch sends calls to plain services.
+// Package dispatch sends calls to upstreams of kind service, which are called over
+// HTTP.
 //
-// A Dispatcher keeps one pool for each service of the configuration. Refresh
-// hands over the usable upstreams; Lookup sends an idempotent call and may try
-// several upstreams; Pick gives one upstream for a call that may not be
-// repeated:
+// A Dispatcher maintains one pool.Pool for each configured pool. Refresh updates the
+// usable upstreams; Lookup sends an idempotent call and may try several
+// upstreams; Pick selects one upstream for a call that must not be repeated:
 //
 //	d := dispatch.New(roster, dialer, clock, dispatch.WithBudget(b))
 //	d.Refresh(config, peers)
@@ -24,19 +24,20 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// maxAttempts bounds the upstreams that one lookup tries, whatever the retry
-// budget allows.
+// maxAttempts is the maximum number of upstreams that one lookup tries, regardless
+// of the retry budget.
 const maxAttempts = 3
 
-// Budget limits the retries to a share of the traffic.
+// Budget limits retries to a share of the traffic.
 type Budget interface {
-	// Deposit notes a first attempt.
+	// Deposit records a first attempt.
 	Deposit()
-	// Withdraw tells whether a retry is allowed, and notes it.
+	// Withdraw reports whether a retry is allowed, and records it if so.
 	Withdraw() bool
 }
 
-// Dispatcher sends calls to plain services. It is safe for concurrent use.
+// Dispatcher sends calls to upstreams of kind service. It is safe for concurrent
+// use.
 type Dispatcher struct {
 	roster upstream.Roster
 	dialer upstream.Dialer
@@ -46,13 +47,13 @@
 	pools  board.Shards[fleet.PoolID, *pool.Pool]
 }
 
-// Option changes a Dispatcher at its construction.
+// Option configures a Dispatcher.
 type Option func(*Dispatcher)
 
 // WithBudget sets the retry budget. Without one, nothing is retried.
 func WithBudget(b Budget) Option { return func(d *Dispatcher) { d.budget = b } }
 
-// WithTrail sets where decisions are recorded.
+// WithTrail sets the trail in which routing decisions are recorded.
 func WithTrail(t report.Trail) Option { return func(d *Dispatcher) { d.trail = t } }
 
 // New returns a Dispatcher without upstreams.
@@ -75,32 +76,32 @@
 func (noTrail) Add(string, report.Entry)                   {}
 func (noTrail) Find(string) (report.Record, bool)          { return report.Record{}, false }
 
-// Refresh takes over the usable upstreams of all pools of c. The number of other
-// instances that choose among the same upstreams is peers.
+// Refresh updates the usable upstreams of all pools of c. peers is the number of
+// other instances that choose among the same upstreams.
 func (d *Dispatcher) Refresh(c *document.Config, peers int) {
 	for id := range c.Pools {
 		d.Pool(id).Refresh(d.roster.Usable(id, d.clock.Now()), peers)
 	}
 }
 
-// Pool returns the pool with the given id.
+// Pool returns the pool with the given id. It creates the pool if necessary.
 func (d *Dispatcher) Pool(id fleet.PoolID) *pool.Pool {
 	if p, found := d.pools.Get(id); found {
 		return p
 	}
-	var kept *pool.Pool
+	var result *pool.Pool
 	d.pools.Update(id, func(p *pool.Pool, found bool) (*pool.Pool, bool) {
 		if !found {
 			p = pool.New(d.clock, scoring.Policy{})
 		}
-		kept = p
+		result = p
 		return p, true
 	})
-	return kept
+	return result
 }
 
-// Lookup sends an idempotent call. It tries another upstream when one fails and
-// the retry budget allows it. The error is of kind refusal.NoUpstream only if
+// Lookup sends an idempotent call. It tries another upstream if one fails and the
+// retry budget permits. The error is of kind refusal.NoUpstream only if
 // nothing was sent.
 func (d *Dispatcher) Lookup(ctx context.Context, r fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Answer, error) {
 	d.budget.Deposit()
@@ -111,7 +112,7 @@
 		if next.picked {
 			tried = append(tried, next.upstream)
 		}
-		last = last.followedBy(next)
+		last = last.combine(next)
 		if !next.picked || !next.retryable() || ctx.Err() != nil || !d.budget.Withdraw() {
 			break
 		}
@@ -119,17 +120,18 @@
 	return last.answer, last.err
 }
 
-// attempt is one try of a lookup.
+// attempt is the outcome of one attempt of a lookup.
 type attempt struct {
 	upstream fleet.UpstreamID
 	picked   bool
-	// sent tells that the upstream may have got the call.
+	// sent reports whether an upstream may have received the call, in this attempt
+	// or an earlier one.
 	sent   bool
 	answer upstream.Answer
 	err    error
 }
 
-// retryable tells whether another upstream may do better.
+// retryable reports whether another upstream may succeed.
 func (a attempt) retryable() bool {
 	if a.err != nil {
 		kind := refusal.KindOf(a.err)
@@ -142,10 +144,11 @@
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// followedBy returns the attempt that the caller hears of. Where next found no
-// upstream, the error or answer of the attempts before it tells more, and "not
-// run" would be wrong if one of them was sent.
-func (a attempt) followedBy(next attempt) attempt {
+// combine returns the outcome to report to the caller after a followed by next. If
+// next found no upstream, the error or answer of the earlier attempts is more
+// useful. If any attempt was sent, the call may have run, so an error that says
+// "not run" would be wrong and is replaced.
+func (a attempt) combine(next attempt) attempt {
 	if !next.picked && a.picked {
 		return a
 	}
@@ -162,7 +165,7 @@
 		return attempt{err: err}
 	}
 	u := lease.Upstream()
-	ctx, cancel := d.bound(ctx, p)
+	ctx, cancel := d.withPoolTimeout(ctx, p)
 	defer cancel()
 	answer, err := d.dialer.Service(u).Call(ctx, c)
 	lease.Done(Result(ctx, answer, err))
@@ -175,14 +178,15 @@
 	}
 }
 
-func (d *Dispatcher) bound(ctx context.Context, p document.Pool) (context.Context, context.CancelFunc) {
+// withPoolTimeout returns ctx with the timeout of the pool, if it has one.
+func (d *Dispatcher) withPoolTimeout(ctx context.Context, p document.Pool) (context.Context, context.CancelFunc) {
 	if p.Timeout <= 0 {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, p.Timeout)
 }
 
-// Result tells the pool how a call ended.
+// Result returns the outcome of a call as a pool.Result.
 func Result(ctx context.Context, a upstream.Answer, err error) pool.Result {
 	switch {
 	case err != nil && ctx.Err() == context.Canceled:
@@ -193,12 +197,12 @@
 	return pool.Succeeded
 }
 
-// Pick chooses one upstream of a pool and records the decision. Done of the
-// Lease must be called exactly once.
-func (d *Dispatcher) Pick(r fleet.RequestID, id fleet.PoolID, avoid []fleet.UpstreamID) (pool.Lease, error) {
-	var why pool.Explanation
-	lease, err := d.Pool(id).Pick(pool.Ask{Avoid: avoid, Explain: &why})
-	entry := report.Entry{At: d.clock.Now(), Part: "routing", Weighed: why.Weighed(), Chosen: why.Chosen()}
+// Pick selects one upstream of a pool and records the decision in the trail. The
+// caller must call Done of the Lease exactly once.
+func (d *Dispatcher) Pick(r fleet.RequestID, id fleet.PoolID, exclude []fleet.UpstreamID) (pool.Lease, error) {
+	var explanation pool.Explanation
+	lease, err := d.Pool(id).Pick(pool.Ask{Avoid: exclude, Explain: &explanation})
+	entry := report.Entry{At: d.clock.Now(), Part: "routing", Weighed: explanation.CandidateSummary(), Chosen: explanation.Chosen()}
 	if err != nil {
 		entry.Chosen, entry.Reason = "none", err.Error()
 	}
--- a/internal/routing/dispatch/dispatch_test.go
+++ b/internal/routing/dispatch/dispatch_test.go
@@ -17,16 +17,16 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// services plays the upstreams of one pool. Each call takes the next outcome of
-// the script: an HTTP status or the code of an error kind.
-type services struct {
-	count    int
-	outcomes []string
-	called   []fleet.UpstreamID
-	budget   int
+// fakeServices implements the upstreams of one pool. Each call returns the next
+// outcome of the test case: an HTTP status or the code of an error kind.
+type fakeServices struct {
+	count     int
+	outcomes  []string
+	calledIDs []fleet.UpstreamID
+	budget    int
 }
 
-func (s *services) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
+func (s *fakeServices) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
 	var list []upstream.Upstream
 	for i := range s.count {
 		id := fleet.UpstreamID(fmt.Sprintf("s%d", i+1))
@@ -38,15 +38,17 @@
 	return list
 }
 
-func (s *services) Get(fleet.UpstreamID) (upstream.Upstream, bool) { return upstream.Upstream{}, false }
-func (s *services) Engine(upstream.Upstream) upstream.EngineClient { return nil }
+func (s *fakeServices) Get(fleet.UpstreamID) (upstream.Upstream, bool) {
+	return upstream.Upstream{}, false
+}
+func (s *fakeServices) Engine(upstream.Upstream) upstream.EngineClient { return nil }
 
-func (s *services) Service(u upstream.Upstream) upstream.ServiceClient {
-	s.called = append(s.called, u.ID)
+func (s *fakeServices) Service(u upstream.Upstream) upstream.ServiceClient {
+	s.calledIDs = append(s.calledIDs, u.ID)
 	return s
 }
 
-func (s *services) Call(context.Context, upstream.Call) (upstream.Answer, error) {
+func (s *fakeServices) Call(context.Context, upstream.Call) (upstream.Answer, error) {
 	next := s.outcomes[0]
 	s.outcomes = s.outcomes[1:]
 	var status int
@@ -61,19 +63,19 @@
 	panic("unknown outcome " + next)
 }
 
-func (s *services) Deposit() {}
+func (s *fakeServices) Deposit() {}
 
-func (s *services) Withdraw() bool {
+func (s *fakeServices) Withdraw() bool {
 	s.budget--
 	return s.budget >= 0
 }
 
-// TestLookups guards against a lookup that is told as not run after an upstream
-// may have run it, against retries over the budget, and against a retry on an
-// upstream that was tried before.
+// TestLookups guards against a lookup that is reported as not run although an
+// upstream may have run it, against retries beyond the budget, and against a retry
+// on an upstream that was already tried.
 func TestLookups(t *testing.T) {
 	datadriven.RunTest(t, "testdata/lookups.txt", func(t *testing.T, d *datadriven.TestData) string {
-		s := &services{outcomes: strings.Fields(d.Input)}
+		s := &fakeServices{outcomes: strings.Fields(d.Input)}
 		d.ScanArgs(t, "upstreams", &s.count)
 		d.ScanArgs(t, "budget", &s.budget)
 		dispatcher := dispatch.New(s, s, fakeclock.New(fakeclock.Start), dispatch.WithBudget(s))
@@ -81,7 +83,7 @@
 		dispatcher.Refresh(config, 0)
 		answer, err := dispatcher.Lookup(t.Context(), "r1", config.Pools["desk"], upstream.Call{})
 		distinct := make(map[fleet.UpstreamID]bool)
-		for _, id := range s.called {
+		for _, id := range s.calledIDs {
 			distinct[id] = true
 		}
 		result := fmt.Sprint(answer.Status)
@@ -89,6 +91,6 @@
 			kind := refusal.KindOf(err).Answer()
 			result = fmt.Sprintf("%s notRun=%t", kind.Code, kind.NotRun)
 		}
-		return fmt.Sprintf("%s\ncalls=%d distinct=%d\n", result, len(s.called), len(distinct))
+		return fmt.Sprintf("%s\ncalls=%d distinct=%d\n", result, len(s.calledIDs), len(distinct))
 	})
 }
--- a/internal/routing/ejection/ejection.go
+++ b/internal/routing/ejection/ejection.go
@@ -1,12 +1,14 @@
-// Package ejection takes upstreams that fail out of use and returns them slowly.
+// Package ejection implements outlier ejection: it takes failing upstreams out of
+// rotation and ramps their traffic up again afterwards.
 //
-// A State belongs to one upstream. It is ejected after several failures in a
-// row, or when most of its recent work failed. After a hold time it returns with
-// a small share of the work that grows with time; a failure on the way back
-// ejects it again for twice the time.
+// A State tracks one upstream. The upstream is ejected after several consecutive
+// failures, or when most of its recent requests failed. At the end of the
+// ejection time it gets a small share of the traffic, which grows over the
+// recovery time. A failure during recovery ejects it again for twice as long.
 //
-// Allowed limits how much of a pool may be out of use: when a signal says that
-// most of a pool is bad, the signal is more likely to be wrong than the pool.
+// Allowed limits the fraction of a pool that may be ejected: when most of a pool
+// appears to be failing, the failure signal is more likely to be wrong than the
+// upstreams.
 package ejection
 
 import (
@@ -15,112 +17,116 @@
 )
 
 const (
-	failuresInRow = 5
-	// minSamples and maxFailureShare eject an upstream whose failures are mixed
-	// with successes.
-	minSamples      = 20
-	maxFailureShare = 0.5
-	sampleWeight    = 0.05
+	consecutiveFailureThreshold = 5
+	// minSamples and maxFailureRate are the conditions for the ejection of an
+	// upstream whose failures are interleaved with successes.
+	minSamples     = 20
+	maxFailureRate = 0.5
+	sampleWeight   = 0.05
 
-	firstHold = 5 * time.Second
-	maxHold   = 2 * time.Minute
-	// returnTime is the time from the end of the hold to full health.
-	returnTime  = 10 * time.Second
-	firstHealth = 0.1
-	// joinTime is the time from joining to full health. Instances do not see
-	// each other's choices, and all find the idle newcomer at once.
-	joinTime = 5 * time.Second
-	// forgetTime is the time of full health after which the hold time starts
-	// from firstHold again.
-	forgetTime = 2 * time.Minute
+	baseEjectionTime = 5 * time.Second
+	maxEjectionTime  = 2 * time.Minute
+	// recoveryTime is the time from the end of an ejection to full health.
+	recoveryTime  = 10 * time.Second
+	initialHealth = 0.1
+	// slowStartTime is the time from joining to full health. Without it, all
+	// instances would send work to the idle new upstream at the same time, because
+	// they do not see each other's choices.
+	slowStartTime = 5 * time.Second
+	// backoffResetTime is the time at full health after which the next ejection
+	// lasts only baseEjectionTime again.
+	backoffResetTime = 2 * time.Minute
 )
 
-// State is the health of one upstream. The zero value is sound. It is safe for
-// concurrent use.
+// State tracks the health of one upstream. The zero value is healthy. It is safe
+// for concurrent use.
 type State struct {
-	mu           sync.Mutex
-	inRow        int
-	samples      int
-	failureShare float64
-	ejections    int
-	until        time.Time // end of the last hold
-	joined       time.Time
+	mu                  sync.Mutex
+	consecutiveFailures int
+	samples             int
+	failureRate         float64
+	ejections           int
+	ejectedUntil        time.Time // end of the last ejection
+	joinedAt            time.Time
 }
 
-// Join records that the upstream joined a pool that has others. Its health grows
-// from a small one.
-func (s *State) Join(now time.Time) {
+// RecordJoin records that the upstream joined a pool that already has others. Its
+// health starts at initialHealth and grows over slowStartTime.
+func (s *State) RecordJoin(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.joined = now
+	s.joinedAt = now
 }
 
-// Succeed records work that ended well.
-func (s *State) Succeed() {
+// RecordSuccess records a successful request.
+func (s *State) RecordSuccess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inRow = 0
+	s.consecutiveFailures = 0
 	s.samples++
-	s.failureShare -= sampleWeight * s.failureShare
+	s.failureRate -= sampleWeight * s.failureRate
 }
 
-// Fail records failed work and returns whether it ejects the upstream.
-func (s *State) Fail(now time.Time) bool {
+// RecordFailure records a failed request and reports whether it ejects the
+// upstream.
+func (s *State) RecordFailure(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inRow++
+	s.consecutiveFailures++
 	s.samples++
-	s.failureShare += sampleWeight * (1 - s.failureShare)
-	if now.Before(s.until) {
-		return false // work from before the ejection
+	s.failureRate += sampleWeight * (1 - s.failureRate)
+	if now.Before(s.ejectedUntil) {
+		return false // the request was sent before the ejection
 	}
-	returning := s.ejections > 0 && now.Before(s.until.Add(returnTime))
-	mixed := s.samples >= minSamples && s.failureShare > maxFailureShare
-	if !returning && !mixed && s.inRow < failuresInRow {
+	recovering := s.ejections > 0 && now.Before(s.ejectedUntil.Add(recoveryTime))
+	mixed := s.samples >= minSamples && s.failureRate > maxFailureRate
+	if !recovering && !mixed && s.consecutiveFailures < consecutiveFailureThreshold {
 		return false
 	}
 	s.eject(now)
 	return true
 }
 
-// Health returns 0 while ejected, 1 when sound, and a growing value between them
-// on the way back.
+// Health returns 0 while the upstream is ejected, 1 when it is healthy, and a
+// growing value in between during recovery and slow start.
 func (s *State) Health(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ejections == 0 {
-		return ramp(now.Sub(s.joined), joinTime)
+		return ramp(now.Sub(s.joinedAt), slowStartTime)
 	}
-	return ramp(now.Sub(s.until), returnTime)
+	return ramp(now.Sub(s.ejectedUntil), recoveryTime)
 }
 
-// ramp returns the health at a time since the start of a return.
-func ramp(since, whole time.Duration) float64 {
+// ramp returns the health at a time elapsed since the start of a ramp of the
+// given duration.
+func ramp(elapsed, duration time.Duration) float64 {
 	switch {
-	case since < 0:
+	case elapsed < 0:
 		return 0
-	case since >= whole:
+	case elapsed >= duration:
 		return 1
 	}
-	return firstHealth + (1-firstHealth)*float64(since)/float64(whole)
+	return initialHealth + (1-initialHealth)*float64(elapsed)/float64(duration)
 }
 
 func (s *State) eject(now time.Time) {
-	if s.ejections > 0 && now.Sub(s.until) > returnTime+forgetTime {
+	if s.ejections > 0 && now.Sub(s.ejectedUntil) > recoveryTime+backoffResetTime {
 		s.ejections = 0
 	}
-	hold := maxHold
+	ejectionTime := maxEjectionTime
 	if s.ejections < 5 {
-		hold = min(firstHold<<s.ejections, maxHold)
+		ejectionTime = min(baseEjectionTime<<s.ejections, maxEjectionTime)
 	}
 	s.ejections++
-	s.until = now.Add(hold)
-	s.inRow = 0
+	s.ejectedUntil = now.Add(ejectionTime)
+	s.consecutiveFailures = 0
 	s.samples = 0
-	s.failureShare = 0
+	s.failureRate = 0
 }
 
-// Allowed returns whether a pool of n upstreams may have out of them ejected.
-func Allowed(n, out int) bool {
-	return out <= n/2
+// Allowed reports whether the given number of upstreams of a pool may be ejected
+// at the same time.
+func Allowed(upstreams, ejected int) bool {
+	return ejected <= upstreams/2
 }
--- a/internal/routing/ejection/ejection_test.go
+++ b/internal/routing/ejection/ejection_test.go
@@ -12,32 +12,32 @@
 	"github.com/bilberryrock/bilberryrock/internal/routing/ejection"
 )
 
-// Guards against ejection on too little evidence, reinstatement at full load,
-// and an upstream that fails again at once and comes back as fast as before.
+// Guards against ejection after too few failures, recovery without a ramp, and an
+// ejection time that does not grow when the upstream fails again during recovery.
 func TestState(t *testing.T) {
 	datadriven.RunTest(t, "testdata/state.txt", func(t *testing.T, d *datadriven.TestData) string {
 		var s ejection.State
 		now := fakeclock.Start
 		var b strings.Builder
 		for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-			var word string
+			var command string
 			n := 1
-			_, _ = fmt.Sscanf(line, "%s %d", &word, &n)
-			switch word {
+			_, _ = fmt.Sscanf(line, "%s %d", &command, &n)
+			switch command {
 			case "succeed":
 				for range n {
-					s.Succeed()
+					s.RecordSuccess()
 				}
 			case "fail":
 				for range n {
-					if s.Fail(now) {
+					if s.RecordFailure(now) {
 						fmt.Fprintf(&b, "ejected at %v\n", now.Sub(fakeclock.Start))
 					}
 				}
 			case "mixed":
 				for range n {
-					s.Succeed()
-					if first := s.Fail(now); s.Fail(now) || first {
+					s.RecordSuccess()
+					if first := s.RecordFailure(now); s.RecordFailure(now) || first {
 						fmt.Fprintf(&b, "ejected at %v\n", now.Sub(fakeclock.Start))
 					}
 				}
--- a/internal/routing/pool/collector.go
+++ b/internal/routing/pool/collector.go
@@ -45,14 +45,14 @@
 	send(slotsDesc, prometheus.GaugeValue, load.Slots)
 }
 
-// View returns what is known of every usable upstream, for operators. It is not
-// meant for the hot path.
+// View returns the state of every usable upstream, for operators. It visits all
+// upstreams and is not meant for the hot path.
 func (p *Pool) View() []routing.Candidate {
-	m := p.members.Load()
+	set := p.members.Load()
 	now := p.offset(p.clock.Now())
-	view := make([]routing.Candidate, len(m.nodes))
-	for i, n := range m.nodes {
-		view[i] = n.candidate(m, &Ask{}, n.health(), now)
+	view := make([]routing.Candidate, len(set.all))
+	for i, m := range set.all {
+		view[i] = m.candidate(set, &Ask{}, m.health(), now)
 	}
 	return view
 }
--- a/internal/routing/pool/counters.go
+++ b/internal/routing/pool/counters.go
@@ -8,68 +8,69 @@
 	"github.com/bilberryrock/bilberryrock/internal/routing"
 )
 
-// Counters are sums over the decisions of a pool since its start.
+// Counters are the totals of a pool since it was created.
 type Counters struct {
 	Picked    uint64
 	Succeeded uint64
 	Failed    uint64
 	Canceled  uint64
-	// Unreachable counts work of which not one byte was sent.
+	// Unreachable counts requests of which no byte was sent.
 	Unreachable uint64
 	Ejections   uint64
 }
 
-const tallyCount = 16
+const counterShardCount = 16
 
-// tally holds the counts of some of the upstreams. There are several, so that
-// callers do not write to one place all the time.
-type tally struct {
+// counterShard holds the counters of some of the upstreams. The counters are
+// sharded to reduce contention between callers.
+type counterShard struct {
 	picked, succeeded, failed, canceled, unreachable, ejections atomic.Uint64
 
-	_ [16]byte // fills up a cache line
+	_ [16]byte // pads the struct to a 64-byte cache line
 }
 
-func (t *tally) count(r Result) {
+func (c *counterShard) record(r Result) {
 	switch r {
 	case Succeeded:
-		t.succeeded.Add(1)
+		c.succeeded.Add(1)
 	case Failed:
-		t.failed.Add(1)
+		c.failed.Add(1)
 	case Canceled:
-		t.canceled.Add(1)
+		c.canceled.Add(1)
 	case Unreachable:
-		t.unreachable.Add(1)
+		c.unreachable.Add(1)
 	}
 }
 
-// Counters returns the sums over all decisions so far.
+// Counters returns the current totals.
 func (p *Pool) Counters() Counters {
-	var c Counters
-	for i := range p.tallies {
-		t := &p.tallies[i]
-		c.Picked += t.picked.Load()
-		c.Succeeded += t.succeeded.Load()
-		c.Failed += t.failed.Load()
-		c.Canceled += t.canceled.Load()
-		c.Unreachable += t.unreachable.Load()
-		c.Ejections += t.ejections.Load()
+	var sum Counters
+	for i := range p.counterShards {
+		c := &p.counterShards[i]
+		sum.Picked += c.picked.Load()
+		sum.Succeeded += c.succeeded.Load()
+		sum.Failed += c.failed.Load()
+		sum.Canceled += c.canceled.Load()
+		sum.Unreachable += c.unreachable.Load()
+		sum.Ejections += c.ejections.Load()
 	}
-	return c
+	return sum
 }
 
-// Explanation is one decision: the candidates that were weighed and the choice.
+// Explanation describes one routing decision: the candidates and the choice.
 type Explanation struct {
 	Candidates []routing.Candidate
 	Choice     routing.Choice
 }
 
-func (e *Explanation) fill(s *scratch, c routing.Choice) {
+func (e *Explanation) record(s *scratch, c routing.Choice) {
 	e.Candidates = append(e.Candidates[:0], s.candidates[:s.count]...)
 	e.Choice = c
 }
 
-// Weighed lists the candidates with what was known of each and its age.
-func (e *Explanation) Weighed() string {
+// CandidateSummary formats the candidates with the state of each and the age of
+// its load report.
+func (e *Explanation) CandidateSummary() string {
 	var b strings.Builder
 	for i := range e.Candidates {
 		if i > 0 {
@@ -82,7 +83,7 @@
 	return b.String()
 }
 
-// Chosen names the chosen upstream, or says that there is none.
+// Chosen returns the id of the selected upstream, or "none".
 func (e *Explanation) Chosen() string {
 	if e.Choice.Index < 0 {
 		return "none"
--- a/internal/routing/pool/lease.go
+++ b/internal/routing/pool/lease.go
@@ -8,61 +8,60 @@
 
 //go:generate ../../../bin/stringer -type Result -linecomment -output result_string.go
 
-// Result tells how work on an upstream ended.
+// Result is the outcome of a request to an upstream.
 type Result int
 
-// The results.
 const (
-	// Succeeded means that the upstream answered in full.
+	// Succeeded means that the upstream returned a complete response.
 	Succeeded Result = iota // succeeded
-	// Failed means that the upstream failed, broke off or did not answer in
-	// time.
+	// Failed means that the upstream returned an error, broke off the response or
+	// timed out.
 	Failed // failed
-	// Canceled means that the work ended for a reason that says nothing about
-	// the upstream, such as a caller that went away.
+	// Canceled means that the request ended for a reason unrelated to the
+	// upstream, such as a caller that disconnected.
 	Canceled // canceled
-	// Unreachable means that not one byte of the work was sent.
+	// Unreachable means that no byte of the request was sent.
 	Unreachable // unreachable
 )
 
-// Lease is one piece of work on a chosen upstream.
+// Lease represents one request in progress on a selected upstream. Done ends it.
 type Lease struct {
-	pool     *Pool
-	node     *node
-	began    time.Time
-	work     float64
-	slowdown float64
-	expected time.Duration
-	done     bool
+	pool      *Pool
+	member    *member
+	startedAt time.Time
+	work      float64
+	slowdown  float64
+	expected  time.Duration
+	done      bool
 }
 
-// Upstream returns the chosen upstream as it was last announced.
-func (l *Lease) Upstream() upstream.Upstream { return *l.node.announced.Load() }
+// Upstream returns the selected upstream with its latest announcement.
+func (l *Lease) Upstream() upstream.Upstream { return *l.member.announced.Load() }
 
-// Expected returns the expected time of the work.
+// Expected returns the expected time until the request completes.
 func (l *Lease) Expected() time.Duration { return l.expected }
 
-// Done reports how the work ended. Calls after the first have no effect.
+// Done records the outcome of the request. Calls after the first have no effect.
 func (l *Lease) Done(r Result) {
 	if l.done {
 		return
 	}
 	l.done = true
 	now := l.pool.clock.Now()
-	n := l.node
-	n.end(l.pool.offset(now), r)
+	m := l.member
+	m.end(l.pool.offset(now), r)
 	switch r {
 	case Succeeded:
-		n.learn(l.pool.offset(now), now.Sub(l.began), l.slowdown, l.work)
-		n.ejection.Succeed()
+		m.observe(l.pool.offset(now), now.Sub(l.startedAt), l.slowdown, l.work)
+		m.ejection.RecordSuccess()
 	case Unreachable:
-		n.unreachable.Store(l.pool.offset(now.Add(unreachableHold)))
+		m.unreachableUntil.Store(l.pool.offset(now.Add(unreachableBackoff)))
 	case Failed:
-		n.learnAtLeast(l.pool.offset(now), now.Sub(l.began), l.slowdown, l.work)
-		if n.ejection.Fail(now) {
-			l.pool.members.Load().eject(n)
+		m.observeLowerBound(l.pool.offset(now), now.Sub(l.startedAt), l.slowdown, l.work)
+		if m.ejection.RecordFailure(now) {
+			l.pool.members.Load().eject(m)
 		}
 	case Canceled:
-		n.learnAtLeast(l.pool.offset(now), now.Sub(l.began), l.slowdown, l.work)
+		m.observeLowerBound(l.pool.offset(now), now.Sub(l.startedAt), l.slowdown, l.work)
 	}
 }
--- a/internal/routing/pool/members.go
+++ b/internal/routing/pool/members.go
@@ -8,81 +8,83 @@
 	"github.com/bilberryrock/bilberryrock/internal/routing/ejection"
 )
 
-// members is the set of usable upstreams between two calls of Refresh. Only the
-// nodes in it change.
-type members struct {
-	nodes []*node
-	byID  map[fleet.UpstreamID]*node
+// memberSet is the set of usable upstreams between two calls of Refresh. The set
+// itself is immutable; only the state of its members changes.
+type memberSet struct {
+	all   []*member
+	byID  map[fleet.UpstreamID]*member
 	peers int
 	load  Load
-	// probability and alias form an alias table (Walker 1977): a node is drawn
-	// in constant time, in proportion to its weight.
+	// probability and alias form an alias table (Walker 1977), which draws a member
+	// in constant time with a probability proportional to its weight.
 	probability []float64
 	alias       []int
 }
 
-// Load is what is known of a pool as a whole.
+// Load is the aggregated capacity and load of a pool.
 type Load struct {
-	// Slots is the sum over the usable upstreams, each scaled by its health.
+	// Slots is the number of slots of the usable upstreams, each scaled by its
+	// health.
 	Slots float64
-	// Reported is the sum of running and waiting work in recent reports, and
-	// Known the slots of the upstreams that it covers.
+	// Reported is the sum of running and waiting sequences in recent load reports,
+	// and ReportedSlots the number of slots of the upstreams with such a report.
 	Reported float64
 	Known    float64
 	// Upstreams is the number of usable upstreams.
 	Upstreams int
 }
 
-// updateHealth takes over the health of every node. When more upstreams are out than a pool may
-// have out, all are taken to be sound.
-func (m *members) updateHealth(now time.Time) {
-	out := 0
-	for _, n := range m.nodes {
-		h := n.ejection.Health(now)
-		n.setHealth(h)
+// updateHealth sets the health of every member from its ejection state. If more
+// members are ejected than ejection.Allowed permits, all are treated as healthy.
+func (set *memberSet) updateHealth(now time.Time) {
+	ejected := 0
+	for _, m := range set.all {
+		h := m.ejection.Health(now)
+		m.setHealth(h)
 		if h == 0 {
-			out++
+			ejected++
 		}
 	}
-	if ejection.Allowed(len(m.nodes), out) {
+	if ejection.Allowed(len(set.all), ejected) {
 		return
 	}
-	for _, n := range m.nodes {
-		n.setHealth(1)
+	for _, m := range set.all {
+		m.setHealth(1)
 	}
 }
 
-// eject takes n out of use at once, unless too many are out already.
-func (m *members) eject(n *node) {
-	out := 1
-	for _, o := range m.nodes {
-		if o != n && o.health() == 0 {
-			out++
+// eject sets the health of m to 0 immediately, without waiting for the next
+// Refresh, unless too many members are ejected already.
+func (set *memberSet) eject(m *member) {
+	ejected := 1
+	for _, other := range set.all {
+		if other != m && other.health() == 0 {
+			ejected++
 		}
 	}
-	if !ejection.Allowed(len(m.nodes), out) {
+	if !ejection.Allowed(len(set.all), ejected) {
 		return
 	}
-	n.setHealth(0)
-	n.tally.ejections.Add(1)
+	m.setHealth(0)
+	m.counters.ejections.Add(1)
 }
 
-// weigh sums the load up and builds the alias table. The weight of a node is its slots
-// per service time, scaled by its health.
-func (m *members) weigh(now int64) {
-	weights := make([]float64, len(m.nodes))
+// computeWeights sums up the load of the set and builds the alias table. The weight
+// of a member is its slots divided by its service time, scaled by its health.
+func (set *memberSet) computeWeights(now int64) {
+	weights := make([]float64, len(set.all))
 	total := 0.0
-	for i, n := range m.nodes {
-		m.load.add(n, now)
-		weights[i] = n.weight()
+	for i, m := range set.all {
+		set.load.add(m, now)
+		weights[i] = m.weight()
 		total += weights[i]
 	}
 	if total > 0 {
-		m.fill(weights, float64(len(weights))/total)
+		set.buildAliasTable(weights, float64(len(weights))/total)
 	}
 }
 
-// perSlot returns the reported work per slot, or -1 without reports.
+// perSlot returns the reported load per slot, or -1 if there are no recent reports.
 func (l *Load) perSlot() float64 {
 	if l.Known == 0 {
 		return -1
@@ -90,25 +92,25 @@
 	return l.Reported / l.Known
 }
 
-func (l *Load) add(n *node, now int64) {
-	slots := float64(n.slots.Load())
-	l.Slots += slots * n.health()
+func (l *Load) add(m *member, now int64) {
+	slots := float64(m.slots.Load())
+	l.Slots += slots * m.health()
 	l.Upstreams++
-	if now-n.reportedAt.Load() > int64(recentReport) || n.reportedAt.Load() == noReport {
+	if now-m.reportedAt.Load() > int64(maxReportAge) || m.reportedAt.Load() == noReport {
 		return
 	}
-	l.Reported += float64(n.reported.Load())
+	l.Reported += float64(m.reported.Load())
 	l.Known += slots
 }
 
-// fill builds the alias table with the method of Vose (1991).
-func (m *members) fill(weights []float64, scale float64) {
-	m.probability = weights
-	m.alias = make([]int, len(weights))
+// buildAliasTable builds the alias table with the algorithm of Vose (1991).
+func (set *memberSet) buildAliasTable(weights []float64, scale float64) {
+	set.probability = weights
+	set.alias = make([]int, len(weights))
 	var small, large []int
 	for i := range weights {
 		weights[i] *= scale
-		m.alias[i] = i
+		set.alias[i] = i
 		if weights[i] < 1 {
 			small = append(small, i)
 			continue
@@ -118,7 +120,7 @@
 	for len(small) > 0 && len(large) > 0 {
 		s, l := small[len(small)-1], large[len(large)-1]
 		small = small[:len(small)-1]
-		m.alias[s] = l
+		set.alias[s] = l
 		weights[l] -= 1 - weights[s]
 		if weights[l] < 1 {
 			large = large[:len(large)-1]
@@ -133,54 +135,54 @@
 	}
 }
 
-// draw returns a node for 64 random bits.
-func (m *members) draw(bits uint64) *node {
-	i := int((bits >> 32) * uint64(len(m.nodes)) >> 32)
-	if m.probability == nil {
-		return m.nodes[i]
+// draw returns a weighted random member, given 64 random bits.
+func (set *memberSet) draw(bits uint64) *member {
+	i := int((bits >> 32) * uint64(len(set.all)) >> 32)
+	if set.probability == nil {
+		return set.all[i]
 	}
-	if float64(uint32(bits)) < m.probability[i]*(1<<32) {
-		return m.nodes[i]
+	if float64(uint32(bits)) < set.probability[i]*(1<<32) {
+		return set.all[i]
 	}
-	return m.nodes[m.alias[i]]
+	return set.all[set.alias[i]]
 }
 
-func (n *node) weight() float64 {
-	s := n.service.Value()
+func (m *member) weight() float64 {
+	s := m.estimate.Value()
 	if s == 0 {
-		s = n.kind.Value()
+		s = m.kindEstimate.Value()
 	}
 	if s == 0 {
 		s = time.Second
 	}
-	return float64(n.slots.Load()) * n.health() / s.Seconds()
+	return float64(m.slots.Load()) * m.health() / s.Seconds()
 }
 
-// scratch holds the candidates of one decision.
+// scratch is the reusable buffer for the candidates of one decision.
 type scratch struct {
-	count      int
-	nodes      [maxCandidates]*node
-	candidates [maxCandidates]routing.Candidate
+	count            int
+	candidateMembers [maxCandidates]*member
+	candidates       [maxCandidates]routing.Candidate
 }
 
 func (s *scratch) reset() { s.count = 0 }
 
-func (s *scratch) has(n *node) bool { return s.find(n) >= 0 }
+func (s *scratch) contains(m *member) bool { return s.index(m) >= 0 }
 
-func (s *scratch) find(n *node) int {
+func (s *scratch) index(m *member) int {
 	for i := range s.count {
-		if s.nodes[i] == n {
+		if s.candidateMembers[i] == m {
 			return i
 		}
 	}
 	return -1
 }
 
-func (s *scratch) add(n *node, c routing.Candidate) {
+func (s *scratch) add(m *member, c routing.Candidate) {
 	if s.count == maxCandidates {
 		return
 	}
-	s.nodes[s.count] = n
+	s.candidateMembers[s.count] = m
 	s.candidates[s.count] = c
 	s.count++
 }
--- a/internal/routing/pool/node.go
+++ b/internal/routing/pool/node.go
@@ -13,138 +13,141 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// noReport is the time of the report of an upstream that never reported.
+// noReport is the value of reportedAt before the first load report.
 const noReport = math.MinInt64
 
-// node is what the instance knows of one incarnation of an upstream. Times are
-// nanoseconds since the start of the pool.
-type node struct {
-	id          fleet.UpstreamID
-	incarnation fleet.Incarnation
-	cache       *affinity.Source
-	tally       *tally
-	kind        *speed.Estimate
-	announced   atomic.Pointer[upstream.Upstream]
-
-	confirmed        atomic.Int64
+// member is the state that the instance keeps for one incarnation of an upstream.
+// Times are in nanoseconds since the creation of the pool.
+type member struct {
+	id           fleet.UpstreamID
+	incarnation  fleet.Incarnation
+	prefixCache  *affinity.Cache
+	counters     *counterShard
+	kindEstimate *speed.Estimate
+	announced    atomic.Pointer[upstream.Upstream]
+
+	confirmedAt      atomic.Int64
 	slots            atomic.Int64
 	reported         atomic.Int64
 	reportedAt       atomic.Int64
 	inFlightAtReport atomic.Int64
 
-	inFlight  atomic.Int64
-	progress  atomic.Int64 // last end of work, or begin when there was none
-	service   speed.Estimate
-	link      atomic.Int64
-	sampledAt atomic.Int64
-	ejection  ejection.State
-	healthBit atomic.Uint64
-
-	// unreachable is the time until which the upstream is passed over.
-	unreachable atomic.Int64
+	inFlight     atomic.Int64
+	lastProgress atomic.Int64 // last success, or when inFlight last rose from 0
+	estimate     speed.Estimate
+	linkDelay    atomic.Int64
+	sampledAt    atomic.Int64
+	ejection     ejection.State
+	healthBits   atomic.Uint64
+
+	// unreachableUntil is the time until which the upstream is skipped after a
+	// failure to reach it.
+	unreachableUntil atomic.Int64
 }
 
-func newNode(u *upstream.Upstream, kind *speed.Estimate, t *tally) *node {
-	n := &node{id: u.ID, incarnation: u.Incarnation, kind: kind, tally: t, cache: affinity.NewSource(u.ID)}
-	n.reportedAt.Store(noReport)
-	n.unreachable.Store(math.MinInt64)
-	n.setHealth(1)
-	return n
+func newMember(u *upstream.Upstream, kind *speed.Estimate, shard *counterShard) *member {
+	m := &member{id: u.ID, incarnation: u.Incarnation, kindEstimate: kind, counters: shard, prefixCache: affinity.NewCache(u.ID)}
+	m.reportedAt.Store(noReport)
+	m.unreachableUntil.Store(math.MinInt64)
+	m.setHealth(1)
+	return m
 }
 
-// take stores what u says now.
-func (n *node) take(u *upstream.Upstream, confirmed int64, now time.Time) {
-	c := *u
-	n.announced.Store(&c)
-	n.confirmed.Store(confirmed)
-	n.slots.Store(int64(max(u.Slots, 1)))
+// update stores the announcement u and its load report, if that is newer than the
+// stored one.
+func (m *member) update(u *upstream.Upstream, confirmed int64, now time.Time) {
+	copied := *u
+	m.announced.Store(&copied)
+	m.confirmedAt.Store(confirmed)
+	m.slots.Store(int64(max(u.Slots, 1)))
 	if u.Load.At.IsZero() {
 		return
 	}
 	at := confirmed - int64(u.Confirmed.Sub(u.Load.At))
-	if at <= n.reportedAt.Load() {
+	if at <= m.reportedAt.Load() {
 		return
 	}
-	n.reportedAt.Store(at)
-	n.reported.Store(int64(u.Load.Running + u.Load.Waiting))
-	n.inFlightAtReport.Store(n.inFlight.Load())
+	m.reportedAt.Store(at)
+	m.reported.Store(int64(u.Load.Running + u.Load.Waiting))
+	m.inFlightAtReport.Store(m.inFlight.Load())
 }
 
-func (n *node) begin(now int64) {
-	if n.inFlight.Add(1) == 1 {
-		n.progress.Store(now)
+func (m *member) begin(now int64) {
+	if m.inFlight.Add(1) == 1 {
+		m.lastProgress.Store(now)
 	}
-	n.tally.picked.Add(1)
+	m.counters.picked.Add(1)
 }
 
-func (n *node) end(now int64, r Result) {
-	n.inFlight.Add(-1)
-	n.tally.count(r)
+func (m *member) end(now int64, r Result) {
+	m.inFlight.Add(-1)
+	m.counters.record(r)
 	if r == Succeeded {
-		n.progress.Store(now)
+		m.lastProgress.Store(now)
 	}
 }
 
-// learn takes the time without waiting for one unit of work as a sample.
-func (n *node) learn(at int64, elapsed time.Duration, slowdown, work float64) {
-	onUpstream := max(elapsed-2*time.Duration(n.link.Load()), 0)
+// observe adds the service time per unit of work, without link delay and queueing,
+// to the estimates of the upstream and of its accelerator kind.
+func (m *member) observe(at int64, elapsed time.Duration, slowdown, work float64) {
+	onUpstream := max(elapsed-2*time.Duration(m.linkDelay.Load()), 0)
 	sample := time.Duration(float64(onUpstream) / (min(slowdown, maxSlowdown) * work))
-	if n.service.Value() == 0 {
-		n.service.Observe(n.kind.Value())
+	if m.estimate.Value() == 0 {
+		m.estimate.Observe(m.kindEstimate.Value())
 	}
-	n.service.Observe(sample)
-	n.kind.Observe(sample)
-	n.sampledAt.Store(at)
+	m.estimate.Observe(sample)
+	m.kindEstimate.Observe(sample)
+	m.sampledAt.Store(at)
 }
 
-// maxSlowdown bounds the part of a measured time that is put down to other work.
-// The estimate of that work is rough, and without a bound a slow upstream that
-// is taken to be crowded is learned as a fast one.
+// maxSlowdown bounds the factor by which a measured time is attributed to other
+// requests on the upstream. The estimate of their number is rough; without a bound
+// a slow upstream that is believed to be overloaded would be estimated as fast.
 const maxSlowdown = 2.5
 
-// learnAtLeast takes work that ended without an answer as a sample when it took
-// longer than expected, so that an upstream that answers nothing in time does
-// not keep the speed of better days.
-func (n *node) learnAtLeast(at int64, elapsed time.Duration, slowdown, work float64) {
-	if float64(elapsed) > float64(n.serviceTime(work, 0))*slowdown {
-		n.learn(at, elapsed, 1, work)
+// observeLowerBound adds a sample for a request that ended without a response, if it
+// took longer than expected. Otherwise an upstream whose requests all time out
+// would keep the estimate from before it became slow.
+func (m *member) observeLowerBound(at int64, elapsed time.Duration, slowdown, work float64) {
+	if float64(elapsed) > float64(m.serviceTime(work, 0))*slowdown {
+		m.observe(at, elapsed, 1, work)
 	}
 }
 
-// serviceTime returns the expected time of one unit of work. An upstream that
-// has work and shows no progress is taken to be at least as slow as the time
-// since its last progress.
-func (n *node) serviceTime(work float64, now int64) time.Duration {
-	s := n.service.Value()
+// serviceTime returns the expected service time of a request with the given units
+// of work. If the upstream has requests in flight, the result is at least the time
+// since its last progress, so that an upstream that stalls counts as slow.
+func (m *member) serviceTime(work float64, now int64) time.Duration {
+	s := m.estimate.Value()
 	if s == 0 {
-		s = n.kind.Value()
+		s = m.kindEstimate.Value()
 	}
 	s = time.Duration(float64(s) * work)
-	if n.inFlight.Load() == 0 {
+	if m.inFlight.Load() == 0 {
 		return s
 	}
-	return max(s, time.Duration(now-n.progress.Load()))
+	return max(s, time.Duration(now-m.lastProgress.Load()))
 }
 
-func (n *node) candidate(m *members, a *Ask, health float64, now int64) routing.Candidate {
+func (m *member) candidate(set *memberSet, r *Ask, health float64, now int64) routing.Candidate {
 	c := routing.Candidate{
-		ID:               n.id,
-		Slots:            int(n.slots.Load()),
-		InFlight:         int(n.inFlight.Load()),
-		Reported:         int(n.reported.Load()),
-		InFlightAtReport: int(n.inFlightAtReport.Load()),
-		Peers:            m.peers,
-		PoolLoad:         m.load.perSlot(),
+		ID:               m.id,
+		Slots:            int(m.slots.Load()),
+		InFlight:         int(m.inFlight.Load()),
+		Reported:         int(m.reported.Load()),
+		InFlightAtReport: int(m.inFlightAtReport.Load()),
+		Peers:            set.peers,
+		PoolLoad:         set.load.perSlot(),
 		ReportAge:        -1,
-		ServiceTime:      n.serviceTime(units(a.Work), now),
-		Link:             time.Duration(n.link.Load()),
+		ServiceTime:      m.serviceTime(workUnits(r.Work), now),
+		LinkDelay:        time.Duration(m.linkDelay.Load()),
 		Health:           health,
 	}
-	if at := n.reportedAt.Load(); at != noReport {
+	if at := m.reportedAt.Load(); at != noReport {
 		c.ReportAge = time.Duration(max(now-at, 0))
 	}
 	return c
 }
 
-func (n *node) health() float64     { return math.Float64frombits(n.healthBit.Load()) }
-func (n *node) setHealth(h float64) { n.healthBit.Store(math.Float64bits(h)) }
+func (m *member) health() float64     { return math.Float64frombits(m.healthBits.Load()) }
+func (m *member) setHealth(h float64) { m.healthBits.Store(math.Float64bits(h)) }
--- a/internal/routing/pool/pool.go
+++ b/internal/routing/pool/pool.go
@@ -1,20 +1,20 @@
-// Package pool chooses the upstream for each piece of work of one pool and learns
-// from how the work ended.
+// Package pool selects the upstream for each request to a pool and tracks the
+// health, load and speed of the upstreams from the outcomes.
 //
-// A controller hands over the usable upstreams a few times a second. Callers
-// pick an upstream, do the work, and report the result:
+// A controller calls Refresh with the usable upstreams a few times per second.
+// Callers pick an upstream, send the request, and report the result:
 //
 //	p := pool.New(clock, scoring.Policy{})
 //	p.Refresh(roster.Usable(id, clock.Now()), peers)
-//	lease, err := p.Pick(pool.Ask{Work: 1})
+//	lease, err := p.Pick(pool.Request{Work: 1})
 //	if err != nil {
 //		return err // of kind refusal.NoUpstream, nothing was sent
 //	}
 //	err = call(lease.Upstream())
 //	lease.Done(pool.Succeeded)
 //
-// Pick takes no lock that is shared by all callers and weighs a bounded number
-// of candidates, so its cost does not grow with the pool.
+// Pick takes no lock that is shared by all callers and considers a bounded number
+// of candidates, so its cost does not grow with the size of the pool.
 package pool
 
 import (
@@ -34,69 +34,72 @@
 )
 
 const (
-	// sampleSize is the number of candidates that are drawn from a large pool.
+	// sampleSize is the number of candidates drawn from a large pool.
 	sampleSize = 8
-	// maxCandidates leaves room for holders of the cached prefix.
+	// maxCandidates leaves room for upstreams that hold the prefix in their cache.
 	maxCandidates = sampleSize + affinity.MaxHolders
-	// drawFactor bounds the draws, because a draw may repeat a candidate.
-	drawFactor = 3
-	// scanSize bounds the search for an upstream when the draws met none. Refresh
-	// leaves out upstreams without a recent confirmation and those out of use are
-	// not drawn, so longer searches only happen between two calls of Refresh.
-	scanSize = 128
-	// confirmationLimit is the age of the last confirmation at which an upstream
-	// gets no new work, even when Refresh is late.
-	confirmationLimit = 3 * time.Second
-	// staleSample is the age of the last sample from which on a speed relaxes. An
-	// instance of 15 sends work to one of 40 upstreams every 3 s or so, and a
-	// speed that relaxed in between would never get far from its kind.
-	staleSample = 10 * time.Second
-	// unreachableHold is the time for which an upstream that could not be
-	// reached is passed over while there are others.
-	unreachableHold = time.Second
-	// recentReport is the age up to which a report is part of Load.
-	recentReport = 5 * time.Second
+	// drawsPerCandidate bounds the number of draws, because a draw may return a
+	// candidate that was drawn before.
+	drawsPerCandidate = 3
+	// maxScan bounds the linear search for an upstream after all draws failed.
+	// Refresh leaves out upstreams without a recent confirmation, and ejected ones
+	// are not drawn, so longer searches would only occur between two calls of
+	// Refresh.
+	maxScan = 128
+	// maxConfirmationAge is the maximum age of the last confirmation of an upstream
+	// that gets new requests. Pick checks it too, in case Refresh is late.
+	maxConfirmationAge = 3 * time.Second
+	// maxSampleAge is the age of the last sample from which an estimate moves back
+	// towards that of its accelerator kind. With 15 instances and 40 upstreams, an
+	// instance sends a request to a given upstream about every 3 s; an estimate
+	// that relaxed in between would never differ much from that of its kind.
+	maxSampleAge = 10 * time.Second
+	// unreachableBackoff is the time for which an upstream that could not be
+	// reached is skipped if there are others.
+	unreachableBackoff = time.Second
+	// maxReportAge is the maximum age of a report that is included in Load.
+	maxReportAge = 5 * time.Second
 )
 
-// Ask describes the work that needs an upstream.
+// Ask describes a request that needs an upstream.
 type Ask struct {
-	// Work is the expected size of the work in units of the pool, such as
-	// tokens. Zero stands for 1.
+	// Work is the expected cost of the request in a unit that is the same for the
+	// whole pool, such as tokens. Zero means 1.
 	Work float64
-	// Prefix holds the chained hashes of the blocks of the prompt, the first
-	// block first. It may be empty.
+	// Prefix holds the chained hashes of the blocks of the prompt, in order. It may
+	// be empty.
 	Prefix []uint64
-	// Avoid lists upstreams that were tried already.
+	// Exclude lists upstreams that must not be selected, such as those already tried.
 	Avoid []fleet.UpstreamID
-	// Only lists the upstreams that can do the work, such as the holders of a
-	// range of layers. Empty stands for all of the pool.
+	// Eligible lists the upstreams that can serve the request, such as those that
+	// hold a range of layers. Empty means all upstreams of the pool.
 	Only []fleet.UpstreamID
-	// Explain is filled with the decision when it is not nil.
+	// Explain, if not nil, is set to a description of the decision.
 	Explain *Explanation
 }
 
-// Pool chooses among the upstreams of one pool. It is safe for concurrent use.
+// Pool selects among the upstreams of one pool. It is safe for concurrent use.
 type Pool struct {
-	clock   fleet.Clock
-	chooser routing.Chooser
-	draw    func() uint64
-	start   time.Time
-	prefix  affinity.Table
+	clock    fleet.Clock
+	chooser  routing.Chooser
+	draw     func() uint64
+	start    time.Time
+	prefixes affinity.Table
 
-	members atomic.Pointer[members]
-	tallies [tallyCount]tally
-	scratch sync.Pool
+	members       atomic.Pointer[memberSet]
+	counterShards [counterShardCount]counterShard
+	scratch       sync.Pool
 
-	refresh   sync.Mutex // serialises Refresh
-	refreshed time.Time
-	kinds     map[string]*speed.Estimate
-	joined    uint64
+	refreshMu     sync.Mutex // serializes Refresh
+	refreshedAt   time.Time
+	kindEstimates map[string]*speed.Estimate
+	joinCount     uint64
 }
 
-// Option changes a Pool.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithRandom sets the source of randomness. The default is math/rand/v2.
+// WithRandom sets the source of random numbers. The default is math/rand/v2.
 func WithRandom(draw func() uint64) Option {
 	return func(p *Pool) { p.draw = draw }
 }
@@ -104,13 +107,13 @@
 // New returns a Pool without upstreams.
 func New(clock fleet.Clock, chooser routing.Chooser, options ...Option) *Pool {
 	p := &Pool{
-		clock:   clock,
-		chooser: chooser,
-		draw:    rand.Uint64,
-		start:   clock.Now(),
-		kinds:   make(map[string]*speed.Estimate),
+		clock:         clock,
+		chooser:       chooser,
+		draw:          rand.Uint64,
+		start:         clock.Now(),
+		kindEstimates: make(map[string]*speed.Estimate),
 	}
-	p.members.Store(&members{})
+	p.members.Store(&memberSet{})
 	p.scratch.New = func() any { return new(scratch) }
 	for _, o := range options {
 		o(p)
@@ -118,257 +121,269 @@
 	return p
 }
 
-// Refresh replaces the usable upstreams. peers is the number of other instances
-// that choose among the same upstreams. What was learned about an upstream
-// stays as long as its incarnation does.
+// Refresh replaces the set of usable upstreams. peers is the number of other
+// instances that choose among the same upstreams. The state of an upstream is kept
+// as long as its incarnation stays the same.
 func (p *Pool) Refresh(usable []upstream.Upstream, peers int) {
-	p.refresh.Lock()
-	defer p.refresh.Unlock()
+	p.refreshMu.Lock()
+	defer p.refreshMu.Unlock()
 	now := p.clock.Now()
 	old := p.members.Load()
-	next := &members{
-		nodes: make([]*node, 0, len(usable)),
-		byID:  make(map[fleet.UpstreamID]*node, len(usable)),
+	next := &memberSet{
+		all:   make([]*member, 0, len(usable)),
+		byID:  make(map[fleet.UpstreamID]*member, len(usable)),
 		peers: peers,
 	}
 	for i := range usable {
-		n := p.keep(old, &usable[i], now)
-		n.take(&usable[i], p.offset(usable[i].Confirmed), now)
-		next.nodes = append(next.nodes, n)
-		next.byID[n.id] = n
+		m := p.memberFor(old, &usable[i], now)
+		m.update(&usable[i], p.offset(usable[i].Confirmed), now)
+		next.all = append(next.all, m)
+		next.byID[m.id] = m
 	}
-	p.relax(next, now)
+	p.relaxEstimates(next, now)
 	next.updateHealth(now)
-	next.weigh(p.offset(now))
-	p.retire(old, next)
-	p.refreshed = now
+	next.computeWeights(p.offset(now))
+	p.invalidateRemoved(old, next)
+	p.refreshedAt = now
 	p.members.Store(next)
 }
 
-// Pick chooses an upstream. The error is of kind refusal.NoUpstream. Done of
-// the Lease must be called exactly once.
-func (p *Pool) Pick(a Ask) (Lease, error) {
+// Pick selects an upstream for a request. Any error is of kind refusal.NoUpstream.
+// The caller must call Done of the Lease exactly once.
+func (p *Pool) Pick(r Ask) (Lease, error) {
 	now := p.clock.Now()
-	m := p.members.Load()
+	set := p.members.Load()
 	s := p.scratch.Get().(*scratch)
 	defer p.scratch.Put(s)
 	s.reset()
-	p.collect(s, m, &a, now)
+	p.collectCandidates(s, set, &r, now)
 	choice := p.chooser.Choose(s.candidates[:s.count])
-	if a.Explain != nil {
-		a.Explain.fill(s, choice)
+	if r.Explain != nil {
+		r.Explain.record(s, choice)
 	}
 	if choice.Index < 0 {
-		return Lease{}, refusal.New(refusal.NoUpstream, "no usable upstream in a pool of %d", len(m.nodes))
+		return Lease{}, refusal.New(refusal.NoUpstream, "no usable upstream in a pool of %d", len(set.all))
 	}
-	n := s.nodes[choice.Index]
-	n.begin(p.offset(now))
-	if len(a.Prefix) > 0 {
-		p.prefix.Note(n.cache, a.Prefix, p.offset(now))
+	m := s.candidateMembers[choice.Index]
+	m.begin(p.offset(now))
+	if len(r.Prefix) > 0 {
+		p.prefixes.RecordUse(m.prefixCache, r.Prefix, p.offset(now))
 	}
 	return Lease{
-		pool:     p,
-		node:     n,
-		began:    now,
-		work:     units(a.Work),
-		slowdown: scoring.Slowdown(&s.candidates[choice.Index]),
-		expected: choice.Expected,
+		pool:      p,
+		member:    m,
+		startedAt: now,
+		work:      workUnits(r.Work),
+		slowdown:  scoring.Slowdown(&s.candidates[choice.Index]),
+		expected:  choice.Expected,
 	}, nil
 }
 
-// Apply takes over a cache event of an engine.
+// Apply applies a cache event of an engine. Events of unknown upstreams are ignored.
 func (p *Pool) Apply(e affinity.Event) {
-	n := p.members.Load().byID[e.Upstream]
-	if n == nil {
+	m := p.members.Load().byID[e.Upstream]
+	if m == nil {
 		return
 	}
-	p.prefix.Apply(n.cache, e, p.offset(p.clock.Now()))
+	p.prefixes.Apply(m.prefixCache, e, p.offset(p.clock.Now()))
 }
 
-// SetLink sets the measured one-way delay to an upstream.
+// SetLink sets the measured one-way network delay to an upstream.
 func (p *Pool) SetLink(id fleet.UpstreamID, oneWay time.Duration) {
-	n := p.members.Load().byID[id]
-	if n == nil {
+	m := p.members.Load().byID[id]
+	if m == nil {
 		return
 	}
-	n.link.Store(int64(oneWay))
+	m.linkDelay.Store(int64(oneWay))
 }
 
-// InFlight returns the work of this instance on an upstream.
+// InFlight returns the number of requests of this instance in progress on an
+// upstream.
 func (p *Pool) InFlight(id fleet.UpstreamID) int {
-	n := p.members.Load().byID[id]
-	if n == nil {
+	m := p.members.Load().byID[id]
+	if m == nil {
 		return 0
 	}
-	return int(n.inFlight.Load())
+	return int(m.inFlight.Load())
 }
 
-// Load returns what the last Refresh knew of the pool as a whole.
+// Load returns the load of the pool as of the last Refresh.
 func (p *Pool) Load() Load { return p.members.Load().load }
 
-func (p *Pool) collect(s *scratch, m *members, a *Ask, now time.Time) {
-	if len(a.Only) > 0 {
-		p.offerOnly(s, m, a, now)
+func (p *Pool) collectCandidates(s *scratch, set *memberSet, r *Ask, now time.Time) {
+	if len(r.Only) > 0 {
+		p.considerEligible(s, set, r, now)
 		return
 	}
-	if len(m.nodes) <= sampleSize {
-		for _, n := range m.nodes {
-			p.offer(s, m, n, a, now)
+	if len(set.all) <= sampleSize {
+		for _, m := range set.all {
+			p.consider(s, set, m, r, now)
 		}
 	} else {
-		p.sample(s, m, a, now)
+		p.considerSample(s, set, r, now)
 	}
-	p.offerHolders(s, m, a, now)
+	p.considerHolders(s, set, r, now)
 	if s.count > 0 {
 		return
 	}
-	p.scan(s, m, a, now)
+	p.scanForCandidate(s, set, r, now)
 }
 
-// offerOnly offers listed upstreams, from a random place in the list on.
-func (p *Pool) offerOnly(s *scratch, m *members, a *Ask, now time.Time) {
-	from := int(p.draw() % uint64(len(a.Only)))
-	length := min(len(a.Only), scanSize)
+// considerEligible considers the upstreams of r.Eligible, starting at a random
+// position. If none qualifies, it adds the first that is confirmed and not excluded,
+// whatever its health.
+func (p *Pool) considerEligible(s *scratch, set *memberSet, r *Ask, now time.Time) {
+	first := int(p.draw() % uint64(len(r.Only)))
+	length := min(len(r.Only), maxScan)
 	for i := range length {
 		if s.count == sampleSize {
 			return
 		}
-		if n := m.byID[a.Only[(from+i)%len(a.Only)]]; n != nil {
-			p.offer(s, m, n, a, now)
+		if m := set.byID[r.Only[(first+i)%len(r.Only)]]; m != nil {
+			p.consider(s, set, m, r, now)
 		}
 	}
 	if s.count > 0 {
 		return
 	}
 	for i := range length {
-		n := m.byID[a.Only[(from+i)%len(a.Only)]]
-		if n != nil && p.confirmed(n, now) && !avoided(a.Avoid, n.id) {
-			s.add(n, n.candidate(m, a, n.health(), p.offset(now)))
+		m := set.byID[r.Only[(first+i)%len(r.Only)]]
+		if m != nil && p.confirmed(m, now) && !containsID(r.Avoid, m.id) {
+			s.add(m, m.candidate(set, r, m.health(), p.offset(now)))
 			return
 		}
 	}
 }
 
-// scan offers the first usable node from a random place on, for when the draws
-// met none. When none is sound it offers one that is out of use.
-func (p *Pool) scan(s *scratch, m *members, a *Ask, now time.Time) {
-	from := int(p.draw() % uint64(max(len(m.nodes), 1)))
-	length := min(len(m.nodes), scanSize)
+// scanForCandidate adds the first member that qualifies, starting at a random
+// position. It is used after all draws failed. If no member qualifies, it adds the
+// first that is confirmed and not excluded, whatever its health.
+func (p *Pool) scanForCandidate(s *scratch, set *memberSet, r *Ask, now time.Time) {
+	first := int(p.draw() % uint64(max(len(set.all), 1)))
+	length := min(len(set.all), maxScan)
 	for i := range length {
-		p.offer(s, m, m.nodes[(from+i)%len(m.nodes)], a, now)
+		p.consider(s, set, set.all[(first+i)%len(set.all)], r, now)
 		if s.count > 0 {
 			return
 		}
 	}
 	for i := range length {
-		n := m.nodes[(from+i)%len(m.nodes)]
-		if p.confirmed(n, now) && !avoided(a.Avoid, n.id) {
-			s.add(n, n.candidate(m, a, n.health(), p.offset(now)))
+		m := set.all[(first+i)%len(set.all)]
+		if p.confirmed(m, now) && !containsID(r.Avoid, m.id) {
+			s.add(m, m.candidate(set, r, m.health(), p.offset(now)))
 			return
 		}
 	}
 }
 
-func (p *Pool) sample(s *scratch, m *members, a *Ask, now time.Time) {
-	for range sampleSize * drawFactor {
+// considerSample considers up to sampleSize distinct members drawn by weight.
+func (p *Pool) considerSample(s *scratch, set *memberSet, r *Ask, now time.Time) {
+	for range sampleSize * drawsPerCandidate {
 		if s.count == sampleSize {
 			return
 		}
-		p.offer(s, m, m.draw(p.draw()), a, now)
+		p.consider(s, set, set.draw(p.draw()), r, now)
 	}
 }
 
-// offer adds n to the candidates when it may get the work.
-func (p *Pool) offer(s *scratch, m *members, n *node, a *Ask, now time.Time) {
-	if s.has(n) || avoided(a.Avoid, n.id) || !p.confirmed(n, now) {
+// consider adds m to the candidates if it may get the request. A member with a
+// health below 1 is added with a probability equal to its health.
+func (p *Pool) consider(s *scratch, set *memberSet, m *member, r *Ask, now time.Time) {
+	if s.contains(m) || containsID(r.Avoid, m.id) || !p.confirmed(m, now) {
 		return
 	}
-	if p.offset(now) < n.unreachable.Load() {
+	if p.offset(now) < m.unreachableUntil.Load() {
 		return
 	}
-	health := n.health()
+	health := m.health()
 	if health < 1 && health*math.MaxUint32 < float64(uint32(p.draw())) {
 		return
 	}
-	s.add(n, n.candidate(m, a, health, p.offset(now)))
+	s.add(m, m.candidate(set, r, health, p.offset(now)))
 }
 
-func (p *Pool) confirmed(n *node, now time.Time) bool {
-	return p.offset(now)-n.confirmed.Load() <= int64(confirmationLimit)
+func (p *Pool) confirmed(m *member, now time.Time) bool {
+	return p.offset(now)-m.confirmedAt.Load() <= int64(maxConfirmationAge)
 }
 
-func (p *Pool) offerHolders(s *scratch, m *members, a *Ask, now time.Time) {
-	if len(a.Prefix) == 0 {
+// considerHolders considers the members that probably hold a part of the prefix in
+// their cache.
+func (p *Pool) considerHolders(s *scratch, set *memberSet, r *Ask, now time.Time) {
+	if len(r.Prefix) == 0 {
 		return
 	}
 	var found [affinity.MaxHolders]affinity.Holder
-	for _, h := range found[:p.prefix.Find(a.Prefix, p.offset(now), &found)] {
-		n := m.byID[h.Source.ID()]
-		if n == nil || n.cache != h.Source {
+	for _, h := range found[:p.prefixes.Find(r.Prefix, p.offset(now), &found)] {
+		m := set.byID[h.Cache.ID()]
+		if m == nil || m.prefixCache != h.Cache {
 			continue
 		}
-		p.offer(s, m, n, a, now)
-		if i := s.find(n); i >= 0 {
+		p.consider(s, set, m, r, now)
+		if i := s.index(m); i >= 0 {
 			s.candidates[i].CachedShare = h.Share
 		}
 	}
 }
 
+// offset returns the time from the creation of the pool to t in nanoseconds.
 func (p *Pool) offset(t time.Time) int64 { return int64(t.Sub(p.start)) }
 
-func units(work float64) float64 {
+func workUnits(work float64) float64 {
 	if work <= 0 {
 		return 1
 	}
 	return work
 }
 
-func avoided(avoid []fleet.UpstreamID, id fleet.UpstreamID) bool {
-	for _, a := range avoid {
-		if a == id {
+func containsID(ids []fleet.UpstreamID, id fleet.UpstreamID) bool {
+	for _, other := range ids {
+		if other == id {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Pool) keep(old *members, u *upstream.Upstream, now time.Time) *node {
-	n := old.byID[u.ID]
-	if n != nil && n.incarnation == u.Incarnation {
-		return n
-	}
-	kind := p.kinds[u.Accelerator]
+// memberFor returns the existing member for u if its incarnation is the same, or a
+// new one.
+func (p *Pool) memberFor(old *memberSet, u *upstream.Upstream, now time.Time) *member {
+	m := old.byID[u.ID]
+	if m != nil && m.incarnation == u.Incarnation {
+		return m
+	}
+	kind := p.kindEstimates[u.Accelerator]
 	if kind == nil {
 		kind = new(speed.Estimate)
-		p.kinds[u.Accelerator] = kind
+		p.kindEstimates[u.Accelerator] = kind
 	}
-	n = newNode(u, kind, &p.tallies[p.joined%tallyCount])
-	p.joined++
-	if len(old.nodes) > 0 {
-		n.ejection.Join(now)
+	m = newMember(u, kind, &p.counterShards[p.joinCount%counterShardCount])
+	p.joinCount++
+	if len(old.all) > 0 {
+		m.ejection.RecordJoin(now)
 	}
-	return n
+	return m
 }
 
-// relax moves the speeds of upstreams without recent samples towards their kind.
-func (p *Pool) relax(m *members, now time.Time) {
-	idle := now.Sub(p.refreshed)
-	if p.refreshed.IsZero() {
+// relaxEstimates moves the estimates of members without recent samples towards those
+// of their accelerator kind.
+func (p *Pool) relaxEstimates(set *memberSet, now time.Time) {
+	idle := now.Sub(p.refreshedAt)
+	if p.refreshedAt.IsZero() {
 		return
 	}
-	for _, n := range m.nodes {
-		if p.offset(now)-n.sampledAt.Load() < int64(staleSample) {
+	for _, m := range set.all {
+		if p.offset(now)-m.sampledAt.Load() < int64(maxSampleAge) {
 			continue
 		}
-		n.service.Relax(n.kind.Value(), idle)
+		m.estimate.Relax(m.kindEstimate.Value(), idle)
 	}
 }
 
-// retire forgets the caches of upstreams that are gone.
-func (p *Pool) retire(old, next *members) {
-	for _, n := range old.nodes {
-		if next.byID[n.id] != n {
-			n.cache.Release()
+// invalidateRemoved invalidates the prefix cache entries of removed members.
+func (p *Pool) invalidateRemoved(old, next *memberSet) {
+	for _, m := range old.all {
+		if next.byID[m.id] != m {
+			m.prefixCache.Invalidate()
 		}
 	}
 }
--- a/internal/routing/pool/pool_test.go
+++ b/internal/routing/pool/pool_test.go
@@ -34,8 +34,8 @@
 	return pool.WithRandom(rand.New(rand.NewPCG(seed, 1)).Uint64)
 }
 
-// Guards against new work for an upstream whose last confirmation is old when
-// Refresh itself is late, as after a frozen process thaws.
+// Guards against requests to an upstream whose last confirmation is too old when
+// Refresh is late, for example after the process was suspended and resumed.
 func TestNoWorkWithoutConfirmation(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
@@ -49,19 +49,18 @@
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
 }
 
-// Guards against in-flight counts that leak and against picks of upstreams that
-// were tried already.
+// Guards against leaked in-flight counts and against picks of excluded upstreams.
 func TestAvoidAndCounts(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
 	p := pool.New(c, scoring.Policy{}, seeded(1))
 	p.Refresh(usable(3, c.Now()), 14)
-	var e pool.Explanation
-	l, err := p.Pick(pool.Ask{Avoid: []fleet.UpstreamID{"u0", "u2"}, Explain: &e})
+	var explanation pool.Explanation
+	l, err := p.Pick(pool.Ask{Avoid: []fleet.UpstreamID{"u0", "u2"}, Explain: &explanation})
 	is.NoErr(err)
 	u := l.Upstream()
 	is.Equal(u.ID, fleet.UpstreamID("u1"))
-	is.Equal(e.Chosen(), "u1")
+	is.Equal(explanation.Chosen(), "u1")
 	is.Equal(p.InFlight("u1"), 1)
 	l.Done(pool.Failed)
 	is.Equal(p.InFlight("u1"), 0)
@@ -77,8 +76,8 @@
 	is.Equal(len(problems), 0)
 }
 
-// Guards against work for an upstream that was just out of reach while others
-// are there, and against an empty pool when none is in reach.
+// Guards against requests to an upstream that was just found unreachable while
+// others are available, and against a refusal when all are unreachable.
 func TestUnreachable(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
@@ -97,7 +96,7 @@
 	is.NoErr(err)
 }
 
-// Guards against a bad signal that takes a whole pool out of use.
+// Guards against a wrong failure signal that ejects a whole pool.
 func TestEjectionKeepsFloor(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
@@ -112,7 +111,7 @@
 	is.True(p.Counters().Ejections > 0)
 }
 
-// Guards against allocation on the hot path.
+// Guards against allocations on the hot path.
 func TestPickDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
--- a/internal/routing/random/random.go
+++ b/internal/routing/random/random.go
@@ -1,5 +1,5 @@
-// Package random implements the routing baseline that picks any candidate with
-// equal probability. The zero value of Policy is ready for use.
+// Package random implements the baseline routing policy that selects a candidate
+// uniformly at random. The zero value of Policy is ready for use.
 package random
 
 import (
@@ -10,11 +10,11 @@
 
 // Policy implements routing.Chooser.
 type Policy struct {
-	// Uint64 is the source of randomness. Nil stands for math/rand/v2.
+	// Uint64 is the source of randomness. If it is nil, math/rand/v2 is used.
 	Uint64 func() uint64
 }
 
-// Choose returns a random candidate.
+// Choose implements routing.Chooser.
 func (p Policy) Choose(candidates []routing.Candidate) routing.Choice {
 	if len(candidates) == 0 {
 		return routing.Choice{Index: -1, Reason: "no candidate"}
--- a/internal/routing/reported/reported.go
+++ b/internal/routing/reported/reported.go
@@ -1,6 +1,6 @@
-// Package reported implements the routing baseline that picks the candidate
-// with the least reported load per slot. The zero value of Policy is ready for
-// use.
+// Package reported implements the baseline routing policy that selects the
+// candidate with the lowest reported load per slot. The zero value of Policy is
+// ready for use.
 package reported
 
 import (
@@ -11,12 +11,11 @@
 
 // Policy implements routing.Chooser.
 type Policy struct {
-	// Uint64 is the source of randomness. Nil stands for math/rand/v2.
+	// Uint64 is the source of randomness. If it is nil, math/rand/v2 is used.
 	Uint64 func() uint64
 }
 
-// Choose returns a random one of the candidates with the least reported load per
-// slot.
+// Choose implements routing.Chooser. It breaks ties at random.
 func (p Policy) Choose(candidates []routing.Candidate) routing.Choice {
 	best := routing.Choice{Index: -1, Reason: "no candidate"}
 	draw := p.Uint64
--- a/internal/routing/robin/robin.go
+++ b/internal/routing/robin/robin.go
@@ -1,5 +1,5 @@
-// Package robin implements the routing baseline that takes the candidates in
-// turn. The zero value of Policy is ready for use.
+// Package robin implements the baseline routing policy that selects candidates
+// round-robin. The zero value of Policy is ready for use.
 package robin
 
 import (
@@ -13,7 +13,7 @@
 	next atomic.Uint64
 }
 
-// Choose returns the candidate after the one of the call before.
+// Choose implements routing.Chooser.
 func (p *Policy) Choose(candidates []routing.Candidate) routing.Choice {
 	if len(candidates) == 0 {
 		return routing.Choice{Index: -1, Reason: "no candidate"}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,8 +1,8 @@
-// Package routing holds the types of the choice of an upstream.
+// Package routing defines the types used to select an upstream for a request.
 //
-// A Chooser picks one of the candidates for a piece of work. Implementations
-// stand in the packages below: scoring is the policy of the product, the others
-// are baselines for benchmarks.
+// A Chooser selects one of the candidates. The implementations are in
+// subpackages: scoring is the production policy, the others are baselines for
+// benchmarks.
 package routing
 
 import (
@@ -11,49 +11,51 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// Candidate is an upstream with what this instance knows of it.
+// Candidate is an upstream together with this instance's view of its state.
 type Candidate struct {
 	ID fleet.UpstreamID
-	// Slots is the number of sequences or calls that it runs at once.
+	// Slots is the number of sequences or calls that the upstream runs concurrently.
 	Slots int
-	// InFlight counts the work that this instance has given it.
+	// InFlight is the number of requests of this instance in progress on the
+	// upstream.
 	InFlight int
-	// Reported is the lagged report of sequences running and waiting, and
-	// ReportAge its age.
+	// Reported is the number of running and waiting sequences in the last load
+	// report. The report lags behind the actual load by ReportAge, which is
+	// negative if there is no report.
 	Reported  int
 	ReportAge time.Duration
-	// InFlightAtReport is InFlight as it was when the report was taken over.
+	// InFlightAtReport is the value of InFlight when the report was stored.
 	InFlightAtReport int
 	// Peers is the number of other instances that choose among the same
-	// candidates. Their choices since the report are unknown.
+	// candidates. The choices that they made since the report are unknown.
 	Peers int
-	// PoolLoad is the reported work per slot over all candidates of the pool, or
-	// negative when there are no reports.
+	// PoolLoad is the reported load per slot, averaged over the pool, or negative
+	// if there are no reports.
 	PoolLoad float64
-	// ServiceTime is the learned time of one piece of work without waiting.
-	// Zero means not known yet.
+	// ServiceTime is the estimated time to process one request, without
+	// queueing. Zero means that there is no estimate yet.
 	ServiceTime time.Duration
-	// Link is the one-way delay to the upstream.
-	Link time.Duration
-	// CachedShare is the share of the prompt, 0 to 1, that the upstream
-	// probably has in its prefix cache.
+	// LinkDelay is the one-way network delay to the upstream.
+	LinkDelay time.Duration
+	// CachedShare is the estimated fraction of the prompt, from 0 to 1, that is in
+	// the prefix cache of the upstream.
 	CachedShare float64
-	// Health is 0 for an ejected upstream, 1 for a sound one, between them for
-	// one that returns.
+	// Health is 0 for an ejected upstream, 1 for a healthy one, and in between
+	// for one that is recovering from an ejection or has just joined.
 	Health float64
 }
 
-// Choice is a chosen candidate and why.
+// Choice is the result of a selection, with the reason for it.
 type Choice struct {
-	// Index is the index of the candidate, or -1 when there is none.
+	// Index is the index of the selected candidate, or -1 if there is none.
 	Index int
-	// Expected is the expected time until the work is done.
+	// Expected is the expected time until the request completes.
 	Expected time.Duration
 	Reason   string
 }
 
-// Chooser picks a candidate. Implementations are safe for concurrent use.
+// Chooser selects a candidate. Implementations are safe for concurrent use.
 type Chooser interface {
-	// Choose returns the choice among candidates, which must not be changed.
+	// Choose selects one of the candidates. It must not modify the slice.
 	Choose(candidates []Candidate) Choice
 }
--- a/internal/routing/scoring/scoring.go
+++ b/internal/routing/scoring/scoring.go
@@ -1,14 +1,15 @@
-// Package scoring implements the routing policy of the product: it chooses the
-// candidate with the shortest expected time until the work is done.
+// Package scoring implements the production routing policy: it selects the
+// candidate with the shortest expected completion time.
 //
 // The load of a candidate is estimated from two sources. The instance knows its
-// own work exactly. The work of the other instances is known from a lagged
-// report, whose weight falls with its age. What the report cannot show yet is
-// extrapolated from what this instance did since. The others decide on their
-// own, so their sum counts with the square root of their number, as a sum of
-// independent choices does. Therefore work sent to a candidate that reported
-// idle counts at once as if several instances had sent some, and an idle
-// candidate is not overrun.
+// own requests exactly. The requests of the other instances are known from a
+// lagging report, whose weight decreases with its age. Changes since the report
+// are extrapolated from the requests that this instance has sent or completed
+// since then. Because the other instances choose independently, the
+// extrapolation scales with the square root of their number, as the sum of
+// independent choices does. A request sent to a candidate that reported idle thus
+// counts immediately as if several instances had sent one, which keeps the
+// instances from overloading an idle candidate together.
 //
 //	var p scoring.Policy
 //	choice := p.Choose(candidates)
@@ -22,27 +23,28 @@
 )
 
 const (
-	// defaultServiceTime is assumed for a candidate of unknown speed.
+	// defaultServiceTime is assumed for a candidate without an estimate.
 	defaultServiceTime = 100 * time.Millisecond
-	// reportHalfLife is the age at which a report has half of its weight.
+	// reportHalfLife is the age at which the weight of a report is one half.
 	reportHalfLife = 2 * time.Second
-	// reportTrust is the weight of a report against the mean of the pool. All
-	// instances see the same report and act on it, so what it shows is soon
-	// evened out. 0.5 had the lowest p95 of 0, 0.25, 0.5, 0.75 and 1.
-	reportTrust = 0.5
-	// batchSlowdown is the share by which a full batch is slower than an empty
-	// one. It also makes the less loaded of two free candidates win.
+	// reportWeight is the weight of a report relative to the pool mean. All
+	// instances see the same report and act on it, so a reported imbalance soon
+	// evens out. Of 0, 0.25, 0.5, 0.75 and 1, 0.5 gave the lowest p95 latency.
+	reportWeight = 0.5
+	// batchSlowdown is the relative increase of the service time in a full batch
+	// over an empty one. It also makes the policy prefer the less loaded of two
+	// candidates with free slots.
 	batchSlowdown = 0.5
-	// cachedSaving is the share of the service time that a fully cached prompt
+	// cacheSaving is the fraction of the service time that a fully cached prompt
 	// saves.
-	cachedSaving = 0.5
+	cacheSaving = 0.5
 )
 
 // Policy implements routing.Chooser. The zero value is ready for use.
 type Policy struct{}
 
-// Choose returns the candidate with the shortest expected time. It skips
-// candidates without health unless all are without.
+// Choose returns the candidate with the shortest expected time. It skips ejected
+// candidates, whose health is 0, unless all candidates are ejected.
 func (Policy) Choose(candidates []routing.Candidate) routing.Choice {
 	best := routing.Choice{Index: -1, Reason: "no candidate"}
 	bestTime := math.Inf(1)
@@ -56,7 +58,7 @@
 		}
 	}
 	if best.Index < 0 && len(candidates) > 0 {
-		return lastResort(candidates)
+		return chooseUnhealthy(candidates)
 	}
 	best.Expected = time.Duration(bestTime)
 	if best.Index < 0 {
@@ -65,46 +67,48 @@
 	return best
 }
 
-// Expected returns the expected time in nanoseconds until a piece of work is
-// done on c.
+// Expected returns the expected time in nanoseconds until a new request completes
+// on c.
 func Expected(c *routing.Candidate) float64 {
 	service := float64(c.ServiceTime)
 	if service <= 0 {
 		service = float64(defaultServiceTime)
 	}
-	return 2*float64(c.Link) + service*Slowdown(c)
+	return 2*float64(c.LinkDelay) + service*Slowdown(c)
 }
 
-// Slowdown returns how many times its service time a piece of work is expected
-// to take on c, because of the work that is there already.
+// Slowdown returns the expected time of a new request on c, without the link
+// delay, as a multiple of its service time. It accounts for queueing, the batch
+// size and the cached part of the prompt.
 func Slowdown(c *routing.Candidate) float64 {
 	slots := float64(max(c.Slots, 1))
 	load := Load(c) + 1
 	waiting := max(load-slots, 0) / slots
 	busy := min(load/slots, 1)
-	return 1 + batchSlowdown*busy - cachedSaving*c.CachedShare + waiting
+	return 1 + batchSlowdown*busy - cacheSaving*c.CachedShare + waiting
 }
 
-// Load returns the estimated number of pieces of work on c, those of all
-// instances together.
+// Load returns the estimated number of requests on c from all instances together.
 func Load(c *routing.Candidate) float64 {
 	own := float64(c.InFlight)
-	alike := float64(c.Peers) * own
+	extrapolated := float64(c.Peers) * own
 	if c.ReportAge < 0 {
-		return own + alike
+		return own + extrapolated
 	}
-	since := own - float64(c.InFlightAtReport)
-	shown := max(float64(c.Reported-c.InFlightAtReport), 0)
+	sinceReport := own - float64(c.InFlightAtReport)
+	reported := max(float64(c.Reported-c.InFlightAtReport), 0)
 	if c.PoolLoad >= 0 {
 		mean := c.PoolLoad * float64(max(c.Slots, 1)*c.Peers) / float64(c.Peers+1)
-		shown = reportTrust*shown + (1-reportTrust)*mean
+		reported = reportWeight*reported + (1-reportWeight)*mean
 	}
-	others := max(shown+math.Sqrt(float64(c.Peers))*since, 0)
-	weight := 1 / (1 + float64(c.ReportAge)/float64(reportHalfLife))
-	return own + weight*others + (1-weight)*alike
+	others := max(reported+math.Sqrt(float64(c.Peers))*sinceReport, 0)
+	ageWeight := 1 / (1 + float64(c.ReportAge)/float64(reportHalfLife))
+	return own + ageWeight*others + (1-ageWeight)*extrapolated
 }
 
-func lastResort(candidates []routing.Candidate) routing.Choice {
+// chooseUnhealthy returns the candidate with the shortest expected time, ignoring
+// health.
+func chooseUnhealthy(candidates []routing.Candidate) routing.Choice {
 	best := 0
 	for i := range candidates {
 		if Expected(&candidates[i]) < Expected(&candidates[best]) {
--- a/internal/routing/speed/speed.go
+++ b/internal/routing/speed/speed.go
@@ -1,9 +1,10 @@
-// Package speed learns service times from finished work: one Estimate per
-// upstream and one per kind of accelerator. An upstream without samples is taken
-// to be as fast as its kind, and an estimate without new samples relaxes to its
-// kind, so that an upstream that became fast again is tried again.
+// Package speed estimates service times from completed requests, with one Estimate
+// per upstream and one per accelerator kind. An upstream without samples is
+// assumed to be as fast as its kind. An estimate that gets no new samples moves
+// back towards the estimate of its kind, so that an upstream that was slow and
+// has become fast again gets traffic again.
 //
-// The zero value of Estimate is ready for use. Reads and writes take no lock.
+// The zero value of Estimate is ready for use. Reads and writes are lock-free.
 package speed
 
 import (
@@ -13,17 +14,17 @@
 )
 
 const (
-	// weightOfSample is the weight of a new sample in the moving average.
-	weightOfSample = 0.2
-	// relaxTime is the time without samples after which an estimate has moved
-	// about two thirds of the way to its kind.
-	relaxTime = 30 * time.Second
+	// sampleWeight is the weight of a new sample in the exponential moving average.
+	sampleWeight = 0.2
+	// relaxTimeConstant is the time without samples after which an estimate has
+	// moved about two thirds of the way to the estimate of its kind.
+	relaxTimeConstant = 30 * time.Second
 )
 
-// Estimate is a moving average of a service time. It is safe for concurrent use
-// and must not be copied after first use.
+// Estimate is an exponential moving average of a service time. It is safe for
+// concurrent use and must not be copied after first use.
 type Estimate struct {
-	nanoseconds atomic.Uint64 // bits of a float64; 0 means no sample yet
+	nanoseconds atomic.Uint64 // float64 bits; 0 means that there is no sample yet
 }
 
 // Observe adds a sample.
@@ -36,7 +37,7 @@
 		next := float64(sample)
 		if old != 0 {
 			mean := math.Float64frombits(old)
-			next = mean + weightOfSample*(next-mean)
+			next = mean + sampleWeight*(next-mean)
 		}
 		if e.nanoseconds.CompareAndSwap(old, math.Float64bits(next)) {
 			return
@@ -44,19 +45,20 @@
 	}
 }
 
-// Relax moves the estimate towards kind for a time idle without samples.
+// Relax moves the estimate towards kind, the estimate of its accelerator kind,
+// after a time idle without samples.
 func (e *Estimate) Relax(kind, idle time.Duration) {
 	old := e.nanoseconds.Load()
 	if old == 0 || kind <= 0 || idle <= 0 {
 		return
 	}
 	mean := math.Float64frombits(old)
-	moved := 1 - math.Exp(-float64(idle)/float64(relaxTime))
-	// A sample that arrives at the same time wins.
-	e.nanoseconds.CompareAndSwap(old, math.Float64bits(mean+moved*(float64(kind)-mean)))
+	fraction := 1 - math.Exp(-float64(idle)/float64(relaxTimeConstant))
+	// If a sample is added concurrently, it takes precedence and the swap fails.
+	e.nanoseconds.CompareAndSwap(old, math.Float64bits(mean+fraction*(float64(kind)-mean)))
 }
 
-// Value returns the estimate, or zero without samples.
+// Value returns the estimate, or zero if there are no samples.
 func (e *Estimate) Value() time.Duration {
 	return time.Duration(math.Float64frombits(e.nanoseconds.Load()))
 }
--- a/internal/routing/twochoice/twochoice.go
+++ b/internal/routing/twochoice/twochoice.go
@@ -1,6 +1,7 @@
-// Package twochoice implements the routing baseline that draws two candidates
-// and takes the one with less work of this instance in flight per slot. The zero
-// value of Policy is ready for use.
+// Package twochoice implements the baseline routing policy known as the power of
+// two choices: it draws two candidates at random and selects the one with fewer
+// requests of this instance in flight per slot. The zero value of Policy is ready
+// for use.
 package twochoice
 
 import (
@@ -11,11 +12,11 @@
 
 // Policy implements routing.Chooser.
 type Policy struct {
-	// Uint64 is the source of randomness. Nil stands for math/rand/v2.
+	// Uint64 is the source of randomness. If it is nil, math/rand/v2 is used.
 	Uint64 func() uint64
 }
 
-// Choose returns the less loaded of two random candidates.
+// Choose implements routing.Chooser.
 func (p Policy) Choose(candidates []routing.Candidate) routing.Choice {
 	if len(candidates) == 0 {
 		return routing.Choice{Index: -1, Reason: "no candidate"}
