--- a/api/peer/v1/doc.go
+++ b/api/peer/v1/doc.go
@@ -1,3 +1,4 @@
-// Package peerv1 holds the messages and the gRPC service that daemons offer each
-// other. All files but this one are generated from peer.proto.
+// Package peerv1 defines the gRPC services between daemons, their messages, and the
+// format of stored journals. All Go files except this one are generated from the
+// .proto files.
 package peerv1
