--- a/internal/quorum/journal/disk.go
+++ b/internal/quorum/journal/disk.go
@@ -9,40 +9,41 @@
 	"github.com/pkg/errors"
 )
 
-// Disk is the access to files that a Journal needs. Tests replace it to make
+// Disk is the file system interface of a Journal. Tests replace it to make
 // writes and syncs fail.
 type Disk interface {
-	// MakeDir creates a directory with its parents, unless it exists.
+	// MakeDir creates a directory and its parents if they don't exist.
 	MakeDir(dir string) error
-	// List returns the names in a directory.
+	// List returns the names of the files in a directory.
 	List(dir string) ([]string, error)
-	// Read returns the content of a file, or an error that is os.ErrNotExist.
+	// Read returns the content of a file. If the file does not exist, the error
+	// wraps os.ErrNotExist.
 	Read(name string) ([]byte, error)
-	// Create creates or empties a file.
+	// Create creates a file or truncates an existing one.
 	Create(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncDir makes the names in a directory durable.
+	// SyncDir makes created, renamed and removed files of a directory durable.
 	SyncDir(dir string) error
-	// Lock keeps other processes out of a directory until the result is closed.
+	// Lock locks a directory against other processes until the result is closed.
 	Lock(dir string) (io.Closer, error)
 }
 
-// File is a file that is written from start to end.
+// File is a file that is written sequentially.
 type File interface {
 	io.Writer
 	io.Closer
-	// Sync makes what was written durable.
+	// Sync makes the written data durable.
 	Sync() error
 }
 
-// OS is the Disk of the operating system.
+// OS implements Disk with the file system of the operating system.
 type OS struct{}
 
-// MakeDir creates a directory that only the owner can read.
+// MakeDir creates a directory that only the owner can access.
 func (OS) MakeDir(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-// List returns the names in a directory in order.
+// List returns the names of the files in a directory, sorted.
 func (OS) List(dir string) ([]string, error) {
 	es, err := os.ReadDir(dir)
 	if err != nil {
@@ -58,12 +59,12 @@
 // Read returns the content of a file.
 func (OS) Read(name string) ([]byte, error) { return os.ReadFile(name) }
 
-// Create creates or empties a file that only the owner can read.
+// Create creates or truncates a file that only the owner can access.
 func (OS) Create(name string) (File, error) {
 	return os.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
-// Rename replaces to by from.
+// Rename renames a file and replaces an existing target.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
@@ -79,7 +80,8 @@
 	return f.Sync()
 }
 
-// Lock takes an advisory lock on a file in dir. The lock ends with the process.
+// Lock takes an advisory lock on the file "lock" in dir. The operating system
+// releases the lock when the process ends.
 func (OS) Lock(dir string) (io.Closer, error) {
 	f, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -92,8 +94,8 @@
 	return f, nil
 }
 
-// replaceFile writes a file under a temporary name, syncs it and renames it. It
-// returns the open file, at its end.
+// replaceFile atomically replaces a file: it writes the content under a temporary
+// name, syncs it and renames it. It returns the file open for appending.
 func replaceFile(d Disk, dir, name string, content []byte) (File, error) {
 	temporary := filepath.Join(dir, name+temporarySuffix)
 	f, err := d.Create(temporary)
--- a/internal/quorum/journal/frame.go
+++ b/internal/quorum/journal/frame.go
@@ -11,20 +11,20 @@
 	peerv1 "github.com/bilberryrock/bilberryrock/api/peer/v1"
 )
 
-// A frame is a magic number, the length of its payload as 4 bytes, the xxHash of
-// the payload as 8 bytes, both in little-endian order, and the payload.
+// magic starts every frame. It is followed by the payload length (4 bytes) and
+// the xxHash of the payload (8 bytes), both little-endian, and the payload.
 var magic = []byte("\xb1bR\x01")
 
-const frameHeader = 16 // bytes
+const frameHeaderSize = 16 // bytes
 
-// CorruptError tells that stored data is damaged or missing.
+// CorruptError reports that stored data is damaged or missing.
 type CorruptError struct {
 	File   string
 	Offset int64
 	Reason string
 }
 
-// Error names the file, the offset in bytes and the reason.
+// Error returns a message with the file, the offset in bytes and the reason.
 func (e *CorruptError) Error() string {
 	return fmt.Sprintf("%s is corrupt at offset %d: %s", e.File, e.Offset, e.Reason)
 }
@@ -40,31 +40,32 @@
 	return append(b, payload...), nil
 }
 
-// readFrame returns the payload at the start of b, and the length of the frame.
-// A length of 0 means that there is no whole frame.
+// readFrame returns the payload of the frame at the start of b and the length of
+// the whole frame in bytes. The length is 0 if the frame is truncated or damaged.
 func readFrame(b []byte) (payload []byte, n int) {
-	if len(b) < frameHeader || !bytes.HasPrefix(b, magic) {
+	if len(b) < frameHeaderSize || !bytes.HasPrefix(b, magic) {
 		return nil, 0
 	}
 	size := uint64(binary.LittleEndian.Uint32(b[4:]))
-	if size > uint64(len(b)-frameHeader) {
+	if size > uint64(len(b)-frameHeaderSize) {
 		return nil, 0
 	}
-	payload = b[frameHeader : frameHeader+size]
+	payload = b[frameHeaderSize : frameHeaderSize+size]
 	if xxhash.Sum64(payload) != binary.LittleEndian.Uint64(b[8:]) {
 		return nil, 0
 	}
-	return payload, frameHeader + int(size)
+	return payload, frameHeaderSize + int(size)
 }
 
-// readWhole decodes a file that consists of one frame.
-func readWhole(name string, b []byte, m proto.Message) error {
+// decodeFile decodes the content b of the file name, which must be exactly one
+// frame, into m.
+func decodeFile(name string, b []byte, m proto.Message) error {
 	payload, n := readFrame(b)
 	if n == 0 || n != len(b) {
 		return &CorruptError{File: name, Reason: "checksum or length does not match"}
 	}
 	if err := proto.Unmarshal(payload, m); err != nil {
-		return &CorruptError{File: name, Offset: frameHeader, Reason: err.Error()}
+		return &CorruptError{File: name, Offset: frameHeaderSize, Reason: err.Error()}
 	}
 	return nil
 }
@@ -81,9 +82,9 @@
 	return &r, n
 }
 
-// syncedAfter reports whether a record after the damaged one at offset proves
-// that the damaged one was synced.
-func syncedAfter(b []byte, offset int, segment uint64) bool {
+// provenSynced reports whether a later record proves that the damaged record at
+// offset had been synced.
+func provenSynced(b []byte, offset int, segment uint64) bool {
 	for i := offset + 1; i < len(b); i++ {
 		k := bytes.Index(b[i:], magic)
 		if k < 0 {
--- a/internal/quorum/journal/identity.go
+++ b/internal/quorum/journal/identity.go
@@ -13,33 +13,33 @@
 
 const identityName = "identity"
 
-// FolderID tells one data folder from all others, also of the same instance.
+// FolderID identifies a data folder. An instance that lost its folder gets a new
+// FolderID.
 type FolderID uint64
 
-// Identity is what a data folder knows about itself.
+// Identity is the stored identity of a data folder.
 type Identity struct {
-	// Folder is random. It is 0 in a folder that was never used.
+	// Folder is a random number. It is 0 in a folder that was never used.
 	Folder FolderID
-	// Voter is the id under which the folder takes part, or 0 while it is not
-	// known.
+	// Voter is the voter ID of the replicas in the folder, or 0 until it is known.
 	Voter quorum.VoterID
-	// Folders are the folders that were first seen under the ids of the initial
-	// voters.
+	// Folders maps the IDs of the initial voters to the data folders that first
+	// claimed them.
 	Folders map[quorum.VoterID]FolderID
-	// Replaced tells that the folder took a new id, because the one in the
+	// Replaced is set if the folder got a new voter ID because the ID in the
 	// settings belongs to a lost folder.
 	Replaced bool
-	// Initial are the first members of all groups. It is empty in a folder that
-	// joined later.
+	// Initial holds the initial members, which are the same in all groups. It is
+	// empty in a folder that joined later.
 	Initial []replica.Voter
-	// Groups are the groups whose journals were created in the folder.
+	// Groups lists the groups whose journals were created in the folder.
 	Groups []quorum.GroupID
-	// Damage says why the folder must not be used any more, or is empty.
+	// Damage is the reason why the folder must no longer be used, or empty.
 	Damage string
 }
 
-// LoadIdentity reads the identity of a data folder. The zero value means that
-// there is none.
+// LoadIdentity reads the identity of a data folder. It returns the zero value if
+// none is stored.
 func LoadIdentity(d Disk, dir string) (Identity, error) {
 	name := filepath.Join(dir, identityName)
 	b, err := d.Read(name)
@@ -50,7 +50,7 @@
 		return Identity{}, errors.Wrap(err, "identity")
 	}
 	var p peerv1.JournalIdentity
-	if err := readWhole(name, b, &p); err != nil {
+	if err := decodeFile(name, b, &p); err != nil {
 		return Identity{}, err
 	}
 	id := Identity{
@@ -71,7 +71,7 @@
 	return id, nil
 }
 
-// SaveIdentity replaces the identity of a data folder and syncs it.
+// SaveIdentity replaces the stored identity of a data folder and syncs it.
 func SaveIdentity(d Disk, dir string, id Identity) error {
 	p := &peerv1.JournalIdentity{
 		Folder: uint64(id.Folder), Voter: uint64(id.Voter),
--- a/internal/quorum/journal/journal.go
+++ b/internal/quorum/journal/journal.go
@@ -2,35 +2,35 @@
 // directory.
 //
 //	j, stored, err := journal.Open(journal.OS{}, dir)
-//	err = j.Save(state, entries)        // returns once both are synced
-//	p, err := j.Prepare(snapshot)
+//	err = j.Save(state, entries) // returns once both are synced
+//	p, err := j.PrepareSnapshot(snapshot)
 //	err = j.Compact(p, retained) // replaces the log before the snapshot
 //
-// The log is a chain of segment files. A record holds a state and entries under
-// one checksum, the number of its segment and the length of the segment that was
-// synced before. Snapshots, identity and new segments are written under
-// temporary names, synced and renamed.
+// The log is a chain of segment files. Each record has one checksum and holds a
+// state, entries, the number of its segment, and the length of the segment that
+// had been synced when the record was written. Snapshots, the identity and new
+// segments are written under temporary names, synced and renamed.
 //
-// Open detects these faults and returns a *CorruptError with file and offset:
-// a damaged record followed by a proof that it was synced, a damaged snapshot or
-// identity, a missing segment or snapshot, a log that does not reach its
-// snapshot, and entries that replace committed ones. A damaged tail without such
-// a proof is what a crash leaves of a write that was never acknowledged; Open
-// drops it. After each sync the journal writes a mark as proof, but does not sync
-// the mark itself.
+// Open detects the following faults and returns a *CorruptError with file and
+// offset: a damaged record that a later record proves to have been synced, a
+// damaged snapshot or identity, a missing segment or snapshot, a log that ends
+// before its snapshot, and entries that replace committed ones. A damaged tail
+// without such a proof is the remainder of an unacknowledged write that a crash
+// interrupted; Open drops it. After each sync the journal appends a marker record
+// as proof, but does not sync the marker itself.
 //
-// Open can't detect that the whole directory was put back to an older state,
-// that the newest segment was cut at a record boundary, that a disk dropped the
-// newest records although it had acknowledged their sync, or damage to the newest
-// record when a power loss also took the mark after it. A leader notices such a
-// voter when its log is shorter than what it acknowledged to that leader
-// (replica.LostError). Nobody notices when that leader is gone before the voter
-// returns.
+// Open can't detect that the whole directory was restored to an older state, that
+// the newest segment was truncated at a record boundary, that a disk lost the
+// newest records after it had acknowledged their sync, or that the newest record
+// is damaged if a power loss also removed the marker after it. A leader detects
+// such a voter when the voter's log is shorter than what it acknowledged to that
+// leader (replica.LostEntriesError). The fault goes undetected if that leader has
+// lost its leadership before the voter returns.
 //
-// When a write or sync fails, the state of the file is unknown: the journal then
-// refuses further use until it is opened again. Open copies what it read to a
-// new segment and syncs it, because pages that the system failed to write may
-// still be readable.
+// After a failed write or sync the content of the file is unknown, so the journal
+// rejects further use until it is opened again. Open copies what it read to a new
+// segment and syncs it, because pages that the operating system failed to write
+// may still be readable from its cache.
 package journal
 
 import (
@@ -48,32 +48,32 @@
 	installedName   = "snapshot.installed"
 	temporarySuffix = ".tmp"
 	segmentSuffix   = ".log"
-	segmentBytes    = 16 << 20
+	segmentBytes    = 16 << 20 // size at which a new segment is started
 )
 
-// Stored is what a journal held when it was opened.
+// Stored is the content of a journal when it was opened.
 type Stored struct {
 	State    replica.State
 	Snapshot replica.Snapshot
-	// Entries may start before the end of Snapshot.
+	// Entries may include entries that Snapshot already covers.
 	Entries []replica.Entry
-	// Dropped is the length in bytes of the unsynced tail that was dropped.
-	Dropped int
+	// DroppedBytes is the length of the unsynced tail that was dropped.
+	DroppedBytes int
 }
 
 // Journal appends to the log in a directory. It is not safe for concurrent use.
 type Journal struct {
 	disk    Disk
 	dir     string
-	segment uint64
-	file    File
-	size    uint64
-	synced  uint64
+	segment uint64 // number of the current segment
+	file    File   // the current segment
+	size    uint64 // bytes in the current segment
+	synced  uint64 // bytes of the current segment that are synced
 	state   replica.State
-	failure error
+	failure error // set when the journal can no longer be used
 }
 
-// Open reads the journal in dir, or starts an empty one.
+// Open reads the journal in dir, or creates an empty one.
 func Open(d Disk, dir string) (*Journal, Stored, error) {
 	if err := d.MakeDir(dir); err != nil {
 		return nil, Stored{}, errors.Wrap(err, "journal")
@@ -90,24 +90,24 @@
 }
 
 // Save appends the state and entries and syncs them. The first entry replaces
-// those at and after its index.
+// all stored entries from its index on.
 func (j *Journal) Save(st replica.State, es []replica.Entry) error {
 	if j.failure != nil {
 		return j.failure
 	}
 	j.state = st
 	r := &peerv1.JournalRecord{State: stateToProto(st), Entries: entriesToProto(es)}
-	if err := j.write(r); err != nil {
+	if err := j.appendRecord(r); err != nil {
 		return j.fail(err)
 	}
 	if err := j.file.Sync(); err != nil {
 		return j.fail(err)
 	}
 	j.synced = j.size
-	// The mark proves that the record before it was synced. It needs no sync of
-	// its own: after a kill it is in the page cache, after a power loss the next
-	// record serves as proof.
-	if err := j.write(&peerv1.JournalRecord{}); err != nil {
+	// This empty marker record proves that the record before it was synced. The
+	// marker needs no sync: if the process is killed, the marker is in the page
+	// cache; after a power loss, the next record serves as proof.
+	if err := j.appendRecord(&peerv1.JournalRecord{}); err != nil {
 		return j.fail(err)
 	}
 	if j.size >= segmentBytes {
@@ -116,43 +116,45 @@
 	return nil
 }
 
-// Prepared is a snapshot that is stored, but not in force yet.
+// Prepared is a snapshot that is stored but does not replace the log yet.
 type Prepared struct {
 	Snapshot replica.Snapshot
 	name     string
 }
 
-// Prepare stores a snapshot of the own state machine under a temporary name. It
-// may run while other methods are called, so that a large snapshot does not hold
-// up the log.
+// Prepare stores a snapshot of the local state machine under a temporary name. It
+// may run concurrently with other methods, so that a large snapshot does not
+// block the log.
 func (j *Journal) Prepare(s replica.Snapshot) (Prepared, error) {
-	return j.prepare(s, preparedName, false)
+	return j.writeSnapshot(s, preparedName, false)
 }
 
-// Compact puts a prepared snapshot in force and drops all entries but the retained
-// ones, which must reach from the snapshot or before to the end of the log.
+// Compact makes a prepared snapshot the current one and drops all entries except
+// the retained ones, which must extend from the snapshot or earlier to the end of
+// the log.
 func (j *Journal) Compact(p Prepared, retained []replica.Entry) error {
 	base := position{p.Snapshot.Index, p.Snapshot.Term}
 	if len(retained) > 0 {
 		base = position{index: retained[0].Index - 1}
 	}
-	return j.replace(p, base, retained)
+	return j.activateSnapshot(p, base, retained)
 }
 
-// Install stores a snapshot in place of the whole log, and the state with it.
+// Install replaces the whole log with a snapshot from the leader and stores the
+// state.
 func (j *Journal) Install(s replica.Snapshot, st replica.State) error {
 	if j.failure != nil {
 		return j.failure
 	}
 	j.state = st
-	p, err := j.prepare(s, installedName, true)
+	p, err := j.writeSnapshot(s, installedName, true)
 	if err != nil {
 		return j.fail(err)
 	}
-	return j.replace(p, position{s.Index, s.Term}, nil)
+	return j.activateSnapshot(p, position{s.Index, s.Term}, nil)
 }
 
-// Close closes the file. Everything saved is synced already.
+// Close closes the current segment. All saved data is synced already.
 func (j *Journal) Close() error {
 	j.failure = errors.New("journal is closed")
 	if j.file == nil {
@@ -161,7 +163,7 @@
 	return j.file.Close()
 }
 
-func (j *Journal) prepare(s replica.Snapshot, name string, installed bool) (Prepared, error) {
+func (j *Journal) writeSnapshot(s replica.Snapshot, name string, installed bool) (Prepared, error) {
 	content, err := appendFrame(nil, &peerv1.JournalSnapshot{Snapshot: replica.SnapshotToProto(&s), Installed: installed})
 	if err != nil {
 		return Prepared{}, err
@@ -173,7 +175,9 @@
 	return Prepared{Snapshot: s, name: name}, f.Close()
 }
 
-func (j *Journal) replace(p Prepared, base position, retained []replica.Entry) error {
+// activateSnapshot makes a prepared snapshot the current one and starts a segment
+// that holds the retained entries.
+func (j *Journal) activateSnapshot(p Prepared, base position, retained []replica.Entry) error {
 	if j.failure != nil {
 		return j.failure
 	}
@@ -190,9 +194,9 @@
 	return nil
 }
 
-// rebase starts a segment that replaces all segments before it.
+// rebase starts a segment that replaces all earlier segments, and removes them.
 func (j *Journal) rebase(base position, es []replica.Entry) error {
-	err := j.start(&peerv1.JournalRecord{
+	err := j.startSegment(&peerv1.JournalRecord{
 		Base:  &peerv1.JournalBase{Index: uint64(base.index), Term: uint64(base.term)},
 		State: stateToProto(j.state), Entries: entriesToProto(es),
 	})
@@ -202,19 +206,20 @@
 	return j.removeBefore(j.segment)
 }
 
-// rotate starts the next segment.
+// rotate syncs the current segment, so that its length is final, and starts the
+// next one.
 func (j *Journal) rotate() error {
 	if err := j.file.Sync(); err != nil {
 		return j.fail(err)
 	}
-	err := j.start(&peerv1.JournalRecord{State: stateToProto(j.state), PreviousBytes: j.size})
+	err := j.startSegment(&peerv1.JournalRecord{State: stateToProto(j.state), PreviousBytes: j.size})
 	if err != nil {
 		return j.fail(err)
 	}
 	return nil
 }
 
-func (j *Journal) start(first *peerv1.JournalRecord) error {
+func (j *Journal) startSegment(first *peerv1.JournalRecord) error {
 	first.Segment = j.segment + 1
 	content, err := appendFrame(nil, first)
 	if err != nil {
@@ -235,7 +240,7 @@
 }
 
 func (j *Journal) removeBefore(segment uint64) error {
-	numbers, err := segments(j.disk, j.dir)
+	numbers, err := listSegments(j.disk, j.dir)
 	if err != nil {
 		return err
 	}
@@ -250,7 +255,7 @@
 	return j.disk.SyncDir(j.dir)
 }
 
-func (j *Journal) write(r *peerv1.JournalRecord) error {
+func (j *Journal) appendRecord(r *peerv1.JournalRecord) error {
 	r.Segment = j.segment
 	r.Synced = j.synced
 	b, err := appendFrame(nil, r)
@@ -264,8 +269,8 @@
 	return nil
 }
 
-// fail makes the journal refuse further use. A retried sync may succeed without
-// having written the pages of the failed one.
+// fail makes the journal reject further use. A retried sync may report success
+// although the pages of the failed sync were never written.
 func (j *Journal) fail(err error) error {
 	j.failure = errors.Wrapf(err, "journal %s failed and can't be used any more", j.dir)
 	return j.failure
--- a/internal/quorum/journal/load.go
+++ b/internal/quorum/journal/load.go
@@ -14,30 +14,33 @@
 	"github.com/pkg/errors"
 )
 
-// position names an entry. The term may be 0 when it is not needed.
+// position identifies a log entry. The term may be 0 where it is not needed.
 type position struct {
 	index quorum.Index
 	term  quorum.Term
 }
 
-type loaded struct {
+// recoveredLog is the log as read from the segments so far. Entries start after
+// base.
+type recoveredLog struct {
 	Stored
 	base position
 }
 
+// segment is the content of one segment file.
 type segment struct {
-	number  uint64
-	name    string
-	records []*peerv1.JournalRecord
-	offsets []int64
-	size    int
-	dropped int
+	number       uint64
+	name         string
+	records      []*peerv1.JournalRecord
+	offsets      []int64 // of the records, in bytes
+	size         int     // bytes
+	droppedBytes int     // length of the damaged tail
 }
 
-// load reads a directory and returns what it holds, and the number of its last
-// segment.
-func load(d Disk, dir string) (loaded, uint64, error) {
-	var l loaded
+// load reads the journal in a directory. It returns its content and the number
+// of its last segment.
+func load(d Disk, dir string) (recoveredLog, uint64, error) {
+	var l recoveredLog
 	s, err := loadSnapshot(d, dir)
 	if err != nil {
 		return l, 0, err
@@ -55,14 +58,14 @@
 	if err := checkChain(dir, list); err != nil {
 		return l, 0, err
 	}
-	if err := l.replay(list); err != nil {
+	if err := l.replaySegments(list); err != nil {
 		return l, 0, err
 	}
 	last := list[len(list)-1]
-	if err := l.join(last, s.GetInstalled()); err != nil {
+	if err := l.reconcileSnapshot(last, s.GetInstalled()); err != nil {
 		return l, 0, err
 	}
-	l.Dropped = last.dropped
+	l.DroppedBytes = last.droppedBytes
 	return l, last.number, nil
 }
 
@@ -76,13 +79,14 @@
 		return nil, errors.Wrap(err, "journal")
 	}
 	var s peerv1.JournalSnapshot
-	return &s, readWhole(name, b, &s)
+	return &s, decodeFile(name, b, &s)
 }
 
-// loadSegments reads the segments from the newest one that replaces all before
-// it. Older ones are left over from a crash, and their tails may be damaged.
+// loadSegments reads the segments from the newest one that replaces all earlier
+// ones. The earlier ones were left behind by a crash, and their tails may be
+// damaged.
 func loadSegments(d Disk, dir string) ([]segment, error) {
-	numbers, err := segments(d, dir)
+	numbers, err := listSegments(d, dir)
 	if err != nil {
 		return nil, errors.Wrap(err, "journal")
 	}
@@ -98,14 +102,14 @@
 			return list, nil
 		}
 		if i == 0 || numbers[i-1] != numbers[i]-1 {
-			return nil, missing(dir, numbers[i]-1)
+			return nil, missingSegment(dir, numbers[i]-1)
 		}
 	}
 	return nil, nil
 }
 
 // loadSegment reads the records of one segment. Only the last segment may end
-// with a damaged record, and only if nothing proves that it was synced.
+// with a damaged record, and only if no later record proves that it was synced.
 func loadSegment(d Disk, dir string, number uint64, last bool) (segment, error) {
 	s := segment{number: number, name: filepath.Join(dir, segmentName(number))}
 	b, err := d.Read(s.name)
@@ -116,10 +120,10 @@
 	for offset := 0; offset < len(b); {
 		r, n := readRecord(b[offset:], number)
 		if n == 0 {
-			if offset == 0 || !last || syncedAfter(b, offset, number) {
+			if offset == 0 || !last || provenSynced(b, offset, number) {
 				return s, &CorruptError{File: s.name, Offset: int64(offset), Reason: "damaged record in the synced part"}
 			}
-			s.dropped = len(b) - offset
+			s.droppedBytes = len(b) - offset
 			break
 		}
 		if r.GetSynced() > uint64(offset) {
@@ -135,7 +139,8 @@
 	return s, nil
 }
 
-// checkChain checks that no segment lost its end.
+// checkChain checks that no segment but the last was truncated: each segment
+// records the length of the previous one.
 func checkChain(dir string, list []segment) error {
 	if len(list) == 0 {
 		return &CorruptError{File: dir, Reason: "there is a snapshot, but all segments are missing"}
@@ -151,10 +156,10 @@
 	return nil
 }
 
-func (l *loaded) replay(list []segment) error {
+func (l *recoveredLog) replaySegments(list []segment) error {
 	for _, s := range list {
 		for i, r := range s.records {
-			if err := l.apply(r); err != nil {
+			if err := l.applyRecord(r); err != nil {
 				return &CorruptError{File: s.name, Offset: s.offsets[i], Reason: err.Error()}
 			}
 		}
@@ -162,13 +167,13 @@
 	return nil
 }
 
-func (l *loaded) apply(r *peerv1.JournalRecord) error {
+func (l *recoveredLog) applyRecord(r *peerv1.JournalRecord) error {
 	if b := r.GetBase(); b != nil {
 		l.base = position{quorum.Index(b.GetIndex()), quorum.Term(b.GetTerm())}
 		l.Entries = nil
 	}
 	for _, p := range r.GetEntries() {
-		if err := l.append(replica.EntryFromProto(p)); err != nil {
+		if err := l.appendEntry(replica.EntryFromProto(p)); err != nil {
 			return err
 		}
 	}
@@ -177,17 +182,17 @@
 			Term: quorum.Term(p.GetTerm()), Vote: quorum.VoterID(p.GetVote()), Commit: quorum.Index(p.GetCommit()),
 		}
 		if st.Term < l.State.Term || st.Commit < l.State.Commit {
-			return errors.Errorf("term %d and commit index %d are older than those before", st.Term, st.Commit)
+			return errors.Errorf("term %d or commit index %d is lower than in an earlier record", st.Term, st.Commit)
 		}
 		l.State = st
 	}
 	return nil
 }
 
-func (l *loaded) append(e replica.Entry) error {
+func (l *recoveredLog) appendEntry(e replica.Entry) error {
 	last := l.base.index + quorum.Index(len(l.Entries))
 	if e.Index <= l.base.index || e.Index > last+1 {
-		return errors.Errorf("entry %d follows entry %d", e.Index, last)
+		return errors.Errorf("log is not contiguous: entry %d follows entry %d", e.Index, last)
 	}
 	k := e.Index - l.base.index - 1
 	if e.Index <= l.State.Commit && e.Index <= last && l.Entries[k].Term != e.Term {
@@ -197,10 +202,11 @@
 	return nil
 }
 
-// join checks that the log and the snapshot fit together. A log that ends before
-// an installed snapshot or differs from it was to be replaced when the process
-// ended. A snapshot of the own state machine never goes beyond the log.
-func (l *loaded) join(last segment, installed bool) error {
+// reconcileSnapshot checks the log against the snapshot. A log that ends before
+// an installed snapshot or conflicts with it is discarded, because the process
+// ended before it replaced the log. A snapshot of the local state machine must
+// not extend beyond the log.
+func (l *recoveredLog) reconcileSnapshot(last segment, installed bool) error {
 	s := l.Snapshot
 	end := l.base.index + quorum.Index(len(l.Entries))
 	if l.base.index > s.Index {
@@ -211,7 +217,7 @@
 	}
 	if end < s.Index && !installed {
 		return &CorruptError{
-			File: last.name, Offset: int64(last.size - last.dropped),
+			File: last.name, Offset: int64(last.size - last.droppedBytes),
 			Reason: fmt.Sprintf("log ends at entry %d before its snapshot at entry %d", end, s.Index),
 		}
 	}
@@ -224,15 +230,15 @@
 	l.State.Commit = max(l.State.Commit, s.Index)
 	if l.State.Commit > end {
 		return &CorruptError{
-			File: last.name, Offset: int64(last.size - last.dropped),
+			File: last.name, Offset: int64(last.size - last.droppedBytes),
 			Reason: fmt.Sprintf("log ends at entry %d before the commit index %d", end, l.State.Commit),
 		}
 	}
 	return nil
 }
 
-// segments returns the numbers of the segments in order.
-func segments(d Disk, dir string) ([]uint64, error) {
+// listSegments returns the segment numbers in a directory, sorted.
+func listSegments(d Disk, dir string) ([]uint64, error) {
 	names, err := d.List(dir)
 	if err != nil {
 		return nil, err
@@ -253,6 +259,6 @@
 	return numbers, nil
 }
 
-func missing(dir string, number uint64) error {
+func missingSegment(dir string, number uint64) error {
 	return &CorruptError{File: filepath.Join(dir, segmentName(number)), Reason: "segment is missing"}
 }
--- a/internal/quorum/quorumtest/disk.go
+++ b/internal/quorum/quorumtest/disk.go
@@ -12,17 +12,16 @@
 	"github.com/pkg/errors"
 )
 
-// Disk is a journal.Disk in memory that tells synced from unsynced content, so
-// that a test can play power losses and faulty disks. It is safe for concurrent
-// use.
+// Disk is a journal.Disk in memory that distinguishes synced from unsynced content,
+// to simulate power losses and faulty disks. It is safe for concurrent use.
 type Disk struct {
 	mu sync.Mutex
-	// names are the directory entries as processes see them, durable as a power
-	// loss leaves them.
-	names, durable map[string]*content
-	failSyncs      int
-	failAfter      int // operations until all fail, or -1
-	lying          bool
+	// visible holds the directory entries as processes see them, durable those that
+	// survive a power loss.
+	visible, durable map[string]*content
+	failSyncs        int
+	failAfter        int // number of changes until all further ones fail, or -1
+	ignoreSyncs      bool
 }
 
 type content struct {
@@ -30,19 +29,19 @@
 	synced int // bytes
 }
 
-type handle struct {
+type openFile struct {
 	disk *Disk
 	file *content
 }
 
 var _ journal.Disk = (*Disk)(nil)
 
-// ErrDisk is the error of a sync that FailSyncs made fail.
+// ErrDisk is the error of operations that FailSyncs or FailAfter made fail.
 var ErrDisk = errors.New("input/output error")
 
 // NewDisk returns an empty Disk.
 func NewDisk() *Disk {
-	return &Disk{names: make(map[string]*content), durable: make(map[string]*content), failAfter: -1}
+	return &Disk{visible: make(map[string]*content), durable: make(map[string]*content), failAfter: -1}
 }
 
 // FailSyncs makes the next n syncs of files fail.
@@ -52,16 +51,16 @@
 	d.failSyncs = n
 }
 
-// FailAfter makes all changes fail after the next n, as if the process had ended
-// there. A negative n ends this.
+// FailAfter makes all changes after the next n fail, as if the process had ended
+// there. A negative n removes the limit.
 func (d *Disk) FailAfter(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failAfter = n
 }
 
-// change counts an operation and reports whether it fails.
-func (d *Disk) change() error {
+// injectFault counts a change. It returns ErrDisk if FailAfter makes it fail.
+func (d *Disk) injectFault() error {
 	if d.failAfter == 0 {
 		return ErrDisk
 	}
@@ -71,72 +70,72 @@
 	return nil
 }
 
-// Lie makes syncs report success without doing anything, until it is called
-// with false.
+// Lie sets whether syncs report success without making anything durable.
 func (d *Disk) Lie(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lying = on
+	d.ignoreSyncs = on
 }
 
-// PowerLoss drops what was not synced, except for a random part of the tail of
-// each file.
+// PowerLoss drops unsynced content, except for the start of the unsynced tail of
+// each file, whose length is random.
 func (d *Disk) PowerLoss(random *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.names = make(map[string]*content)
+	d.visible = make(map[string]*content)
 	for _, name := range sortedKeys(d.durable) {
 		c := d.durable[name]
 		kept := c.synced + random.IntN(len(c.data)-c.synced+1)
 		c = &content{data: slices.Clone(c.data[:kept]), synced: kept}
-		d.names[name], d.durable[name] = c, c
+		d.visible[name], d.durable[name] = c, c
 	}
 }
 
-// Wipe removes everything.
+// Wipe removes all files.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.names, d.durable = make(map[string]*content), make(map[string]*content)
+	d.visible, d.durable = make(map[string]*content), make(map[string]*content)
 }
 
-// Copy returns a Disk with the same durable content.
+// Copy returns a new Disk that holds the durable content of d.
 func (d *Disk) Copy() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	to := NewDisk()
+	result := NewDisk()
 	for name, c := range d.durable {
-		n := &content{data: slices.Clone(c.data[:c.synced]), synced: c.synced}
-		to.names[name], to.durable[name] = n, n
+		copied := &content{data: slices.Clone(c.data[:c.synced]), synced: c.synced}
+		result.visible[name], result.durable[name] = copied, copied
 	}
-	return to
+	return result
 }
 
-// Edit replaces the content of a file, as a fault of the medium does.
+// Edit replaces the synced content of a file with the result of f, to simulate a
+// media fault.
 func (d *Disk) Edit(name string, f func([]byte) []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.names[name]
+	c := d.visible[name]
 	c.data = f(slices.Clone(c.data))
 	c.synced = len(c.data)
 }
 
-// Files returns the names of all files in order.
+// Files returns the names of all files, sorted.
 func (d *Disk) Files() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return sortedKeys(d.names)
+	return sortedKeys(d.visible)
 }
 
-// MakeDir does nothing: directories need not exist.
+// MakeDir does nothing: files can be created without their directory.
 func (d *Disk) MakeDir(string) error { return nil }
 
-// List returns the names in a directory in order.
+// List returns the names of the files in a directory, sorted.
 func (d *Disk) List(dir string) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var names []string
-	for _, name := range sortedKeys(d.names) {
+	for _, name := range sortedKeys(d.visible) {
 		if filepath.Dir(name) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(name))
 		}
@@ -148,38 +147,38 @@
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c, ok := d.names[filepath.Clean(name)]
+	c, ok := d.visible[filepath.Clean(name)]
 	if !ok {
 		return nil, &os.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
 	}
 	return slices.Clone(c.data), nil
 }
 
-// Create creates or empties a file.
+// Create creates a file or truncates an existing one.
 func (d *Disk) Create(name string) (journal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+	if err := d.injectFault(); err != nil {
 		return nil, err
 	}
 	c := &content{}
-	d.names[filepath.Clean(name)] = c
-	return &handle{disk: d, file: c}, nil
+	d.visible[filepath.Clean(name)] = c
+	return &openFile{disk: d, file: c}, nil
 }
 
-// Rename replaces to by from.
+// Rename renames a file and replaces an existing target.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+	if err := d.injectFault(); err != nil {
 		return err
 	}
-	c, ok := d.names[filepath.Clean(from)]
+	c, ok := d.visible[filepath.Clean(from)]
 	if !ok {
 		return &os.PathError{Op: "rename", Path: from, Err: os.ErrNotExist}
 	}
-	d.names[filepath.Clean(to)] = c
-	delete(d.names, filepath.Clean(from))
+	d.visible[filepath.Clean(to)] = c
+	delete(d.visible, filepath.Clean(from))
 	return nil
 }
 
@@ -187,30 +186,30 @@
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+	if err := d.injectFault(); err != nil {
 		return err
 	}
-	delete(d.names, filepath.Clean(name))
+	delete(d.visible, filepath.Clean(name))
 	return nil
 }
 
-// SyncDir makes the names in a directory durable.
+// SyncDir makes created, renamed and removed files of a directory durable.
 func (d *Disk) SyncDir(dir string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+	if err := d.injectFault(); err != nil {
 		return err
 	}
-	if d.lying {
+	if d.ignoreSyncs {
 		return nil
 	}
 	dir = filepath.Clean(dir)
 	for name := range d.durable {
-		if filepath.Dir(name) == dir && d.names[name] == nil {
+		if filepath.Dir(name) == dir && d.visible[name] == nil {
 			delete(d.durable, name)
 		}
 	}
-	for name, c := range d.names {
+	for name, c := range d.visible {
 		if filepath.Dir(name) == dir {
 			d.durable[name] = c
 		}
@@ -218,36 +217,36 @@
 	return nil
 }
 
-// Lock does not lock: one process uses the Disk.
+// Lock does nothing, because only one process uses the Disk.
 func (d *Disk) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-func (h *handle) Write(b []byte) (int, error) {
+func (h *openFile) Write(b []byte) (int, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
-	if err := h.disk.change(); err != nil {
+	if err := h.disk.injectFault(); err != nil {
 		return 0, err
 	}
 	h.file.data = append(h.file.data, b...)
 	return len(b), nil
 }
 
-func (h *handle) Sync() error {
+func (h *openFile) Sync() error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
-	if err := h.disk.change(); err != nil {
+	if err := h.disk.injectFault(); err != nil {
 		return err
 	}
 	if h.disk.failSyncs > 0 {
 		h.disk.failSyncs--
 		return ErrDisk
 	}
-	if !h.disk.lying {
+	if !h.disk.ignoreSyncs {
 		h.file.synced = len(h.file.data)
 	}
 	return nil
 }
 
-func (h *handle) Close() error { return nil }
+func (h *openFile) Close() error { return nil }
 
 func sortedKeys(m map[string]*content) []string {
 	names := make([]string, 0, len(m))
--- a/internal/quorum/quorumtest/quorumtest.go
+++ b/internal/quorum/quorumtest/quorumtest.go
@@ -1,12 +1,12 @@
-// Package quorumtest holds a quorum.Proposer that applies commands in process,
-// for tests and for a daemon that runs alone.
+// Package quorumtest provides implementations of quorum.Proposer and journal.Disk
+// for tests. A Proposer applies commands in process, without replication:
 //
 //	p := quorumtest.New()
 //	p.Register(quorum.ConfigGroup, machine)
 //	reply, err := p.Propose(ctx, quorum.ConfigGroup, command)
 //
-// Fail makes the next calls return errors, with or without applying the command,
-// so that a test can play a leader change or a lost reply.
+// InjectFaults makes the next calls return errors, with or without applying the
+// command, to simulate a leader change or a lost reply.
 package quorumtest
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// Proposer applies commands to state machines in the calling goroutine, one
-// command of a group at a time. It is safe for concurrent use.
+// Proposer applies commands to state machines in the calling goroutine, one command
+// at a time. It is safe for concurrent use.
 type Proposer struct {
 	mu     sync.Mutex
 	groups map[quorum.GroupID]*group
@@ -34,7 +34,7 @@
 type Fault struct {
 	// Err is returned in place of the reply.
 	Err error
-	// Applied tells that the command is applied all the same.
+	// Applied is set if the command is applied nevertheless.
 	Applied bool
 }
 
@@ -52,9 +52,9 @@
 	p.groups[id] = &group{machine: m}
 }
 
-// Fail makes the next calls of Propose for a group end with the given faults,
-// one call each.
-func (p *Proposer) Fail(id quorum.GroupID, faults ...Fault) {
+// InjectFaults adds faults to the next calls of Propose for a group, one fault per
+// call.
+func (p *Proposer) InjectFaults(id quorum.GroupID, faults ...Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g := p.groups[id]
@@ -94,7 +94,7 @@
 
 func (p *Proposer) group(ctx context.Context, id quorum.GroupID) (*group, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, refusal.Because(refusal.NotReady, err, "group %q was not asked", id)
+		return nil, refusal.Because(refusal.NotReady, err, "group %q did not receive the request", id)
 	}
 	g, ok := p.groups[id]
 	if !ok {
@@ -103,6 +103,7 @@
 	return g, nil
 }
 
+// nextFault removes and returns the first injected fault, or the zero value.
 func (g *group) nextFault() Fault {
 	if len(g.faults) == 0 {
 		return Fault{}
