--- a/internal/quorum/replica/codec.go
+++ b/internal/quorum/replica/codec.go
@@ -9,14 +9,14 @@
 	"github.com/pkg/errors"
 )
 
-// EncodeVoters returns the data of a Membership entry.
+// EncodeVoters encodes the data of a Membership entry.
 func EncodeVoters(vs []Voter) []byte {
-	// Marshal fails only on text that is not UTF-8, which settings never hold.
+	// Marshal fails only on invalid UTF-8, which settings never contain.
 	b, _ := proto.Marshal(votersToProto(vs))
 	return b
 }
 
-// DecodeVoters reads the data of a Membership entry.
+// DecodeVoters decodes the data of a Membership entry.
 func DecodeVoters(b []byte) ([]Voter, error) {
 	var p peerv1.Voters
 	if err := proto.Unmarshal(b, &p); err != nil {
@@ -74,8 +74,8 @@
 	return p
 }
 
-// MessageFromProto converts a message from its wire form. A Replica ignores
-// messages of unknown kinds.
+// MessageFromProto converts a message from its wire form. It keeps unknown kinds,
+// which a Replica ignores.
 func MessageFromProto(p *peerv1.Message) Message {
 	m := Message{
 		Kind: MessageKind(p.GetKind()), From: quorum.VoterID(p.GetFrom()), To: quorum.VoterID(p.GetTo()),
--- a/internal/quorum/replica/election.go
+++ b/internal/quorum/replica/election.go
@@ -2,37 +2,39 @@
 
 import "github.com/bilberryrock/bilberryrock/internal/quorum"
 
-// electable reports whether the replica may ask for votes.
-func (r *Replica) electable() bool {
-	v, ok := find(r.voters(), r.options.ID)
+// canCampaign reports whether the replica may start an election.
+func (r *Replica) canCampaign() bool {
+	v, ok := findMember(r.members(), r.options.ID)
 	return ok && !v.Learner && r.role != Leader
 }
 
-// preCampaign asks whether an election would succeed, without raising the term.
-// A voter that was cut off thus can't disturb the others when it returns.
+// preCampaign starts a pre-vote, which determines whether an election would
+// succeed without incrementing the term. A voter that was partitioned therefore
+// can't disrupt the others when it reconnects.
 func (r *Replica) preCampaign() {
 	r.failReads()
 	r.role = PreCandidate
 	r.leader = 0
 	r.votes = map[quorum.VoterID]bool{r.options.ID: true}
 	r.resetTimer()
-	r.askForVotes(PreVote, r.term+1, 0)
-	r.tally()
+	r.requestVotes(PreVote, r.term+1, 0)
+	r.checkElection()
 }
 
-// askAgain repeats the requests of an election in progress. A request may have
-// been lost, or ignored by a voter that saw the old leader a little later.
-func (r *Replica) askAgain() {
+// resendVoteRequests repeats the vote requests of an election in progress. A
+// request may have been lost, or ignored by a voter that received a message of
+// the old leader slightly later than this replica.
+func (r *Replica) resendVoteRequests() {
 	switch r.role {
 	case PreCandidate:
-		r.askForVotes(PreVote, r.term+1, 0)
+		r.requestVotes(PreVote, r.term+1, 0)
 	case Candidate:
-		r.askForVotes(Vote, r.term, 0)
+		r.requestVotes(Vote, r.term, 0)
 	}
 }
 
-// campaign starts an election in a new term. The own vote counts once it is
-// synced.
+// campaign starts an election in a new term. The replica's own vote counts once
+// it is synced.
 func (r *Replica) campaign(context uint64) {
 	r.role = Candidate
 	r.leader = 0
@@ -40,11 +42,11 @@
 	r.vote = r.options.ID
 	r.votes = make(map[quorum.VoterID]bool)
 	r.resetTimer()
-	r.askForVotes(Vote, r.term, context)
+	r.requestVotes(Vote, r.term, context)
 }
 
-func (r *Replica) askForVotes(k MessageKind, t quorum.Term, context uint64) {
-	for _, v := range r.voters() {
+func (r *Replica) requestVotes(k MessageKind, t quorum.Term, context uint64) {
+	for _, v := range r.members() {
 		if v.Learner || v.ID == r.options.ID {
 			continue
 		}
@@ -55,17 +57,18 @@
 	}
 }
 
-// answerVote grants a vote at most once a term, and only to a candidate whose
-// log holds all that this replica has. Membership is not checked: the candidate
-// may know of a change that this replica has not received yet.
-func (r *Replica) answerVote(m Message) {
-	r.yield(m)
+// handleVoteRequest grants at most one vote per term, and only to a candidate
+// whose log is at least as up-to-date as that of this replica. It does not check
+// membership: the candidate may know of a membership change that this replica has
+// not received yet.
+func (r *Replica) handleVoteRequest(m Message) {
+	r.yieldPreCampaign(m)
 	reply := Message{Kind: VoteReply, To: m.From}
 	if m.Kind == PreVote {
 		reply.Kind = PreVoteReply
 	}
-	free := r.vote == m.From || r.vote == 0 && r.leader == 0 || m.Kind == PreVote && m.Term > r.term
-	if !free || !r.upToDate(m.LogIndex, m.LogTerm) {
+	mayVote := r.vote == m.From || r.vote == 0 && r.leader == 0 || m.Kind == PreVote && m.Term > r.term
+	if !mayVote || !r.upToDate(m.LogIndex, m.LogTerm) {
 		reply.Reject = true
 		r.send(reply)
 		return
@@ -78,17 +81,18 @@
 	r.send(reply)
 }
 
-// yield withdraws the own pre-campaign in favour of another one with a newer log
-// or an equal log and a higher id. Two voters that time out in the same tick would
-// otherwise split the votes. It yields once until it hears of a leader, so that a
-// voter that can't win does not keep it from trying again.
-func (r *Replica) yield(m Message) {
+// yieldPreCampaign withdraws the pre-campaign of this replica in favour of another
+// voter with a newer log, or with an equal log and a higher ID. Otherwise two
+// voters that time out in the same tick would split the votes. The replica yields
+// only once until it hears from a leader, so that a voter that can't win does not
+// keep it from trying again.
+func (r *Replica) yieldPreCampaign(m Message) {
 	if r.role != PreCandidate || m.Kind != PreVote || r.yielded || m.Term <= r.term {
 		return
 	}
-	own, last := r.log.lastTerm(), r.log.last()
-	newer := m.LogTerm > own || m.LogTerm == own && m.LogIndex > last
-	equal := m.LogTerm == own && m.LogIndex == last
+	lastTerm, last := r.log.lastTerm(), r.log.last()
+	newer := m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.LogIndex > last
+	equal := m.LogTerm == lastTerm && m.LogIndex == last
 	if !newer && (!equal || m.From < r.options.ID) {
 		return
 	}
@@ -96,37 +100,41 @@
 	r.yielded = true
 }
 
+// upToDate reports whether a log that ends with entry i of term t is at least as
+// up-to-date as the local one.
 func (r *Replica) upToDate(i quorum.Index, t quorum.Term) bool {
-	own := r.log.lastTerm()
-	return t > own || t == own && i >= r.log.last()
+	lastTerm := r.log.lastTerm()
+	return t > lastTerm || t == lastTerm && i >= r.log.last()
 }
 
-func (r *Replica) countVote(m Message) {
+func (r *Replica) handleVoteReply(m Message) {
 	pre := r.role == PreCandidate && m.Kind == PreVoteReply
 	full := r.role == Candidate && m.Kind == VoteReply
 	if !pre && !full {
 		return
 	}
 	if pre && !m.Reject && m.Term != r.term+1 {
-		return // The reply belongs to an earlier pre-vote.
+		return // the reply to an earlier pre-vote
 	}
 	if _, seen := r.votes[m.From]; !seen {
 		r.votes[m.From] = !m.Reject
 	}
-	r.tally()
+	r.checkElection()
 }
 
-func (r *Replica) countOwnVote() {
+func (r *Replica) recordOwnVote() {
 	if r.saved.Term != r.term || r.saved.Vote != r.options.ID {
 		return
 	}
 	r.votes[r.options.ID] = true
-	r.tally()
+	r.checkElection()
 }
 
-func (r *Replica) tally() {
+// checkElection counts the votes and ends the election or pre-vote when a majority
+// granted or refused it.
+func (r *Replica) checkElection() {
 	granted, refused, voters := 0, 0, 0
-	for _, v := range r.voters() {
+	for _, v := range r.members() {
 		if v.Learner {
 			continue
 		}
--- a/internal/quorum/replica/follower.go
+++ b/internal/quorum/replica/follower.go
@@ -5,8 +5,8 @@
 	"github.com/pkg/errors"
 )
 
-// follow accepts the sender of a message of the current term as the leader.
-func (r *Replica) follow(leader quorum.VoterID) {
+// acceptLeader records the sender of a message of the current term as the leader.
+func (r *Replica) acceptLeader(leader quorum.VoterID) {
 	if r.role != Follower {
 		r.becomeFollower(r.term, leader)
 	}
@@ -19,7 +19,7 @@
 	if r.role == Leader {
 		return errors.Errorf("voter %d leads term %d as well", m.From, m.Term)
 	}
-	r.follow(m.From)
+	r.acceptLeader(m.From)
 	if m.LogIndex < r.log.commit {
 		r.send(Message{Kind: AppendReply, To: m.From, LogIndex: r.log.commit})
 		return nil
@@ -29,7 +29,7 @@
 		r.send(Message{Kind: AppendReply, To: m.From, Reject: true, LogIndex: m.LogIndex, Hint: i, LogTerm: t})
 		return nil
 	}
-	if err := r.merge(m.Entries); err != nil {
+	if err := r.mergeEntries(m.Entries); err != nil {
 		return err
 	}
 	end := m.LogIndex + quorum.Index(len(m.Entries))
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// merge appends the entries that the log does not hold yet, and cuts off those
-// that conflict with them.
-func (r *Replica) merge(es []Entry) error {
+// mergeEntries appends the entries that are missing from the log and drops
+// existing entries that conflict with them.
+func (r *Replica) mergeEntries(es []Entry) error {
 	for len(es) > 0 && r.log.matches(es[0].Index, es[0].Term) {
 		es = es[1:]
 	}
@@ -54,7 +54,7 @@
 		r.truncate(es[0].Index - 1)
 	}
 	for _, e := range es {
-		if err := r.appendLocal(e); err != nil {
+		if err := r.appendEntry(e); err != nil {
 			return err
 		}
 	}
@@ -65,7 +65,7 @@
 	if r.role == Leader {
 		return
 	}
-	r.follow(m.From)
+	r.acceptLeader(m.From)
 	if m.Commit <= r.log.last() {
 		r.log.commit = max(r.log.commit, m.Commit)
 	}
@@ -76,7 +76,7 @@
 	if r.role == Leader || m.Snapshot == nil {
 		return
 	}
-	r.follow(m.From)
+	r.acceptLeader(m.From)
 	s := *m.Snapshot
 	switch {
 	case s.Index <= r.log.commit:
@@ -85,7 +85,7 @@
 	default:
 		r.log.reset(s.Index, s.Term)
 		r.snapshot = s
-		r.configs = []config{{index: s.Index, voters: s.Voters}}
+		r.configs = []config{{index: s.Index, members: s.Voters}}
 		r.pending.Snapshot = &s
 	}
 	r.send(Message{Kind: AppendReply, To: m.From, LogIndex: r.log.commit})
--- a/internal/quorum/replica/leader.go
+++ b/internal/quorum/replica/leader.go
@@ -7,40 +7,43 @@
 	"github.com/pkg/errors"
 )
 
-// Election timeouts after which a leader tries again to reach a member that was
-// sent a snapshot: while the transport sends it, and after it was handed over. The
-// first is longer than the transport tries.
+// Number of election timeouts that a leader waits for a member to acknowledge a
+// snapshot before it probes the member again.
 const (
-	transferTimeouts = 100
-	installTimeouts  = 4
+	// snapshotSendTimeouts applies while the transport sends the snapshot. It is
+	// longer than the transport keeps trying.
+	snapshotSendTimeouts = 100
+	// snapshotInstallTimeouts applies once the transport has delivered the snapshot.
+	snapshotInstallTimeouts = 4
 )
 
-type flow int
+// replicationState is the state of the replication to one member.
+type replicationState int
 
 const (
-	probing flow = iota // one Append at a time, until a match is found
-	replicating
-	installing // waits for a snapshot to arrive
+	probing     replicationState = iota // sends one Append at a time until the logs match
+	replicating                         // pipelines Appends
+	installing                          // waits until the member has installed a snapshot
 )
 
-// progress is what the leader knows about another member.
+// progress is the replication state of another member.
 type progress struct {
-	match, next quorum.Index
-	flow        flow
-	probed      bool           // an Append is on its way while probing
-	inFlight    []quorum.Index // last entries of unanswered Appends
-	poke        bool           // send an empty Append to find out what is missing
-	sentCommit  quorum.Index
-	installed   quorum.Index
-	waited      int  // ticks since the snapshot was sent
-	patience    int  // ticks to wait
-	active      bool // answered since the last check of the quorum
-	recent      bool // answered in the period before
-	lost        bool
-	ackContext  uint64
-	// matchContext is the heartbeat round in which match was reached. A reply to
-	// a later round must show at least match.
-	matchContext uint64
+	match, next     quorum.Index
+	state           replicationState
+	probeSent       bool           // while probing, an Append is unanswered
+	inFlight        []quorum.Index // last indexes of unanswered Appends
+	forceAppend     bool           // send an Append even if it is empty, to find missing entries
+	sentCommit      quorum.Index
+	snapshotIndex   quorum.Index // of the snapshot being installed
+	snapshotTicks   int          // ticks since the snapshot was sent or delivered
+	snapshotTimeout int          // ticks after which the member is probed again
+	active          bool         // answered since the last quorum check
+	wasActive       bool         // answered between the two last quorum checks
+	lost            bool         // no longer holds entries that it acknowledged
+	ackedRound      uint64       // newest heartbeat round that it answered
+	// matchRound is the heartbeat round in which match was reached. A reply to a
+	// later round must report a log that reaches at least match.
+	matchRound uint64
 }
 
 func (r *Replica) becomeLeader() {
@@ -48,11 +51,11 @@
 	r.leader = r.options.ID
 	r.electionElapsed = 0
 	r.heartbeatElapsed = 0
-	r.transfer = 0
+	r.transferee = 0
 	r.progress = make(map[quorum.VoterID]*progress)
-	// Only entries of the own term are committed by counting, so the new leader
-	// appends one at once.
-	r.appendOwn(Blank, nil)
+	// Only entries of the current term are committed by counting replicas, so the
+	// new leader appends one at once.
+	r.appendAsLeader(NoOp, nil)
 	r.updateProgress()
 	for _, p := range r.progress {
 		p.next = r.log.last()
@@ -74,41 +77,41 @@
 		return
 	}
 	r.electionElapsed = 0
-	r.transfer = 0
+	r.transferee = 0
 	if !r.majority(func(p *progress) bool { return p.active }) {
 		r.becomeFollower(r.term, 0)
 		return
 	}
 	for _, p := range r.progress {
-		p.recent = p.active
+		p.wasActive = p.active
 		p.active = false
 	}
 }
 
 func (p *progress) tick() {
-	if p.flow != installing {
+	if p.state != installing {
 		return
 	}
-	p.waited++
-	if p.waited >= p.patience {
+	p.snapshotTicks++
+	if p.snapshotTicks >= p.snapshotTimeout {
 		p.probe(p.match + 1)
 	}
 }
 
-func (p *progress) reachable() bool { return p.active || p.recent }
+func (p *progress) reachable() bool { return p.active || p.wasActive }
 
 func (p *progress) probe(next quorum.Index) {
-	p.flow = probing
+	p.state = probing
 	p.next = next
-	p.probed = false
+	p.probeSent = false
 	p.inFlight = nil
 }
 
-// majority reports whether f holds for a majority of voters. The replica itself
-// counts as true, when it is a voter.
+// majority reports whether f is true for a majority of voters. The replica itself
+// counts as true if it is a voter.
 func (r *Replica) majority(f func(p *progress) bool) bool {
 	yes, voters := 0, 0
-	for _, v := range r.voters() {
+	for _, v := range r.members() {
 		if v.Learner {
 			continue
 		}
@@ -120,22 +123,22 @@
 	return yes > voters/2
 }
 
-// Propose appends a command. The owner finds it again by its index and term: the
-// command took effect if and only if an entry with both is handed out as
-// committed.
+// Propose appends a command and returns the index and term of its entry. The
+// command takes effect if and only if Effects returns a committed entry with the
+// same index and term.
 func (r *Replica) Propose(command []byte) (quorum.Index, quorum.Term, error) {
-	if err := r.mayPropose(); err != nil {
+	if err := r.checkProposal(); err != nil {
 		return 0, 0, err
 	}
-	return r.appendOwn(Command, command), r.term, nil
+	return r.appendAsLeader(Command, command), r.term, nil
 }
 
-func (r *Replica) mayPropose() error {
+func (r *Replica) checkProposal() error {
 	if r.role != Leader {
 		return ErrNotLeader
 	}
-	if r.transfer != 0 {
-		return ErrTransfer
+	if r.transferee != 0 {
+		return ErrTransferInProgress
 	}
 	if r.log.last()-r.log.commit >= quorum.Index(r.options.MaxUncommitted) {
 		return ErrBusy
@@ -143,37 +146,39 @@
 	return nil
 }
 
-func (r *Replica) appendOwn(k EntryKind, data []byte) quorum.Index {
+func (r *Replica) appendAsLeader(k EntryKind, data []byte) quorum.Index {
 	e := Entry{Kind: k, Term: r.term, Index: r.log.last() + 1, Data: data}
-	// Own entries are well-formed, so this can't fail.
-	_ = r.appendLocal(e)
+	// Entries of this replica are well-formed, so appending can't fail.
+	_ = r.appendEntry(e)
 	return e.Index
 }
 
-// Read asks for a read. Effects returns its id in Reads once a majority has
-// confirmed that the replica still leads, or in FailedReads.
+// Read requests a read. Effects returns its ID in Reads once a majority has
+// confirmed that the replica is still the leader, or in FailedReads if the
+// leadership ends first.
 func (r *Replica) Read(id uint64) error {
 	if r.role != Leader {
 		return ErrNotLeader
 	}
 	if t, _ := r.log.term(r.log.commit); t != r.term {
-		r.early = append(r.early, id)
+		r.deferredReads = append(r.deferredReads, id)
 		return nil
 	}
-	r.addRead(id)
+	r.queueRead(id)
 	return nil
 }
 
-func (r *Replica) addRead(id uint64) {
-	r.reads = append(r.reads, pendingRead{id: id, index: r.log.commit, context: r.context + 1})
+func (r *Replica) queueRead(id uint64) {
+	r.reads = append(r.reads, pendingRead{id: id, index: r.log.commit, round: r.heartbeatRound + 1})
 	r.heartbeatDue = true
 }
 
-// confirmReads hands out the reads whose heartbeat round a majority answered.
+// confirmReads moves the reads whose heartbeat round a majority has answered to
+// the pending effects.
 func (r *Replica) confirmReads() {
 	for len(r.reads) > 0 {
 		d := r.reads[0]
-		if d.context > r.context || !r.majority(func(p *progress) bool { return p.ackContext >= d.context }) {
+		if d.round > r.heartbeatRound || !r.majority(func(p *progress) bool { return p.ackedRound >= d.round }) {
 			return
 		}
 		r.pending.Reads = append(r.pending.Reads, ReadReady{ID: d.id, Index: d.index})
@@ -185,47 +190,51 @@
 	for _, d := range r.reads {
 		r.pending.FailedReads = append(r.pending.FailedReads, d.id)
 	}
-	r.pending.FailedReads = append(r.pending.FailedReads, r.early...)
-	r.reads, r.early = nil, nil
+	r.pending.FailedReads = append(r.pending.FailedReads, r.deferredReads...)
+	r.reads, r.deferredReads = nil, nil
 }
 
-// Transfer asks an up-to-date voter to take over. The transfer is given up after
-// an election timeout; until then no proposals are accepted.
+// Transfer starts a leadership transfer to a voter, which takes over once its log
+// is up-to-date. The transfer is abandoned after an election timeout; until then
+// no proposals are accepted.
 func (r *Replica) Transfer(to quorum.VoterID) error {
 	if r.role != Leader {
 		return ErrNotLeader
 	}
-	v, ok := find(r.voters(), to)
+	v, ok := findMember(r.members(), to)
 	p := r.progress[to]
 	if !ok || v.Learner || p == nil || !p.reachable() || p.lost {
 		return errors.Errorf("voter %d can't take over", to)
 	}
-	r.transfer = to
+	r.transferee = to
 	r.electionElapsed = 0
-	r.finishTransfer()
+	r.sendTimeoutNow()
 	return nil
 }
 
-func (r *Replica) finishTransfer() {
-	p := r.progress[r.transfer]
+// sendTimeoutNow asks the target of the leadership transfer to start an election,
+// if it has all entries.
+func (r *Replica) sendTimeoutNow() {
+	p := r.progress[r.transferee]
 	if p != nil && p.match == r.log.last() {
-		r.sendEarly(Message{Kind: TimeoutNow, To: r.transfer})
+		r.sendImmediate(Message{Kind: TimeoutNow, To: r.transferee})
 	}
 }
 
-// broadcast sends what each member is missing. It runs once for a batch of
-// inputs, so that the proposals of a batch share a message.
+// broadcast sends heartbeats that are due and the entries that each member is
+// missing. It runs once for a batch of inputs, so that the proposals of a batch
+// share a message.
 func (r *Replica) broadcast() {
 	if r.heartbeatDue {
-		r.context++
+		r.heartbeatRound++
 	}
-	for _, v := range r.voters() {
+	for _, v := range r.members() {
 		p := r.progress[v.ID]
 		if p == nil {
 			continue
 		}
 		if r.heartbeatDue {
-			r.sendEarly(Message{Kind: Heartbeat, To: v.ID, Commit: min(p.match, r.log.commit), Context: r.context})
+			r.sendImmediate(Message{Kind: Heartbeat, To: v.ID, Commit: min(p.match, r.log.commit), Context: r.heartbeatRound})
 		}
 		for r.replicate(v.ID, p) {
 		}
@@ -233,10 +242,10 @@
 	r.heartbeatDue = false
 }
 
-// replicate sends one Append or snapshot, and reports whether there may be more
-// to send.
+// replicate sends one Append or snapshot to a member and reports whether there may
+// be more to send.
 func (r *Replica) replicate(id quorum.VoterID, p *progress) bool {
-	if p.flow == installing || p.flow == probing && p.probed || len(p.inFlight) >= r.options.MaxInFlight {
+	if p.state == installing || p.state == probing && p.probeSent || len(p.inFlight) >= r.options.MaxInFlight {
 		return false
 	}
 	t, known := r.log.term(p.next - 1)
@@ -245,17 +254,17 @@
 		return false
 	}
 	es := r.log.slice(p.next, r.options.MaxAppendBytes)
-	if len(es) == 0 && p.sentCommit >= r.log.commit && !p.poke {
+	if len(es) == 0 && p.sentCommit >= r.log.commit && !p.forceAppend {
 		return false
 	}
-	r.sendEarly(Message{
+	r.sendImmediate(Message{
 		Kind: Append, To: id, LogIndex: p.next - 1, LogTerm: t,
 		Commit: r.log.commit, Entries: es,
 	})
-	p.poke = false
+	p.forceAppend = false
 	p.sentCommit = r.log.commit
-	if p.flow == probing {
-		p.probed = true
+	if p.state == probing {
+		p.probeSent = true
 		return false
 	}
 	if len(es) == 0 {
@@ -268,26 +277,26 @@
 
 func (r *Replica) sendSnapshot(id quorum.VoterID, p *progress) {
 	s := r.snapshot
-	p.flow = installing
-	p.installed = s.Index
-	p.waited = 0
-	p.patience = transferTimeouts * r.options.ElectionTicks
+	p.state = installing
+	p.snapshotIndex = s.Index
+	p.snapshotTicks = 0
+	p.snapshotTimeout = snapshotSendTimeouts * r.options.ElectionTicks
 	p.inFlight = nil
-	r.sendEarly(Message{Kind: InstallSnapshot, To: id, Snapshot: &s})
+	r.sendImmediate(Message{Kind: InstallSnapshot, To: id, Snapshot: &s})
 }
 
-// SnapshotSent tells whether the transport handed a snapshot over to a member. A
-// member that got it answers with an AppendReply.
+// SnapshotSent reports to the replica whether the transport delivered a snapshot
+// to a member. A member that received it answers with an AppendReply.
 func (r *Replica) SnapshotSent(id quorum.VoterID, ok bool) {
 	p := r.progress[id]
-	if p == nil || p.flow != installing {
+	if p == nil || p.state != installing {
 		return
 	}
-	p.patience = installTimeouts * r.options.ElectionTicks
-	p.waited = 0
+	p.snapshotTimeout = snapshotInstallTimeouts * r.options.ElectionTicks
+	p.snapshotTicks = 0
 	if !ok {
 		p.probe(p.match + 1)
-		p.probed = true // The next heartbeat reply starts another try.
+		p.probeSent = true // The next heartbeat reply triggers another attempt.
 	}
 }
 
@@ -307,25 +316,25 @@
 	}
 	if m.LogIndex > p.match {
 		p.match = m.LogIndex
-		p.matchContext = r.context
+		p.matchRound = r.heartbeatRound
 	}
 	p.next = max(p.next, p.match+1)
-	if p.flow == probing || p.flow == installing && p.match >= p.installed {
+	if p.state == probing || p.state == installing && p.match >= p.snapshotIndex {
 		p.probe(p.match + 1)
-		p.flow = replicating
+		p.state = replicating
 	}
 	for len(p.inFlight) > 0 && p.inFlight[0] <= m.LogIndex {
 		p.inFlight = p.inFlight[1:]
 	}
 	r.advanceCommit()
-	if m.From == r.transfer {
-		r.finishTransfer()
+	if m.From == r.transferee {
+		r.sendTimeoutNow()
 	}
 	return nil
 }
 
 func (r *Replica) handleReject(p *progress, m Message) {
-	stale := m.LogIndex <= p.match || p.flow == probing && m.LogIndex != p.next-1 || p.flow == installing
+	stale := m.LogIndex <= p.match || p.state == probing && m.LogIndex != p.next-1 || p.state == installing
 	if stale {
 		return
 	}
@@ -339,35 +348,35 @@
 		return
 	}
 	p.active = true
-	p.ackContext = max(p.ackContext, m.Context)
-	// Within a term a member never drops what it acknowledged to the leader, so
-	// a shorter log in a later round proves that its disk lost entries.
-	if m.Context > p.matchContext && m.LogIndex < p.match {
+	p.ackedRound = max(p.ackedRound, m.Context)
+	// Within a term, a member never drops entries that it acknowledged to the
+	// leader, so a shorter log in a later round proves that its disk lost entries.
+	if m.Context > p.matchRound && m.LogIndex < p.match {
 		p.lost = true
 	}
 	if p.lost {
-		r.sendEarly(Message{Kind: LostEntries, To: m.From, LogIndex: p.match, Hint: m.LogIndex})
+		r.sendImmediate(Message{Kind: LostEntries, To: m.From, LogIndex: p.match, Hint: m.LogIndex})
 	}
-	if p.flow == probing {
-		p.probed = false
+	if p.state == probing {
+		p.probeSent = false
 	}
 	if len(p.inFlight) >= r.options.MaxInFlight {
 		p.inFlight = p.inFlight[1:]
 	}
 	if p.match < r.log.last() {
-		p.poke = true
+		p.forceAppend = true
 	}
 }
 
-// advanceCommit commits what a majority of voters has synced, if it belongs to
-// the leader's term.
+// advanceCommit commits the entries that a majority of voters has synced, if the
+// last of them belongs to the leader's term.
 func (r *Replica) advanceCommit() {
 	var matches []quorum.Index
-	for _, v := range r.voters() {
+	for _, v := range r.members() {
 		if v.Learner {
 			continue
 		}
-		matches = append(matches, r.matchOf(v.ID))
+		matches = append(matches, r.matchIndex(v.ID))
 	}
 	if len(matches) == 0 {
 		return
@@ -378,14 +387,15 @@
 		return
 	}
 	r.log.commit = i
-	for _, id := range r.early {
-		r.addRead(id)
+	for _, id := range r.deferredReads {
+		r.queueRead(id)
 	}
-	r.early = nil
+	r.deferredReads = nil
 	r.resignIfRemoved()
 }
 
-func (r *Replica) matchOf(id quorum.VoterID) quorum.Index {
+// matchIndex returns the highest index that a member has synced.
+func (r *Replica) matchIndex(id quorum.VoterID) quorum.Index {
 	if id == r.options.ID {
 		return r.log.stable
 	}
@@ -398,7 +408,7 @@
 
 func (r *Replica) progressList() []Progress {
 	var list []Progress
-	for _, v := range r.voters() {
+	for _, v := range r.members() {
 		p := r.progress[v.ID]
 		if p == nil {
 			list = append(list, Progress{Voter: v, Match: r.log.stable, Active: true})
--- a/internal/quorum/replica/log.go
+++ b/internal/quorum/replica/log.go
@@ -4,14 +4,14 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// log holds the entries after base. Entries up to stable are synced.
+// log holds the entries after index base. Entries up to stable are synced.
 type log struct {
-	base     quorum.Index
-	baseTerm quorum.Term
-	entries  []Entry
-	stable   quorum.Index
-	commit   quorum.Index
-	handed   quorum.Index // committed entries up to here were given out
+	base      quorum.Index
+	baseTerm  quorum.Term
+	entries   []Entry
+	stable    quorum.Index
+	commit    quorum.Index
+	delivered quorum.Index // index of the last committed entry returned by Effects
 }
 
 func (l *log) last() quorum.Index {
@@ -23,7 +23,7 @@
 	return t
 }
 
-// term returns the term of entry i and whether the log still knows it.
+// term returns the term of entry i and reports whether it is known.
 func (l *log) term(i quorum.Index) (quorum.Term, bool) {
 	if i == l.base {
 		return l.baseTerm, true
@@ -39,8 +39,8 @@
 	return ok && got == t
 }
 
-// slice returns the entries from lo on with at most maxBytes of data, but at
-// least one.
+// slice returns entries from index lo on, limited to maxBytes of data but at
+// least one entry.
 func (l *log) slice(lo quorum.Index, maxBytes int) []Entry {
 	if lo <= l.base || lo > l.last() {
 		return nil
@@ -60,15 +60,15 @@
 	l.entries = append(l.entries, es...)
 }
 
-// truncate drops the entries after i. The slice is copied because messages may
+// truncate drops the entries after i. It copies the slice because messages may
 // still refer to the dropped entries.
 func (l *log) truncate(i quorum.Index) {
-	keep := l.entries[:i-l.base]
-	l.entries = append(make([]Entry, 0, len(keep)+16), keep...)
+	kept := l.entries[:i-l.base]
+	l.entries = append(make([]Entry, 0, len(kept)+16), kept...)
 	l.stable = min(l.stable, i)
 }
 
-// compact drops the entries up to i.
+// compact drops the entries up to and including i.
 func (l *log) compact(i quorum.Index) {
 	t, ok := l.term(i)
 	if !ok || i <= l.base {
@@ -78,11 +78,13 @@
 	l.base, l.baseTerm = i, t
 }
 
+// reset empties the log so that it continues after entry i of term t.
 func (l *log) reset(i quorum.Index, t quorum.Term) {
-	*l = log{base: i, baseTerm: t, stable: i, commit: i, handed: i}
+	*l = log{base: i, baseTerm: t, stable: i, commit: i, delivered: i}
 }
 
-// findConflict returns the largest index up to i whose term is at most t.
+// findConflict returns the largest index up to i whose entry has a term of at most
+// t, and the term of that entry.
 func (l *log) findConflict(i quorum.Index, t quorum.Term) (quorum.Index, quorum.Term) {
 	i = min(i, l.last())
 	for ; i > l.base; i-- {
--- a/internal/quorum/replica/membership.go
+++ b/internal/quorum/replica/membership.go
@@ -7,46 +7,47 @@
 	"github.com/pkg/errors"
 )
 
-// config is the list of members from an index on. It holds as soon as the entry
-// is in the log, committed or not.
+// config is the list of members that applies from a log index on. It takes effect
+// as soon as its entry is in the log, whether or not the entry is committed.
 type config struct {
-	index  quorum.Index
-	voters []Voter
+	index   quorum.Index
+	members []Voter
 }
 
-func (r *Replica) voters() []Voter {
-	return r.configs[len(r.configs)-1].voters
+func (r *Replica) members() []Voter {
+	return r.configs[len(r.configs)-1].members
 }
 
-func (r *Replica) votersAt(i quorum.Index) []Voter {
+func (r *Replica) membersAt(i quorum.Index) []Voter {
 	for k := len(r.configs) - 1; k > 0; k-- {
 		if r.configs[k].index <= i {
-			return r.configs[k].voters
+			return r.configs[k].members
 		}
 	}
-	return r.configs[0].voters
+	return r.configs[0].members
 }
 
+// pruneConfigs drops the configurations that were superseded at or before i.
 func (r *Replica) pruneConfigs(i quorum.Index) {
 	for len(r.configs) > 1 && r.configs[1].index <= i {
 		r.configs = r.configs[1:]
 	}
 }
 
-// appendLocal appends an entry and puts a membership change into force.
-func (r *Replica) appendLocal(e Entry) error {
+// appendEntry appends an entry. A membership change takes effect at once.
+func (r *Replica) appendEntry(e Entry) error {
 	if e.Kind == Membership {
 		vs, err := DecodeVoters(e.Data)
 		if err != nil {
 			return errors.Wrapf(err, "entry %d", e.Index)
 		}
-		r.configs = append(r.configs, config{index: e.Index, voters: vs})
+		r.configs = append(r.configs, config{index: e.Index, members: vs})
 	}
 	r.log.append(e)
 	return nil
 }
 
-// truncate drops the entries after i, with their membership changes.
+// truncate drops the entries after i and reverts their membership changes.
 func (r *Replica) truncate(i quorum.Index) {
 	r.log.truncate(i)
 	for len(r.configs) > 1 && r.configs[len(r.configs)-1].index > i {
@@ -54,33 +55,34 @@
 	}
 }
 
-// ProposeChange appends a membership change. Changes of one member at a time
-// keep the majorities before and after it overlapping, so the change before must
-// be committed, and so must an entry of the leader's own term.
+// ProposeChange appends a membership change. Any majority before a change of one
+// member overlaps with any majority after it. Therefore the previous change must
+// be committed first, and so must an entry of the leader's own term.
 func (r *Replica) ProposeChange(c Change) (quorum.Index, quorum.Term, error) {
-	if err := r.mayPropose(); err != nil {
+	if err := r.checkProposal(); err != nil {
 		return 0, 0, err
 	}
 	if t, _ := r.log.term(r.log.commit); t != r.term {
-		return 0, 0, ErrChanging
+		return 0, 0, ErrChangePending
 	}
 	if r.configs[len(r.configs)-1].index > r.log.commit {
-		return 0, 0, ErrChanging
+		return 0, 0, ErrChangePending
 	}
-	vs, err := r.changed(c)
+	vs, err := r.membersAfter(c)
 	if err != nil {
 		return 0, 0, err
 	}
-	if c.Kind != AddLearner && !r.reachable(vs) {
-		return 0, 0, ErrMajority
+	if c.Kind != AddLearner && !r.majorityReachable(vs) {
+		return 0, 0, ErrMajorityUnreachable
 	}
-	i := r.appendOwn(Membership, EncodeVoters(vs))
+	i := r.appendAsLeader(Membership, EncodeVoters(vs))
 	r.updateProgress()
 	return i, r.term, nil
 }
 
-func (r *Replica) changed(c Change) ([]Voter, error) {
-	vs := slices.Clone(r.voters())
+// membersAfter returns the members after the change c.
+func (r *Replica) membersAfter(c Change) ([]Voter, error) {
+	vs := slices.Clone(r.members())
 	k := slices.IndexFunc(vs, func(v Voter) bool { return v.ID == c.Voter.ID })
 	switch {
 	case c.Kind == AddLearner && k < 0 && c.Voter.ID != 0:
@@ -93,7 +95,7 @@
 		return nil, errors.Errorf("voter %d is not a member", c.Voter.ID)
 	case c.Kind == Promote:
 		if !r.caughtUp(c.Voter.ID) {
-			return nil, ErrNotReached
+			return nil, ErrNotCaughtUp
 		}
 		vs[k].Learner = false
 		return vs, nil
@@ -107,14 +109,14 @@
 	return nil, errors.Errorf("unknown membership change %d", c.Kind)
 }
 
-// caughtUp reports whether a member answers and holds all committed entries.
+// caughtUp reports whether a member is reachable and has all committed entries.
 func (r *Replica) caughtUp(id quorum.VoterID) bool {
 	p := r.progress[id]
 	return p != nil && p.reachable() && !p.lost && p.match >= r.log.commit
 }
 
-// reachable reports whether a majority of the voters in vs answers.
-func (r *Replica) reachable(vs []Voter) bool {
+// majorityReachable reports whether a majority of the voters in vs is reachable.
+func (r *Replica) majorityReachable(vs []Voter) bool {
 	yes, voters := 0, 0
 	for _, v := range vs {
 		if v.Learner {
@@ -128,31 +130,32 @@
 	return yes > voters/2
 }
 
-// updateProgress starts following new members and forgets removed ones.
+// updateProgress starts to track new members and drops removed ones.
 func (r *Replica) updateProgress() {
 	for id := range r.progress {
-		if _, ok := find(r.voters(), id); !ok {
+		if _, ok := findMember(r.members(), id); !ok {
 			delete(r.progress, id)
 		}
 	}
-	for _, v := range r.voters() {
+	for _, v := range r.members() {
 		if v.ID != r.options.ID && r.progress[v.ID] == nil {
 			r.progress[v.ID] = &progress{next: r.log.last() + 1}
 		}
 	}
 }
 
-// resignIfRemoved ends the leadership of a leader whose own removal is committed.
+// resignIfRemoved ends the leadership once the removal of the leader itself is
+// committed.
 func (r *Replica) resignIfRemoved() {
 	if r.configs[len(r.configs)-1].index > r.log.commit {
 		return
 	}
-	if v, ok := find(r.voters(), r.options.ID); !ok || v.Learner {
+	if v, ok := findMember(r.members(), r.options.ID); !ok || v.Learner {
 		r.becomeFollower(r.term, 0)
 	}
 }
 
-func find(vs []Voter, id quorum.VoterID) (Voter, bool) {
+func findMember(vs []Voter, id quorum.VoterID) (Voter, bool) {
 	k := slices.IndexFunc(vs, func(v Voter) bool { return v.ID == id })
 	if k < 0 {
 		return Voter{}, false
--- a/internal/quorum/replica/names_string.go
+++ b/internal/quorum/replica/names_string.go
@@ -58,7 +58,7 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[Blank-0]
+	_ = x[NoOp-0]
 	_ = x[Command-1]
 	_ = x[Membership-2]
 }
--- a/internal/quorum/replica/replica.go
+++ b/internal/quorum/replica/replica.go
@@ -1,24 +1,24 @@
-// Package replica holds the consensus core of one member of a group: a
-// leader-based replicated log after Ongaro and Ousterhout (USENIX ATC 2014) with
+// Package replica implements the consensus algorithm for one member of a group: a
+// leader-based replicated log after Ongaro and Ousterhout (USENIX ATC 2014), with
 // pre-vote, check-quorum, membership changes of one member at a time, snapshots
 // and reads that a majority confirms.
 //
-// A Replica reads no clock and does no I/O. Its owner feeds it ticks, messages
-// and proposals from one goroutine, and executes the effects in their order:
+// A Replica reads no clock and performs no I/O. Its owner passes it ticks, messages
+// and proposals from one goroutine, and executes the effects in order:
 //
 //	r, err := replica.New(options, state, snapshot, entries)
 //	r.Tick()
 //	err = r.Step(message)
 //	for e := r.Effects(); !e.Empty(); e = r.Effects() {
-//		send(e.Early)
+//		send(e.ImmediateMessages)
 //		save(e.Snapshot, e.Entries, e.State) // synced when e.MustSync
 //		r.Synced(e)
 //		send(e.Messages)
 //		apply(e.Committed)
 //	}
 //
-// Effects hands out each effect once, so the owner must execute it before the
-// next call. When saving fails, the owner must stop using the Replica.
+// Effects returns each effect only once, so the owner must execute it before the
+// next call. If saving fails, the owner must stop using the Replica.
 package replica
 
 import (
@@ -29,49 +29,52 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of proposals. The command was certainly not appended.
+// Errors of rejected requests. When a proposal fails with one of them, its entry
+// was not appended.
 var (
-	ErrNotLeader  = errors.New("replica is not the leader")
-	ErrTransfer   = errors.New("leadership is being transferred")
-	ErrBusy       = errors.New("too many uncommitted entries")
-	ErrChanging   = errors.New("another membership change is not committed yet")
-	ErrNotReached = errors.New("member has not caught up")
-	ErrMajority   = errors.New("too few of the voters would be reachable")
+	ErrNotLeader           = errors.New("replica is not the leader")
+	ErrTransferInProgress  = errors.New("leadership is being transferred")
+	ErrBusy                = errors.New("too many uncommitted entries")
+	ErrChangePending       = errors.New("another membership change is not committed yet")
+	ErrNotCaughtUp         = errors.New("member has not caught up")
+	ErrMajorityUnreachable = errors.New("too few of the voters would be reachable")
 )
 
-// LostError tells that a replica no longer holds entries that it had
-// acknowledged, because its folder was put back to an older state or its disk
-// dropped synced data. Its votes can't be trusted either.
+// LostError reports that a replica no longer holds entries that it had
+// acknowledged, because its folder was restored to an older state or its disk lost
+// synced data. The votes of such a replica can't be trusted either.
 type LostError struct {
 	Voter              quorum.VoterID
 	Acknowledged, Last quorum.Index
 }
 
-// Error names the voter and its entries.
+// Error returns a message with the voter, the acknowledged index and the last
+// index.
 func (e *LostError) Error() string {
 	return fmt.Sprintf("voter %d acknowledged entry %d, but its log ended at %d after a restart; "+
 		"remove its data folder so that it joins anew", e.Voter, e.Acknowledged, e.Last)
 }
 
-// transferContext in a Vote marks an election that the old leader asked for.
+// transferContext is the Context of a Vote in an election that the old leader
+// requested by a leadership transfer.
 const transferContext = 1
 
-// Options configure a Replica. Zero values stand for the defaults.
+// Options configures a Replica. Zero values are replaced by the defaults.
 type Options struct {
 	ID quorum.VoterID
-	// ElectionTicks is the least number of ticks without a leader before an
-	// election. The actual number is random, up to twice as many.
+	// ElectionTicks is the minimum number of ticks without a leader before an
+	// election. The actual number is random, below twice as many.
 	ElectionTicks int
 	// HeartbeatTicks is the number of ticks between heartbeats.
 	HeartbeatTicks int
-	// MaxAppendBytes bounds the entries of one message, unless it is a single
-	// entry.
+	// MaxAppendBytes is the maximum size of the entries of one message, unless it
+	// holds a single entry.
 	MaxAppendBytes int
-	// MaxInFlight bounds the unanswered Append messages to one member.
+	// MaxInFlight is the maximum number of unanswered Append messages to one member.
 	MaxInFlight int
-	// MaxUncommitted bounds the entries of the leader that are not committed.
+	// MaxUncommitted is the maximum number of uncommitted entries of the leader.
 	MaxUncommitted int
-	// Seed makes the random election timeouts repeatable.
+	// Seed makes the random election timeouts reproducible.
 	Seed uint64
 }
 
@@ -91,7 +94,7 @@
 	random   *rand.Rand
 	term     quorum.Term
 	vote     quorum.VoterID
-	saved    State
+	saved    State // as last synced
 	role     Role
 	leader   quorum.VoterID
 	log      log
@@ -100,28 +103,30 @@
 
 	electionElapsed  int
 	heartbeatElapsed int
-	timeout          int
+	electionTimeout  int
 	votes            map[quorum.VoterID]bool
-	yielded          bool // to another pre-candidate since the last leader
+	yielded          bool // to another pre-candidate since it last heard from a leader
 
-	progress     map[quorum.VoterID]*progress
-	context      uint64 // number of the newest heartbeat round
-	heartbeatDue bool
-	reads        []pendingRead
-	early        []uint64 // reads that wait for the first commit of the term
-	transfer     quorum.VoterID
+	progress       map[quorum.VoterID]*progress
+	heartbeatRound uint64 // number of the current heartbeat round
+	heartbeatDue   bool
+	reads          []pendingRead
+	deferredReads  []uint64 // IDs of reads that wait for the first commit of the term
+	transferee     quorum.VoterID
 
 	pending Effects
 }
 
+// pendingRead is a read that is confirmed once a majority has answered the
+// heartbeat round.
 type pendingRead struct {
-	id      uint64
-	index   quorum.Index
-	context uint64
+	id    uint64
+	index quorum.Index
+	round uint64
 }
 
-// New returns a Replica that continues from what was stored. For a new group the
-// snapshot holds the first voters and Index 0.
+// New returns a Replica that continues from its stored state. For a new group, the
+// snapshot has Index 0 and the initial voters.
 func New(o Options, st State, s Snapshot, entries []Entry) (*Replica, error) {
 	r := &Replica{
 		options:  o.withDefaults(),
@@ -129,11 +134,11 @@
 		vote:     st.Vote,
 		saved:    st,
 		snapshot: s,
-		configs:  []config{{index: s.Index, voters: s.Voters}},
+		configs:  []config{{index: s.Index, members: s.Voters}},
 	}
 	r.random = rand.New(rand.NewPCG(o.Seed, uint64(o.ID)))
 	r.log.reset(s.Index, s.Term)
-	if err := r.load(entries); err != nil {
+	if err := r.loadEntries(entries); err != nil {
 		return nil, err
 	}
 	if st.Commit > r.log.last() {
@@ -144,15 +149,15 @@
 	return r, nil
 }
 
-func (r *Replica) load(entries []Entry) error {
+func (r *Replica) loadEntries(entries []Entry) error {
 	for _, e := range entries {
 		if e.Index <= r.log.base {
 			continue
 		}
 		if e.Index != r.log.last()+1 {
-			return errors.Errorf("log has entry %d after entry %d", e.Index, r.log.last())
+			return errors.Errorf("log is not contiguous: entry %d follows entry %d", e.Index, r.log.last())
 		}
-		if err := r.appendLocal(e); err != nil {
+		if err := r.appendEntry(e); err != nil {
 			return err
 		}
 	}
@@ -160,25 +165,25 @@
 	return nil
 }
 
-// Tick tells that one tick has passed.
+// Tick advances the logical clock of the replica by one tick.
 func (r *Replica) Tick() {
 	r.electionElapsed++
 	if r.role == Leader {
 		r.tickLeader()
 		return
 	}
-	if r.electionElapsed >= r.timeout && r.electable() {
+	if r.electionElapsed >= r.electionTimeout && r.canCampaign() {
 		r.preCampaign()
 		return
 	}
 	if r.electionElapsed%r.options.HeartbeatTicks == 0 {
-		r.askAgain()
+		r.resendVoteRequests()
 	}
 }
 
-// Gap tells that the owner did not run for a number of ticks. A leader that was
-// stopped for an election timeout resigns, because others may have elected
-// another one.
+// Gap reports to the replica that its owner did not run for a number of ticks. A
+// leader that was suspended for an election timeout resigns, because the other
+// voters may have elected a new leader.
 func (r *Replica) Gap(ticks int) {
 	if r.role == Leader && ticks >= r.options.ElectionTicks {
 		r.becomeFollower(r.term, 0)
@@ -187,14 +192,14 @@
 	r.electionElapsed = 0
 }
 
-// Step processes a message. An error means that the log of this replica or of
-// the sender is damaged; the owner must stop using the Replica.
+// Step processes a message. An error means that the log of this replica or of the
+// sender is damaged; the owner must stop using the Replica.
 func (r *Replica) Step(m Message) error {
 	if m.To != r.options.ID {
 		return nil
 	}
 	if m.Term < r.term {
-		r.answerOldTerm(m)
+		r.replyToOldTerm(m)
 		return nil
 	}
 	if m.Term > r.term && !r.acceptNewTerm(m) {
@@ -202,9 +207,9 @@
 	}
 	switch m.Kind {
 	case PreVote, Vote:
-		r.answerVote(m)
+		r.handleVoteRequest(m)
 	case PreVoteReply, VoteReply:
-		r.countVote(m)
+		r.handleVoteReply(m)
 	case Append:
 		return r.handleAppend(m)
 	case Heartbeat:
@@ -218,16 +223,17 @@
 	case LostEntries:
 		return &LostError{Voter: m.To, Acknowledged: m.LogIndex, Last: m.Hint}
 	case TimeoutNow:
-		if m.From == r.leader && r.electable() {
+		if m.From == r.leader && r.canCampaign() {
 			r.campaign(transferContext)
 		}
 	}
 	return nil
 }
 
-// answerOldTerm tells a sender of an older term about the newer one. Without it
-// an old leader that a cut-off voter can't follow would never step down.
-func (r *Replica) answerOldTerm(m Message) {
+// replyToOldTerm informs the sender of a message of an older term about the newer
+// term. Otherwise the leader of the older term would never step down, and a voter
+// that returned from a partition with a newer term could not follow it.
+func (r *Replica) replyToOldTerm(m Message) {
 	switch m.Kind {
 	case Append, Heartbeat, InstallSnapshot:
 		r.send(Message{Kind: AppendReply, To: m.From, Reject: true})
@@ -236,13 +242,13 @@
 	}
 }
 
-// acceptNewTerm moves to the term of m where m calls for it. It reports whether
-// m is to be processed.
+// acceptNewTerm adopts the newer term of m if m requires it. It reports whether m
+// should be processed.
 func (r *Replica) acceptNewTerm(m Message) bool {
 	if m.Kind == PreVote || m.Kind == Vote {
-		forced := m.Kind == Vote && m.Context == transferContext
-		if r.leader != 0 && r.electionElapsed < r.options.ElectionTicks && !forced {
-			return false // The leader is alive, so the sender must not disturb it.
+		transfer := m.Kind == Vote && m.Context == transferContext
+		if r.leader != 0 && r.electionElapsed < r.options.ElectionTicks && !transfer {
+			return false // The leader is alive, so the sender must not disrupt it.
 		}
 	}
 	if m.Kind == PreVote || m.Kind == PreVoteReply && !m.Reject {
@@ -256,7 +262,7 @@
 	return true
 }
 
-// Effects returns what is to be done since the last call.
+// Effects returns the actions that resulted from all inputs since the last call.
 func (r *Replica) Effects() Effects {
 	if r.role == Leader {
 		r.broadcast()
@@ -269,18 +275,19 @@
 		e.Entries = rest[:len(rest):len(rest)]
 	}
 	e.State = State{Term: r.term, Vote: r.vote, Commit: r.log.commit}
-	elected := e.State.Term != r.saved.Term || e.State.Vote != r.saved.Vote
-	e.MustSync = elected || len(e.Entries) > 0 || e.Snapshot != nil
+	termOrVoteChanged := e.State.Term != r.saved.Term || e.State.Vote != r.saved.Vote
+	e.MustSync = termOrVoteChanged || len(e.Entries) > 0 || e.Snapshot != nil
 	e.SaveState = e.MustSync
-	if r.log.handed < r.log.commit {
-		e.Committed = r.log.entries[r.log.handed-r.log.base : r.log.commit-r.log.base]
+	if r.log.delivered < r.log.commit {
+		e.Committed = r.log.entries[r.log.delivered-r.log.base : r.log.commit-r.log.base]
 		e.Committed = e.Committed[:len(e.Committed):len(e.Committed)]
-		r.log.handed = r.log.commit
+		r.log.delivered = r.log.commit
 	}
 	return e
 }
 
-// Synced tells that the snapshot, entries and state of e are synced.
+// Synced reports to the replica that the snapshot, entries and state of e are
+// synced.
 func (r *Replica) Synced(e Effects) {
 	if n := len(e.Entries); n > 0 {
 		last := e.Entries[n-1]
@@ -293,18 +300,18 @@
 	}
 	switch r.role {
 	case Candidate:
-		r.countOwnVote()
+		r.recordOwnVote()
 	case Leader:
 		r.advanceCommit()
 	}
 }
 
-// Status returns a copy of the state.
+// Status returns a copy of the replica's state.
 func (r *Replica) Status() Status {
 	s := Status{
 		ID: r.options.ID, Role: r.role, Term: r.term, Leader: r.leader,
 		Commit: r.log.commit, Last: r.log.last(),
-		Voters: append([]Voter(nil), r.voters()...),
+		Voters: append([]Voter(nil), r.members()...),
 	}
 	if r.role == Leader {
 		s.Progress = r.progressList()
@@ -312,27 +319,28 @@
 	return s
 }
 
-// Leader returns the leader that the replica knows of, or 0.
+// Leader returns the current leader as far as the replica knows, or 0.
 func (r *Replica) Leader() quorum.VoterID { return r.leader }
 
 // Term returns the current term.
 func (r *Replica) Term() quorum.Term { return r.term }
 
-// Voter returns a member by its id.
+// Voter returns the member with the given ID.
 func (r *Replica) Voter(id quorum.VoterID) (Voter, bool) {
-	return find(r.voters(), id)
+	return findMember(r.members(), id)
 }
 
-// MakeSnapshot returns a snapshot of all entries that Effects handed out, with
-// the given state of the state machine.
+// MakeSnapshot returns a snapshot that covers all committed entries that Effects
+// has returned, with the given state of the state machine.
 func (r *Replica) MakeSnapshot(state []byte) Snapshot {
-	i := r.log.handed
+	i := r.log.delivered
 	t, _ := r.log.term(i)
-	return Snapshot{Index: i, Term: t, Voters: r.votersAt(i), State: state}
+	return Snapshot{Index: i, Term: t, Voters: r.membersAt(i), State: state}
 }
 
-// Compact replaces the entries up to s by s, which must be stored. It keeps the
-// given number of entries before s, so that slow members need no snapshot.
+// Compact drops entries that the snapshot s covers. The snapshot must be stored
+// already. Compact keeps the given number of entries before s, so that slow
+// members don't need the snapshot.
 func (r *Replica) Compact(s Snapshot, keep int) {
 	if s.Index <= r.snapshot.Index {
 		return
@@ -344,7 +352,7 @@
 	}
 }
 
-// Retained returns the entries that the log still holds.
+// Retained returns the entries that are still in the log.
 func (r *Replica) Retained() []Entry {
 	return r.log.entries[:len(r.log.entries):len(r.log.entries)]
 }
@@ -358,16 +366,16 @@
 	r.role = Follower
 	r.leader = leader
 	r.progress = nil
-	r.transfer = 0
+	r.transferee = 0
 	r.resetTimer()
 }
 
 func (r *Replica) resetTimer() {
 	r.electionElapsed = 0
-	r.timeout = r.options.ElectionTicks + r.random.IntN(r.options.ElectionTicks)
+	r.electionTimeout = r.options.ElectionTicks + r.random.IntN(r.options.ElectionTicks)
 }
 
-// send queues a message that depends on synced state.
+// send queues a message that must not be sent before the state is synced.
 func (r *Replica) send(m Message) {
 	m.From = r.options.ID
 	if m.Term == 0 {
@@ -376,9 +384,9 @@
 	r.pending.Messages = append(r.pending.Messages, m)
 }
 
-// sendEarly queues a message of the leader, whose term was synced before its
-// election.
-func (r *Replica) sendEarly(m Message) {
+// sendImmediate queues a message that may be sent before the state is synced. Only
+// the leader uses it, because its term was synced before its election.
+func (r *Replica) sendImmediate(m Message) {
 	m.From = r.options.ID
 	m.Term = r.term
 	r.pending.Early = append(r.pending.Early, m)
--- a/internal/quorum/replica/replica_test.go
+++ b/internal/quorum/replica/replica_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// lead returns a replica that leads three voters in term 2, with one entry of
-// term 1 that it has not replicated.
-func lead(is *is.I) *Replica {
+// newLeader returns the leader of three voters in term 2, with one entry of term 1
+// that is not replicated yet.
+func newLeader(is *is.I) *Replica {
 	voters := []Voter{{ID: 1}, {ID: 2}, {ID: 3}}
 	old := []Entry{{Kind: Command, Term: 1, Index: 1, Data: []byte("old")}}
 	r, err := New(Options{ID: 1}, State{Term: 1}, Snapshot{Voters: voters}, old)
@@ -17,16 +17,16 @@
 	for r.role == Follower {
 		r.Tick()
 	}
-	settle(r)
+	syncEffects(r)
 	is.NoErr(r.Step(Message{Kind: PreVoteReply, From: 2, To: 1, Term: 2}))
-	settle(r)
+	syncEffects(r)
 	is.NoErr(r.Step(Message{Kind: VoteReply, From: 2, To: 1, Term: 2}))
-	settle(r)
+	syncEffects(r)
 	is.Equal(r.role, Leader)
 	return r
 }
 
-func settle(r *Replica) {
+func syncEffects(r *Replica) {
 	for e := r.Effects(); !e.Empty(); e = r.Effects() {
 		r.Synced(e)
 	}
@@ -34,15 +34,15 @@
 
 func acknowledge(is *is.I, r *Replica, i quorum.Index) {
 	is.NoErr(r.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, LogIndex: i}))
-	settle(r)
+	syncEffects(r)
 }
 
-// TestCommitOfOlderTerm guards against an entry of an older term that is taken
-// for committed because a majority holds it: a later leader without it could
+// TestCommitOfOlderTerm guards against an entry of an older term that counts as
+// committed because a majority holds it: a later leader without the entry could
 // still replace it.
 func TestCommitOfOlderTerm(t *testing.T) {
 	is := is.New(t)
-	r := lead(is)
+	r := newLeader(is)
 	acknowledge(is, r, 1)
 	is.Equal(r.Status().Commit, quorum.Index(0))
 	acknowledge(is, r, 2)
@@ -50,25 +50,27 @@
 }
 
 // TestOneChangeAtATime guards against membership changes whose majorities don't
-// overlap: before the leader's first commit, and while another is under way.
+// overlap: a change before the leader's first commit, and a change while another
+// one is uncommitted.
 func TestOneChangeAtATime(t *testing.T) {
 	is := is.New(t)
-	r := lead(is)
+	r := newLeader(is)
 	_, _, err := r.ProposeChange(Change{Kind: AddLearner, Voter: Voter{ID: 4}})
-	is.Equal(err, ErrChanging)
+	is.Equal(err, ErrChangePending)
 	acknowledge(is, r, 2)
 	_, _, err = r.ProposeChange(Change{Kind: AddLearner, Voter: Voter{ID: 4}})
 	is.NoErr(err)
 	_, _, err = r.ProposeChange(Change{Kind: AddLearner, Voter: Voter{ID: 5}})
-	is.Equal(err, ErrChanging)
+	is.Equal(err, ErrChangePending)
 	_, _, err = r.ProposeChange(Change{Kind: Promote, Voter: Voter{ID: 4}})
-	is.Equal(err, ErrChanging)
+	is.Equal(err, ErrChangePending)
 	acknowledge(is, r, 3)
 	_, _, err = r.ProposeChange(Change{Kind: Promote, Voter: Voter{ID: 4}})
-	is.Equal(err, ErrNotReached) // The learner has not answered.
+	is.Equal(err, ErrNotCaughtUp) // The learner has not answered.
 }
 
-// TestVoteOfNewestLog guards against a vote for a candidate that lacks entries.
+// TestVoteOfNewestLog guards against a vote for a candidate whose log is not
+// up-to-date.
 func TestVoteOfNewestLog(t *testing.T) {
 	is := is.New(t)
 	r, err := New(Options{ID: 1}, State{Term: 3}, Snapshot{Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}},
--- a/internal/quorum/replica/types.go
+++ b/internal/quorum/replica/types.go
@@ -7,7 +7,7 @@
 
 //go:generate ../../../bin/stringer -type=Role,MessageKind,EntryKind,ChangeKind -linecomment -output=names_string.go
 
-// Role is the part that a replica plays in its group.
+// Role is the role of a replica in its group.
 type Role int
 
 // The roles.
@@ -18,7 +18,7 @@
 	Leader                   // leader
 )
 
-// MessageKind is the kind of a Message. The values are those of
+// MessageKind is the kind of a Message. Its values equal those of
 // peerv1.MessageKind.
 type MessageKind int
 
@@ -38,21 +38,21 @@
 	LostEntries                        // lostEntries
 )
 
-// EntryKind is the kind of an Entry. The values are those of peerv1.EntryKind.
+// EntryKind is the kind of an Entry. Its values equal those of peerv1.EntryKind.
 type EntryKind int
 
 // The kinds of entries.
 const (
-	// Blank is the entry that a new leader appends to commit the entries of
-	// earlier terms.
-	Blank EntryKind = iota // blank
-	// Command holds a command of the state machine.
+	// NoOp is an entry without data that a new leader appends in order to commit
+	// the entries of earlier terms.
+	NoOp EntryKind = iota // blank
+	// Command holds a command for the state machine.
 	Command // command
-	// Membership holds an encoded list of voters.
+	// Membership holds the encoded list of all members.
 	Membership // membership
 )
 
-// Entry is one entry of the log.
+// Entry is one log entry.
 type Entry struct {
 	Kind  EntryKind
 	Term  quorum.Term
@@ -60,19 +60,22 @@
 	Data  []byte
 }
 
-// Voter is one member of a group.
+// Voter is one member of a group, either a full voter or a learner.
 type Voter struct {
 	ID       quorum.VoterID
 	Instance fleet.InstanceID
-	// Address is the host and port of the peers listener.
+	// Address is the host and port at which the member accepts connections of
+	// other daemons.
 	Address string
-	// Learner receives the log but neither votes nor counts for a commit.
+	// Learner is set for a member that receives the log but neither votes nor
+	// counts towards a majority.
 	Learner bool
-	// Replaces is the lost voter whose place the member takes, or 0.
+	// Replaces is the lost voter that the member replaces, or 0.
 	Replaces quorum.VoterID
 }
 
-// Snapshot is the state of the state machine up to Index.
+// Snapshot is the encoded state after all entries up to Index, with the members
+// at that point.
 type Snapshot struct {
 	Index  quorum.Index
 	Term   quorum.Term
@@ -80,7 +83,7 @@
 	State  []byte
 }
 
-// State is what a replica must find again after a restart, besides its log.
+// State is the state besides the log that a replica must keep across restarts.
 type State struct {
 	Term   quorum.Term
 	Vote   quorum.VoterID
@@ -92,17 +95,20 @@
 	Kind     MessageKind
 	From, To quorum.VoterID
 	Term     quorum.Term
-	// LogIndex and LogTerm name the entry before Entries, the last entry of a
-	// candidate, the last matching entry of a reply, or the rejected entry.
+	// LogIndex and LogTerm identify the entry before Entries in an Append, and the
+	// last entry of the candidate in a PreVote or Vote. In an AppendReply, LogIndex
+	// is the last matching entry or the rejected one, in a HeartbeatReply the last
+	// entry of the log.
 	LogIndex quorum.Index
 	LogTerm  quorum.Term
 	Commit   quorum.Index
 	Reject   bool
-	// Hint is the index at which a rejecting follower may match; LogTerm of the
-	// reply is its term.
+	// Hint is the highest index at which the log of a rejecting follower may match
+	// the leader's; LogTerm of the reply is the term of that entry.
 	Hint quorum.Index
-	// Context numbers heartbeats, so that a reply confirms the reads that were
-	// asked before. In a Vote, 1 marks a transfer of leadership.
+	// Context is the number of the heartbeat round. A reply with that number
+	// confirms the reads that were requested before the round. In a Vote, 1 marks
+	// a leadership transfer.
 	Context  uint64
 	Entries  []Entry
 	Snapshot *Snapshot
@@ -124,33 +130,37 @@
 	Voter Voter
 }
 
-// ReadReady tells that a read may be answered once the state machine has applied
-// Index.
+// ReadReady is a confirmed read. It may be answered once the state machine has
+// applied Index.
 type ReadReady struct {
 	ID    uint64
 	Index quorum.Index
 }
 
-// Effects is what the owner of a Replica must do, in the order of the fields.
+// Effects holds the actions that the owner of a Replica must execute, in the
+// order of the fields.
 type Effects struct {
-	// Early may be sent before Snapshot, State and Entries are synced.
+	// Early holds messages that may be sent before Snapshot, State and Entries are
+	// synced.
 	Early []Message
-	// Snapshot replaces log and state machine, when it is not nil.
+	// Snapshot replaces the log and the state of the state machine, unless it is
+	// nil.
 	Snapshot *Snapshot
-	// Entries are appended to the log. The first one cuts off entries at or
-	// after its index.
+	// Entries are appended to the log. The first one replaces all entries from its
+	// index on.
 	Entries []Entry
-	// State is to be stored when SaveState is set.
+	// State must be stored if SaveState is set.
 	State     State
 	SaveState bool
-	// MustSync tells that Messages depend on a sync of the above.
+	// MustSync is set if Messages may only be sent after the fields above have been
+	// synced.
 	MustSync bool
-	// Messages may be sent once the above is synced.
+	// Messages may be sent once the fields above are synced.
 	Messages []Message
-	// Committed are the entries to apply to the state machine.
+	// Committed holds the entries to apply to the state machine.
 	Committed []Entry
-	// Reads were confirmed by a majority. FailedReads were not, because the
-	// leadership ended.
+	// Reads holds the reads that a majority confirmed, FailedReads the IDs of those
+	// that it did not confirm before the leadership ended.
 	Reads       []ReadReady
 	FailedReads []uint64
 }
@@ -161,15 +171,15 @@
 		len(e.Messages) == 0 && len(e.Committed) == 0 && len(e.Reads) == 0 && len(e.FailedReads) == 0
 }
 
-// Progress is what a leader knows about one member.
+// Progress is the replication state of one member as seen by the leader.
 type Progress struct {
 	Voter Voter
 	// Match is the highest index that the member has synced.
 	Match quorum.Index
-	// Active tells that the member answered within the last two election timeouts.
+	// Active is set if the member answered within the last two election timeouts.
 	Active bool
-	// Lost tells that the member no longer holds entries that it had
-	// acknowledged. It counts for nothing until it is replaced.
+	// Lost is set if the member no longer holds entries that it had acknowledged.
+	// Such a member does not count towards any majority until it is replaced.
 	Lost bool
 }
 
@@ -180,7 +190,7 @@
 	Term     quorum.Term
 	Leader   quorum.VoterID
 	Commit   quorum.Index
-	Last     quorum.Index
+	Last     quorum.Index // of the last log entry
 	Voters   []Voter
-	Progress []Progress // empty unless the replica leads
+	Progress []Progress // empty unless the replica is the leader
 }
