--- a/internal/quorum/replica/leader.go
+++ b/internal/quorum/replica/leader.go
@@ -394,7 +394,8 @@
 	r.resignIfRemoved()
 }
 
-// matchIndex returns the highest index that a member has synced.
+// matchIndex returns the highest index that a member is known to have synced. It is
+// 0 for a member that lost entries.
 func (r *Replica) matchIndex(id quorum.VoterID) quorum.Index {
 	if id == r.options.ID {
 		return r.log.stable
--- a/internal/quorum/replica/log.go
+++ b/internal/quorum/replica/log.go
@@ -11,7 +11,7 @@
 	entries   []Entry
 	stable    quorum.Index
 	commit    quorum.Index
-	delivered quorum.Index // index of the last committed entry returned by Effects
+	delivered quorum.Index // committed entries up to here were returned by Effects
 }
 
 func (l *log) last() quorum.Index {
--- a/internal/quorum/replica/replica.go
+++ b/internal/quorum/replica/replica.go
@@ -111,8 +111,8 @@
 	heartbeatRound uint64 // number of the current heartbeat round
 	heartbeatDue   bool
 	reads          []pendingRead
-	deferredReads  []uint64 // IDs of reads that wait for the first commit of the term
-	transferee     quorum.VoterID
+	deferredReads  []uint64       // IDs of reads that wait for the first commit of the term
+	transferee     quorum.VoterID // target of a leadership transfer, or 0
 
 	pending Effects
 }
--- a/internal/quorum/replica/types.go
+++ b/internal/quorum/replica/types.go
@@ -104,7 +104,9 @@
 	Commit   quorum.Index
 	Reject   bool
 	// Hint is the highest index at which the log of a rejecting follower may match
-	// the leader's; LogTerm of the reply is the term of that entry.
+	// the leader's; LogTerm of the reply is the term of that entry. In a LostEntries
+	// message, LogIndex is the entry that the receiver had acknowledged and Hint the
+	// last one that it holds.
 	Hint quorum.Index
 	// Context is the number of the heartbeat round. A reply with that number
 	// confirms the reads that were requested before the round. In a Vote, 1 marks
