--- a/internal/quorum/voter/bench_test.go
+++ b/internal/quorum/voter/bench_test.go
@@ -12,50 +12,50 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum/replica"
 )
 
-// nothing is a state machine without state, so that the benchmarks measure the
-// log alone.
-type nothing struct{}
+// noopMachine is a state machine without state, so that the benchmarks measure only
+// the log.
+type noopMachine struct{}
 
-func (nothing) Apply(quorum.Index, []byte) []byte { return nil }
-func (nothing) Snapshot() ([]byte, error)         { return nil, nil }
-func (nothing) Restore([]byte) error              { return nil }
-func (nothing) Query([]byte) []byte               { return nil }
+func (noopMachine) Apply(quorum.Index, []byte) []byte { return nil }
+func (noopMachine) Snapshot() ([]byte, error)         { return nil, nil }
+func (noopMachine) Restore([]byte) error              { return nil }
+func (noopMachine) Query([]byte) []byte               { return nil }
 
-func benchSite(b *testing.B) (*site, *Client) {
-	s := newSite(b, 3)
-	s.machine = func() quorum.Reader { return nothing{} }
+func newBenchCluster(b *testing.B) (*testCluster, *Client) {
+	tc := newTestCluster(b, 3)
+	tc.machine = func() quorum.Reader { return noopMachine{} }
 	for i := range 3 {
-		s.start(i)
+		tc.start(i)
 	}
-	c, err := NewClient(Instance("client", ""), Initial(s.peers...))
-	s.is.NoErr(err)
+	c, err := NewClient(Instance("client", ""), Initial(tc.peers...))
+	tc.is.NoErr(err)
 	b.Cleanup(c.Close)
 	_, err = c.Propose(context.Background(), quorum.ConfigGroup, make([]byte, 256))
-	s.is.NoErr(err)
-	return s, c
+	tc.is.NoErr(err)
+	return tc, c
 }
 
-// BenchmarkLatency measures one proposal at a time over three voters on loopback
-// with real syncs.
+// BenchmarkLatency measures sequential proposals to three voters on the loopback
+// interface, with real syncs.
 func BenchmarkLatency(b *testing.B) {
-	s, c := benchSite(b)
+	tc, c := newBenchCluster(b)
 	command := make([]byte, 256)
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for b.Loop() {
 		start := time.Now()
 		_, err := c.Propose(context.Background(), quorum.ConfigGroup, command)
-		s.is.NoErr(err)
+		tc.is.NoErr(err)
 		_ = h.RecordValue(time.Since(start).Microseconds())
 	}
 	b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50-µs")
 	b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99-µs")
 }
 
-// BenchmarkProposals measures proposals from many callers at once.
+// BenchmarkProposals measures concurrent proposals from many callers.
 func BenchmarkProposals(b *testing.B) {
 	for _, callers := range []int{16, 256} {
 		b.Run(fmt.Sprint("callers=", callers), func(b *testing.B) {
-			_, c := benchSite(b)
+			_, c := newBenchCluster(b)
 			command := make([]byte, 256)
 			b.SetParallelism(max(1, callers/10))
 			b.ResetTimer()
@@ -72,12 +72,12 @@
 	}
 }
 
-// BenchmarkReads measures reads that a majority confirms, one at a time.
+// BenchmarkReads measures sequential reads, each confirmed by a majority.
 func BenchmarkReads(b *testing.B) {
-	s, c := benchSite(b)
+	tc, c := newBenchCluster(b)
 	for b.Loop() {
 		_, err := c.Read(context.Background(), quorum.ConfigGroup, nil)
-		s.is.NoErr(err)
+		tc.is.NoErr(err)
 	}
 }
 
@@ -85,7 +85,7 @@
 // entries, on a real disk.
 func BenchmarkRestart(b *testing.B) {
 	c := memberConfig{
-		group: "bench", machine: nothing{}, disk: journal.OS{}, dir: b.TempDir(),
+		group: "bench", machine: noopMachine{}, disk: journal.OS{}, dir: b.TempDir(),
 		options: replica.Options{ID: 1}, initial: []replica.Voter{{ID: 1}}, snapshotEntries: 10000, send: func(replica.Message) {},
 	}
 	m, err := openMember(c)
@@ -115,8 +115,8 @@
 	}
 }
 
-// BenchmarkElection measures the ticks from the loss of a leader to the next one,
-// in election timeouts, over a network that delivers at once.
+// BenchmarkElection measures the time from the loss of a leader to the election of
+// the next one, in election timeouts, over a network without delay.
 func BenchmarkElection(b *testing.B) {
 	for _, voters := range []int{3, 5} {
 		b.Run(fmt.Sprint("voters=", voters), func(b *testing.B) {
@@ -124,10 +124,10 @@
 			seed := uint64(0)
 			for b.Loop() {
 				seed++
-				w := newWorld(seed, voters)
-				ticksToLeader(w)
-				w.leader().kill(false)
-				_ = h.RecordValue(int64(ticksToLeader(w)))
+				sim := newSimulation(seed, voters)
+				ticksToLeader(sim)
+				sim.leader().kill(false)
+				_ = h.RecordValue(int64(ticksToLeader(sim)))
 			}
 			b.ReportMetric(float64(h.ValueAtQuantile(50))/electionTicks, "p50-timeouts")
 			b.ReportMetric(float64(h.ValueAtQuantile(99))/electionTicks, "p99-timeouts")
@@ -135,11 +135,13 @@
 	}
 }
 
-func ticksToLeader(w *world) int {
+// ticksToLeader runs the simulation until a leader is elected, and returns the
+// number of ticks.
+func ticksToLeader(sim *simulation) int {
 	for n := 1; ; n++ {
-		w.passTime()
-		w.deliverAll()
-		if w.leader() != nil {
+		sim.tickAll()
+		sim.deliverAll()
+		if sim.leader() != nil {
 			return n
 		}
 	}
--- a/internal/quorum/voter/client.go
+++ b/internal/quorum/voter/client.go
@@ -16,41 +16,42 @@
 	"google.golang.org/grpc/status"
 )
 
-// retryPause is the time between two rounds over all voters.
-const retryPause = 50 * time.Millisecond
+// retryBackoff is the pause between two rounds in which all voters were tried.
+const retryBackoff = 50 * time.Millisecond
 
-// Client implements quorum.Proposer for a daemon without a data folder. It
-// follows the hints of voters to the leader. A proposal is sent again only when
-// the attempt before was certainly not applied.
+// Client implements quorum.Proposer for a daemon without a data folder. It follows
+// the leader hints of voters. A proposal is sent again only if the previous attempt
+// was certainly not applied.
 //
-//	c, err := voter.NewClient(voter.Instance(id, ""), voter.Initial(peers...))
+//	c, err := voter.NewClient(voter.Instance(id, ""), voter.InitialVoters(peers...))
 //	reply, err := c.Propose(ctx, quorum.ConfigGroup, command)
 type Client struct {
 	config *config
 	conns  *connections
-	// local answers for the own instance of a Voter. It is nil in a Client
-	// without a voter.
-	local func(ctx context.Context, c call) ([]byte, error)
-	// others returns the voters that a Voter has heard from. It is nil in a Client
-	// without a voter.
-	others  func() []Peer
-	mu      sync.Mutex
-	leaders map[quorum.GroupID]Peer
-	// silent are the addresses that did not answer a call in time. They are asked
-	// last, until they answer again.
-	silent map[quorum.GroupID]string
+	// local runs a request on the replica of the Voter that owns the Client. It is
+	// nil in a Client without a Voter.
+	local func(ctx context.Context, req request) ([]byte, error)
+	// knownPeers returns the voters that have sent messages to the Voter that owns
+	// the Client. It is nil in a Client without a Voter.
+	knownPeers func() []Peer
+	mu         sync.Mutex
+	leaders    map[quorum.GroupID]Peer
+	// unresponsive holds for each group the address whose last request ended with an
+	// unknown outcome, such as a timeout. It is tried last until it answers again.
+	unresponsive map[quorum.GroupID]string
 }
 
 var _ quorum.Proposer = (*Client)(nil)
 
-// call is one proposal or read.
-type call struct {
+// request is a proposal or a read.
+type request struct {
 	group quorum.GroupID
 	data  []byte
 	read  bool
 }
 
-// NewClient returns a Client that asks the voters of Initial.
+// NewClient returns a Client that sends its requests to the voters of InitialVoters
+// and the addresses of Contacts.
 func NewClient(options ...Option) (*Client, error) {
 	c, err := newConfig(options)
 	if err != nil {
@@ -63,26 +64,26 @@
 }
 
 func newClient(c *config, conns *connections) *Client {
-	return &Client{config: c, conns: conns, leaders: make(map[quorum.GroupID]Peer), silent: make(map[quorum.GroupID]string)}
+	return &Client{config: c, conns: conns, leaders: make(map[quorum.GroupID]Peer), unresponsive: make(map[quorum.GroupID]string)}
 }
 
-// Propose hands a command to the leader of a group.
+// Propose forwards a command to the leader of a group.
 func (c *Client) Propose(ctx context.Context, g quorum.GroupID, command []byte) ([]byte, error) {
 	if len(command) > MaxCommandBytes {
 		return nil, refusal.New(refusal.TooLarge, "command has %d bytes, more than %d", len(command), MaxCommandBytes)
 	}
-	return c.run(ctx, call{group: g, data: command})
+	return c.run(ctx, request{group: g, data: command})
 }
 
-// Read hands a query to the leader of a group.
+// Read forwards a query to the leader of a group.
 func (c *Client) Read(ctx context.Context, g quorum.GroupID, query []byte) ([]byte, error) {
-	return c.run(ctx, call{group: g, data: query, read: true})
+	return c.run(ctx, request{group: g, data: query, read: true})
 }
 
 // Close closes the connections.
 func (c *Client) Close() { c.conns.close() }
 
-func (c *Client) run(ctx context.Context, k call) ([]byte, error) {
+func (c *Client) run(ctx context.Context, req request) ([]byte, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, DefaultTimeout)
@@ -91,39 +92,40 @@
 	var err error
 	for round := 0; ctx.Err() == nil; round++ {
 		var reply []byte
-		if reply, err = c.round(ctx, k); err == nil || !mayRetry(k, err) {
+		if reply, err = c.tryVoters(ctx, req); err == nil || !mayRetry(req, err) {
 			return reply, err
 		}
 		select {
 		case <-ctx.Done():
-		case <-c.config.clock.After(retryPause):
+		case <-c.config.clock.After(retryBackoff):
 		}
 	}
 	if err == nil {
 		err = ctx.Err()
 	}
-	return nil, refusal.Because(refusal.NotReady, err, "group %q has no leader in reach", k.group)
+	return nil, refusal.Because(refusal.NotReady, err, "group %q has no leader in reach", req.group)
 }
 
-// round asks the supposed leader and then all voters, until one answers.
-func (c *Client) round(ctx context.Context, k call) ([]byte, error) {
+// tryVoters sends a request to the last known leader and then to all voters, until
+// one answers or a retry is not allowed.
+func (c *Client) tryVoters(ctx context.Context, req request) ([]byte, error) {
 	var err error
 	asked := make(map[string]bool)
-	for _, p := range c.order(k.group) {
+	for _, p := range c.candidates(req.group) {
 		for p.Address != "" && !asked[p.Address] && ctx.Err() == nil {
 			asked[p.Address] = true
 			var reply []byte
-			if reply, err = c.ask(ctx, p, k); err == nil {
-				c.remember(k.group, p)
+			if reply, err = c.attempt(ctx, p, req); err == nil {
+				c.recordLeader(req.group, p)
 				return reply, nil
 			}
 			if refusal.KindOf(err) == refusal.OutcomeUnknown {
-				c.avoid(k.group, p)
+				c.markUnresponsive(req.group, p)
 			}
-			if !mayRetry(k, err) {
+			if !mayRetry(req, err) {
 				return nil, err
 			}
-			p = c.follow(k.group, err)
+			p = c.followHint(req.group, err)
 		}
 	}
 	if err == nil {
@@ -132,12 +134,12 @@
 	return nil, err
 }
 
-// order returns the supposed leader, the own instance and the other voters. A
-// silent one comes last.
-func (c *Client) order(g quorum.GroupID) []Peer {
+// candidates returns the last known leader, this instance if it has a voter, and the
+// other voters, in the order in which they are tried. The unresponsive one comes last.
+func (c *Client) candidates(g quorum.GroupID) []Peer {
 	c.mu.Lock()
 	leader, ok := c.leaders[g]
-	silent := c.silent[g]
+	unresponsive := c.unresponsive[g]
 	c.mu.Unlock()
 	var ps []Peer
 	if ok {
@@ -148,11 +150,11 @@
 	}
 	ps = append(ps, c.config.initial...)
 	ps = append(ps, c.config.contacts...)
-	if c.others != nil {
-		ps = append(ps, c.others()...)
+	if c.knownPeers != nil {
+		ps = append(ps, c.knownPeers()...)
 	}
 	slices.SortStableFunc(ps, func(a, b Peer) int {
-		return rank(a.Address == silent) - rank(b.Address == silent)
+		return rank(a.Address == unresponsive) - rank(b.Address == unresponsive)
 	})
 	return ps
 }
@@ -164,82 +166,85 @@
 	return 0
 }
 
-// avoid forgets a leader that did not answer. A frozen leader, or one whose
-// answers are lost, would otherwise be asked first by every later call, although
-// the others have elected another one.
-func (c *Client) avoid(g quorum.GroupID, p Peer) {
+// markUnresponsive drops the cached leader after p did not answer, and has p tried
+// last. A frozen leader, or one whose answers are lost, would otherwise be tried
+// first by every later request, although the others have elected a new leader.
+func (c *Client) markUnresponsive(g quorum.GroupID, p Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.leaders, g)
-	c.silent[g] = p.Address
+	c.unresponsive[g] = p.Address
 }
 
-func (c *Client) remember(g quorum.GroupID, p Peer) {
+// recordLeader caches a voter that answered as the leader of a group.
+func (c *Client) recordLeader(g quorum.GroupID, p Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leaders[g] = p
-	if c.silent[g] == p.Address {
-		delete(c.silent, g)
+	if c.unresponsive[g] == p.Address {
+		delete(c.unresponsive, g)
 	}
 }
 
-// follow returns the leader that an error names, or the zero value.
-func (c *Client) follow(g quorum.GroupID, err error) Peer {
-	var h *leaderHint
+// followHint returns the leader that an error names and caches it. If the error
+// names none, it drops the cached leader and returns the zero value.
+func (c *Client) followHint(g quorum.GroupID, err error) Peer {
+	var hint *leaderHint
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !errors.As(err, &h) {
+	if !errors.As(err, &hint) {
 		delete(c.leaders, g)
 		return Peer{}
 	}
-	p := Peer{Instance: h.instance, Address: h.address}
+	p := Peer{Instance: hint.instance, Address: hint.address}
 	c.leaders[g] = p
 	return p
 }
 
-// mayRetry reports whether an attempt that failed may be repeated.
-func mayRetry(k call, err error) bool {
+// mayRetry reports whether a request may be sent again after an attempt failed with
+// err. A read may be repeated even if its outcome is unknown.
+func mayRetry(req request, err error) bool {
 	kind := refusal.KindOf(err)
-	return kind == refusal.NotReady || kind == refusal.Stopping || k.read && kind == refusal.OutcomeUnknown
+	return kind == refusal.NotReady || kind == refusal.Stopping || req.read && kind == refusal.OutcomeUnknown
 }
 
-// ask makes one attempt. An error of kind NotReady means that the command was
-// certainly not applied.
-func (c *Client) ask(ctx context.Context, p Peer, k call) ([]byte, error) {
+// attempt sends a request to one voter. An error of kind refusal.NotReady means that
+// the command was certainly not applied.
+func (c *Client) attempt(ctx context.Context, p Peer, req request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.attemptTimeout)
 	defer cancel()
 	if c.local != nil && p.Instance == c.config.instance {
-		return c.local(ctx, k)
+		return c.local(ctx, req)
 	}
 	if c.config.cut(c.config.instance, p.Instance) {
 		return nil, refusal.New(refusal.NotReady, "link to instance %q is cut", p.Instance)
 	}
 	conn, err := c.conns.ready(ctx, p.Address)
 	if err != nil {
-		return nil, refusal.Because(refusal.NotReady, err, "group %q", k.group)
+		return nil, refusal.Because(refusal.NotReady, err, "group %q", req.group)
 	}
-	reply, refused, err := invoke(ctx, conn, k)
+	reply, refused, err := invoke(ctx, conn, req)
 	if err == nil && c.config.cut(p.Instance, c.config.instance) {
-		return nil, unknown(k.group, "the reply was lost")
+		return nil, outcomeUnknown(req.group, "the reply was lost")
 	}
 	if err != nil {
-		return nil, transportError(k.group, err)
+		return nil, transportError(req.group, err)
 	}
 	return reply, refusalFromProto(refused)
 }
 
-func invoke(ctx context.Context, conn *grpc.ClientConn, k call) ([]byte, *peerv1.Refusal, error) {
+func invoke(ctx context.Context, conn *grpc.ClientConn, req request) ([]byte, *peerv1.Refusal, error) {
 	client := peerv1.NewPeerClient(conn)
-	if k.read {
-		r, err := client.Read(ctx, &peerv1.ReadRequest{Group: string(k.group), Query: k.data})
+	if req.read {
+		r, err := client.Read(ctx, &peerv1.ReadRequest{Group: string(req.group), Query: req.data})
 		return r.GetReply(), r.GetRefusal(), err
 	}
-	r, err := client.Propose(ctx, &peerv1.ProposeRequest{Group: string(k.group), Command: k.data})
+	r, err := client.Propose(ctx, &peerv1.ProposeRequest{Group: string(req.group), Command: req.data})
 	return r.GetReply(), r.GetRefusal(), err
 }
 
-// transportError classifies a failed call over an established connection. Only a
-// daemon that does not serve the method has certainly not run it.
+// transportError classifies the error of a call over an established connection. The
+// call was certainly not run only if the peer does not implement the method.
 func transportError(g quorum.GroupID, err error) error {
 	if status.Code(err) == codes.Unimplemented {
 		return refusal.Because(refusal.NotReady, err, "group %q", g)
@@ -252,9 +257,9 @@
 		return nil
 	}
 	r := &peerv1.Refusal{Code: refusal.KindOf(err).Answer().Code, Message: err.Error()}
-	var h *leaderHint
-	if errors.As(err, &h) {
-		r.Leader, r.LeaderInstance = h.address, string(h.instance)
+	var hint *leaderHint
+	if errors.As(err, &hint) {
+		r.Leader, r.LeaderInstance = hint.address, string(hint.instance)
 	}
 	return r
 }
@@ -263,14 +268,14 @@
 	if r == nil {
 		return nil
 	}
-	e := refusal.New(kindOfCode(r.GetCode()), "%s", r.GetMessage())
+	e := refusal.New(kindFromCode(r.GetCode()), "%s", r.GetMessage())
 	if r.GetLeader() == "" {
 		return e
 	}
 	return &leaderHint{refusal: e, address: r.GetLeader(), instance: fleet.InstanceID(r.GetLeaderInstance())}
 }
 
-func kindOfCode(code string) refusal.Kind {
+func kindFromCode(code string) refusal.Kind {
 	for _, k := range refusal.Kinds() {
 		if k.Answer().Code == code {
 			return k
--- a/internal/quorum/voter/client_test.go
+++ b/internal/quorum/voter/client_test.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// fakePeer answers proposals by a function.
+// fakePeer answers proposals and reads with functions, and counts the calls.
 type fakePeer struct {
 	peerv1.UnimplementedPeerServer
 	propose func() (*peerv1.ProposeReply, error)
@@ -47,12 +47,12 @@
 	return Peer{Instance: fleet.InstanceID(l.Addr().String()), Address: l.Addr().String()}
 }
 
-// TestClientRetries guards against a command that is sent twice although the
-// first attempt may have been applied, and against a read or a refused command
-// that is given up too early.
+// TestClientRetries guards against a command that is sent again although the first
+// attempt may have been applied, and against a client that does not retry a read or
+// a refused command.
 func TestClientRetries(t *testing.T) {
 	is := is.New(t)
-	lost := &fakePeer{
+	disconnecting := &fakePeer{
 		propose: func() (*peerv1.ProposeReply, error) { return nil, status.Error(codes.Unavailable, "connection lost") },
 		read:    func() (*peerv1.ReadReply, error) { return nil, status.Error(codes.Unavailable, "connection lost") },
 	}
@@ -60,28 +60,28 @@
 		propose: func() (*peerv1.ProposeReply, error) { return &peerv1.ProposeReply{Reply: []byte("applied")}, nil },
 		read:    func() (*peerv1.ReadReply, error) { return &peerv1.ReadReply{Reply: []byte("value")}, nil },
 	}
-	at := serve(t, is, leader)
+	leaderPeer := serve(t, is, leader)
 	follower := &fakePeer{propose: func() (*peerv1.ProposeReply, error) {
 		return &peerv1.ProposeReply{Refusal: &peerv1.Refusal{
-			Code: refusal.NotReady.Answer().Code, Leader: at.Address, LeaderInstance: string(at.Instance),
+			Code: refusal.NotReady.Answer().Code, Leader: leaderPeer.Address, LeaderInstance: string(leaderPeer.Instance),
 		}}, nil
 	}}
-	dead := Peer{Instance: "dead", Address: "127.0.0.1:1"}
+	unreachable := Peer{Instance: "dead", Address: "127.0.0.1:1"}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 
-	c, err := NewClient(Instance("client", ""), Initial(dead, serve(t, is, lost), at))
+	c, err := NewClient(Instance("client", ""), Initial(unreachable, serve(t, is, disconnecting), leaderPeer))
 	is.NoErr(err)
 	defer c.Close()
 	_, err = c.Propose(ctx, quorum.ConfigGroup, []byte("command"))
 	is.Equal(refusal.KindOf(err), refusal.OutcomeUnknown)
-	is.Equal(lost.calls.Load(), int64(1))
+	is.Equal(disconnecting.calls.Load(), int64(1))
 	is.Equal(leader.calls.Load(), int64(0))
 	reply, err := c.Read(ctx, quorum.ConfigGroup, nil)
 	is.NoErr(err)
 	is.Equal(string(reply), "value")
 
-	c, err = NewClient(Instance("client", ""), Initial(dead, serve(t, is, follower)))
+	c, err = NewClient(Instance("client", ""), Initial(unreachable, serve(t, is, follower)))
 	is.NoErr(err)
 	defer c.Close()
 	reply, err = c.Propose(ctx, quorum.ConfigGroup, []byte("command"))
@@ -92,8 +92,8 @@
 	is.Equal(refusal.KindOf(err), refusal.TooLarge)
 }
 
-// TestNoLeader guards against an unknown outcome where it is certain that nothing
-// was applied.
+// TestNoLeader guards against a client that reports an unknown outcome although the
+// command was certainly not applied.
 func TestNoLeader(t *testing.T) {
 	is := is.New(t)
 	c, err := NewClient(Instance("client", ""), Initial(Peer{Instance: "dead", Address: "127.0.0.1:1"}))
@@ -105,14 +105,14 @@
 	is.Equal(refusal.KindOf(err), refusal.NotReady)
 }
 
-// TestChunks guards against a snapshot that is put together wrongly.
+// TestChunks guards against a snapshot that differs after it was sent in chunks.
 func TestChunks(t *testing.T) {
 	is := is.New(t)
-	for _, n := range []int{0, 1, chunkBytes, chunkBytes + 1, 3*chunkBytes + 7} {
+	for _, n := range []int{0, 1, maxChunkBytes, maxChunkBytes + 1, 3*maxChunkBytes + 7} {
 		state := bytes.Repeat([]byte("abcdefg"), n/7+1)[:n]
 		m := replica.Message{Kind: replica.InstallSnapshot, Snapshot: &replica.Snapshot{Index: 5, State: state}}
-		var a assembler
-		ps := chunks(m)
+		var a snapshotAssembler
+		ps := splitSnapshot(m)
 		for _, p := range ps[:len(ps)-1] {
 			is.True(!a.add(p))
 		}
@@ -122,28 +122,28 @@
 	}
 }
 
-// TestOneWayCut guards against a leader that is cut in one direction and holds up
-// the group, through the whole stack.
+// TestOneWayCut guards against a leader that blocks the group while its link is cut
+// in one direction. It uses real voters, including transport and journal.
 func TestOneWayCut(t *testing.T) {
-	s := newSite(t, 3)
+	tc := newTestCluster(t, 3)
 	for i := range 3 {
-		s.start(i)
+		tc.start(i)
 	}
-	c, err := NewClient(Instance("client", ""), Initial(s.peers...))
-	s.is.NoErr(err)
+	c, err := NewClient(Instance("client", ""), Initial(tc.peers...))
+	tc.is.NoErr(err)
 	defer c.Close()
 	for i := range 3 {
 		cuts := make(map[[2]fleet.InstanceID]bool)
-		for _, p := range s.peers {
-			cuts[[2]fleet.InstanceID{p.Instance, s.peers[i].Instance}] = true
+		for _, p := range tc.peers {
+			cuts[[2]fleet.InstanceID{p.Instance, tc.peers[i].Instance}] = true
 		}
-		s.propose(c, "before "+string(s.peers[i].Instance))
-		s.cut.Store(&cuts)
-		s.propose(c, "to "+string(s.peers[i].Instance))
-		s.cut.Store(&map[[2]fleet.InstanceID]bool{})
-		s.propose(s.nodes[i].voter, "after "+string(s.peers[i].Instance))
+		tc.propose(c, "before "+string(tc.peers[i].Instance))
+		tc.cut.Store(&cuts)
+		tc.propose(c, "to "+string(tc.peers[i].Instance))
+		tc.cut.Store(&map[[2]fleet.InstanceID]bool{})
+		tc.propose(tc.instances[i].voter, "after "+string(tc.peers[i].Instance))
 	}
 	reply, err := c.Read(context.Background(), quorum.ConfigGroup, nil)
-	s.is.NoErr(err)
-	s.is.Equal(string(reply), "9")
+	tc.is.NoErr(err)
+	tc.is.Equal(string(reply), "9")
 }
--- a/internal/quorum/voter/form.go
+++ b/internal/quorum/voter/form.go
@@ -15,87 +15,97 @@
 )
 
 const (
-	formPause = 200 * time.Millisecond
-	// settlePauses bounds the wait for the others to settle, in formPause.
-	settlePauses = 25
-	// lonelyPauses is the number of pauses without a leader after which a voter asks
-	// whether it is still a member. Elections take less.
-	lonelyPauses = 8
-	joinPause    = 300 * time.Millisecond
+	// bootstrapPollInterval is the pause between two rounds of Identify calls.
+	bootstrapPollInterval = 200 * time.Millisecond
+	// maxBootstrapPolls is the number of rounds for which a voter that knows its id
+	// waits for the other voters to know theirs.
+	maxBootstrapPolls = 25
+	// maxLeaderlessPolls is the number of successive checks without a leader after
+	// which a voter asks to join again, in case it was removed. Elections take less
+	// time. The request has no effect if the voter is still a member.
+	maxLeaderlessPolls = 8
+	// joinPollInterval is the pause between two checks of the own membership.
+	joinPollInterval = 300 * time.Millisecond
 )
 
-// form finds out under which id this folder takes part, and starts the groups.
+// bootstrap determines the voter id of this data folder and starts the groups.
 //
-// A voter that knows its id waits a while for the others to know theirs: a voter
-// that does not yet would have to wait for one that is lost meanwhile.
-func (v *Voter) form() error {
+// A voter that knows its id waits for the others to know theirs, for at most
+// maxBootstrapPolls rounds: a voter without an id needs the answers of all others,
+// and would have to wait for one that is lost in the meantime.
+func (v *Voter) bootstrap() error {
 	k := slices.IndexFunc(v.config.initial, func(p Peer) bool { return p.Instance == v.config.instance })
 	if k < 0 {
-		return v.settleAndStart(0)
-	}
-	f := &formation{own: v.config.initial[k].ID, bound: make(map[quorum.VoterID]bool), settled: make(map[quorum.VoterID]bool)}
-	others := len(v.config.initial) - 1
-	for waited := 0; waited < settlePauses; {
-		v.askAll(f)
-		if f.lost {
-			v.config.logger.Warn("The voter id belongs to a lost data folder.", zap.Uint64("voter", uint64(f.own)))
-			return v.settleAndStart(0)
+		return v.storeVoterIDAndStart(0)
+	}
+	state := &bootstrapState{own: v.config.initial[k].ID, bound: make(map[quorum.VoterID]bool), haveID: make(map[quorum.VoterID]bool)}
+	peers := len(v.config.initial) - 1
+	for polls := 0; polls < maxBootstrapPolls; {
+		v.identifyAll(state)
+		if state.idTaken {
+			v.config.logger.Warn("The voter id is bound to another data folder; joining under a new id.", zap.Uint64("voter", uint64(state.own)))
+			return v.storeVoterIDAndStart(0)
 		}
-		if len(f.bound) == others {
-			if err := v.settle(f.own); err != nil {
+		if len(state.bound) == peers {
+			if err := v.storeVoterID(state.own); err != nil {
 				return err
 			}
-			if f.started || len(f.settled) == others {
+			if state.anyStarted || len(state.haveID) == peers {
 				break
 			}
-			waited++
+			polls++
 		}
-		if !v.pause(formPause) {
+		if !v.sleep(bootstrapPollInterval) {
 			return nil
 		}
 	}
-	return v.start()
+	return v.startGroups()
 }
 
-// formation is what a voter with a new folder learned from the others.
-type formation struct {
-	own     quorum.VoterID
-	bound   map[quorum.VoterID]bool // bound the own id to the own folder
-	settled map[quorum.VoterID]bool
-	started bool // one of them runs its replicas
-	lost    bool // the own id belongs to another folder
+// bootstrapState is what a voter with a new folder has learned from the others.
+type bootstrapState struct {
+	own        quorum.VoterID
+	bound      map[quorum.VoterID]bool // voters that bound the id to this folder
+	haveID     map[quorum.VoterID]bool // voters that have stored their own id
+	anyStarted bool                    // one of the others runs its replicas
+	idTaken    bool                    // the id is bound to another folder
 }
 
-func (v *Voter) askAll(f *formation) {
+// identifyAll asks each initial voter that is not known to have an id to bind the
+// own id to this folder. It stops at the first one that has bound it to another
+// folder.
+func (v *Voter) identifyAll(state *bootstrapState) {
 	for _, p := range v.config.initial {
-		if p.ID == f.own || f.settled[p.ID] {
+		if p.ID == state.own || state.haveID[p.ID] {
 			continue
 		}
-		r, err := v.identify(p, f.own)
+		r, err := v.identify(p, state.own)
 		if err != nil {
 			continue
 		}
 		if journal.FolderID(r.GetFolder()) != v.identity.Folder {
-			f.lost = true
+			state.idTaken = true
 			return
 		}
-		f.bound[p.ID] = true
-		f.started = f.started || r.GetStarted()
+		state.bound[p.ID] = true
+		state.anyStarted = state.anyStarted || r.GetStarted()
 		if r.GetSettled() {
-			f.settled[p.ID] = true
+			state.haveID[p.ID] = true
 		}
 	}
 }
 
-func (v *Voter) settleAndStart(id quorum.VoterID) error {
-	if err := v.settle(id); err != nil {
+func (v *Voter) storeVoterIDAndStart(id quorum.VoterID) error {
+	if err := v.storeVoterID(id); err != nil {
 		return err
 	}
-	return v.start()
+	return v.startGroups()
 }
 
-// settle stores the id of this folder, or a new one for 0.
-func (v *Voter) settle(id quorum.VoterID) error {
+// storeVoterID stores the voter id of this folder in the identity. For 0 it stores a
+// new random id and marks the voter as a replacement. It does nothing if the
+// identity has an id already.
+func (v *Voter) storeVoterID(id quorum.VoterID) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.identity.Voter != 0 {
@@ -112,7 +122,8 @@
 	return journal.SaveIdentity(v.config.disk, v.config.folder, v.identity)
 }
 
-// identify asks a peer which folder it saw first under an id.
+// identify asks a peer to bind an id to this folder, and returns the folder to which
+// the peer has bound it.
 func (v *Voter) identify(p Peer, id quorum.VoterID) (*peerv1.IdentifyReply, error) {
 	if v.config.cut(v.config.instance, p.Instance) || v.config.cut(p.Instance, v.config.instance) {
 		return nil, errors.New("link is cut")
@@ -128,9 +139,9 @@
 	})
 }
 
-// bind returns the first folder that was seen under an id. It stores a new one
-// before it returns.
-func (v *Voter) bind(id quorum.VoterID, f journal.FolderID) (*peerv1.IdentifyReply, error) {
+// bindFolder binds an id to a folder, unless the id is bound already, and returns
+// the folder to which it is bound. It stores a new binding before it returns.
+func (v *Voter) bindFolder(id quorum.VoterID, folderID journal.FolderID) (*peerv1.IdentifyReply, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.stopping {
@@ -141,71 +152,73 @@
 		r.Folder = uint64(first)
 		return r, nil
 	}
-	v.identity.Folders[id] = f
+	v.identity.Folders[id] = folderID
 	if err := journal.SaveIdentity(v.config.disk, v.config.folder, v.identity); err != nil {
 		delete(v.identity.Folders, id)
 		return nil, err
 	}
-	r.Folder = uint64(f)
+	r.Folder = uint64(folderID)
 	return r, nil
 }
 
-// join asks the leader to add the own voter, until the group has it as a full
-// member. In a closed group it does nothing for a member of the initial set. In an
-// open one it goes on, because a voter that was away for long may have been removed
-// and then hears from no leader.
-func (v *Voter) join(g *group) {
-	if !v.identity.Replaced && !v.config.open {
+// ensureMembership asks the leader to add this voter until the group has it as a
+// full member. Without AllowJoin it does nothing for an initial voter. With AllowJoin
+// it keeps checking, because a voter that was unreachable for a long time may have
+// been removed and then receives nothing from a leader.
+func (v *Voter) ensureMembership(g *group) {
+	if !v.identity.Replaced && !v.config.allowJoin {
 		return
 	}
-	lonely := 0
+	leaderlessPolls := 0
 	for {
 		s, err := g.status(v.ctx)
 		member := err == nil && slices.ContainsFunc(s.Voters, func(m replica.Voter) bool {
 			return m.ID == s.ID && !m.Learner
 		})
-		if member && !v.config.open {
+		if member && !v.config.allowJoin {
 			return
 		}
-		lonely++
+		leaderlessPolls++
 		if member && s.Leader != 0 {
-			lonely = 0
+			leaderlessPolls = 0
 		}
-		if member && lonely < lonelyPauses {
-			if !v.pause(joinPause) {
+		if member && leaderlessPolls < maxLeaderlessPolls {
+			if !v.sleep(joinPollInterval) {
 				return
 			}
 			continue
 		}
-		if err := v.askToJoin(g.id); err != nil {
-			v.config.logger.Info("This voter has not joined its group yet.", zap.String("group", string(g.id)), zap.Error(err))
+		if err := v.requestJoin(g.id); err != nil {
+			v.config.logger.Info("Request to join the group failed; it will be repeated.", zap.String("group", string(g.id)), zap.Error(err))
 		}
-		if !v.pause(joinPause) {
+		if !v.sleep(joinPollInterval) {
 			return
 		}
 	}
 }
 
-func (v *Voter) askToJoin(id quorum.GroupID) error {
+// requestJoin asks the known voters to add this voter to a group, and follows their
+// leader hints. It returns the last error if none of them did.
+func (v *Voter) requestJoin(id quorum.GroupID) error {
 	var err error
 	asked := make(map[string]bool)
-	for _, p := range slices.Concat(v.config.initial, v.config.contacts, v.heard()) {
+	for _, p := range slices.Concat(v.config.initial, v.config.contacts, v.knownPeers()) {
 		for p.Address != "" && p.Instance != v.config.instance && !asked[p.Address] {
 			asked[p.Address] = true
-			if err = v.joinAt(p, id); err == nil {
+			if err = v.requestJoinAt(p, id); err == nil {
 				return nil
 			}
-			var h *leaderHint
-			if !errors.As(err, &h) {
+			var hint *leaderHint
+			if !errors.As(err, &hint) {
 				break
 			}
-			p = Peer{Instance: h.instance, Address: h.address}
+			p = Peer{Instance: hint.instance, Address: hint.address}
 		}
 	}
 	return err
 }
 
-func (v *Voter) joinAt(p Peer, id quorum.GroupID) error {
+func (v *Voter) requestJoinAt(p Peer, id quorum.GroupID) error {
 	if v.config.cut(v.config.instance, p.Instance) || v.config.cut(p.Instance, v.config.instance) {
 		return errors.New("link is cut")
 	}
@@ -216,7 +229,7 @@
 		return err
 	}
 	r, err := peerv1.NewPeerClient(conn).Join(ctx, &peerv1.JoinRequest{
-		Group: string(id), Voter: senderOf(v.transport.self),
+		Group: string(id), Voter: voterToProto(v.transport.self),
 	})
 	if err != nil {
 		return err
@@ -224,8 +237,8 @@
 	return refusalFromProto(r.GetRefusal())
 }
 
-// pause waits and reports whether the voter still runs.
-func (v *Voter) pause(d time.Duration) bool {
+// sleep waits for d and reports whether the voter still runs.
+func (v *Voter) sleep(d time.Duration) bool {
 	select {
 	case <-v.ctx.Done():
 		return false
--- a/internal/quorum/voter/group.go
+++ b/internal/quorum/voter/group.go
@@ -11,12 +11,14 @@
 )
 
 const (
-	inboxInputs = 4096
-	// batchInputs bounds the inputs that share one sync.
-	batchInputs = 1024
+	// inboxSize is the maximum number of queued inputs.
+	inboxSize = 4096
+	// maxBatchInputs is the maximum number of queued inputs that are processed
+	// together with the first one and share its sync.
+	maxBatchInputs = 1024
 )
 
-// group owns the goroutine of one member.
+// group runs the goroutine that drives one member.
 type group struct {
 	voter   *Voter
 	id      quorum.GroupID
@@ -25,42 +27,42 @@
 	stopped chan struct{}
 }
 
-// run starts the goroutine. Ticks are counted before inputs are processed, so
-// that a leader that was frozen notices it before it answers.
+// run starts the goroutine. It counts the passed ticks before it processes inputs,
+// so that a leader whose process was frozen detects the gap before it answers.
 func (g *group) run() {
 	c := g.voter.config
 	m := g.member
-	g.voter.wait.Go(func() {
+	g.voter.goroutines.Go(func() {
 		defer close(g.stopped)
-		last := c.clock.Now()
-		timer := c.clock.After(g.voter.untilTick())
-		var seen sight
+		lastTick := c.clock.Now()
+		timer := c.clock.After(g.voter.timeToNextTick())
+		var reported reportedState
 		for {
 			var input func(*member)
 			select {
 			case <-g.voter.ctx.Done():
 				return
 			case <-timer:
-				timer = c.clock.After(g.voter.untilTick())
+				timer = c.clock.After(g.voter.timeToNextTick())
 			case input = <-g.inbox:
 			}
-			ticks := c.clock.Now().Sub(last) / c.tick
-			last = last.Add(ticks * c.tick)
-			m.tick(int(ticks), c.replica.ElectionTicks)
+			ticks := c.clock.Now().Sub(lastTick) / c.tickInterval
+			lastTick = lastTick.Add(ticks * c.tickInterval)
+			m.tick(int(ticks), c.replicaOptions.ElectionTicks)
 			g.process(input)
 			m.flush()
-			seen = g.report(seen)
+			reported = g.reportChanges(reported)
 		}
 	})
 }
 
-// process runs an input and those that queued up meanwhile.
+// process runs an input and those that are queued, up to maxBatchInputs.
 func (g *group) process(input func(*member)) {
 	if input == nil {
 		return
 	}
 	input(g.member)
-	for range batchInputs {
+	for range maxBatchInputs {
 		select {
 		case input = <-g.inbox:
 			input(g.member)
@@ -70,31 +72,32 @@
 	}
 }
 
-// sight is what the log last told about a member.
-type sight struct {
+// reportedState is the state of a member that was last logged.
+type reportedState struct {
 	leader quorum.VoterID
 	term   quorum.Term
 	failed bool
 }
 
-// report logs a change of leader or term, and the first failure.
-func (g *group) report(seen sight) sight {
+// reportChanges logs a change of leader or term, and reports the first failure. It
+// returns the current state.
+func (g *group) reportChanges(reported reportedState) reportedState {
 	m := g.member
-	now := sight{leader: m.replica.Leader(), term: m.replica.Term(), failed: m.failure != nil}
-	if now.leader != seen.leader || now.term != seen.term {
+	current := reportedState{leader: m.replica.Leader(), term: m.replica.Term(), failed: m.failure != nil}
+	if current.leader != reported.leader || current.term != reported.term {
 		g.voter.config.logger.Info("The leader changed.", zap.String("group", string(g.id)),
-			zap.Uint64("leader", uint64(now.leader)), zap.Uint64("term", uint64(now.term)))
+			zap.Uint64("leader", uint64(current.leader)), zap.Uint64("term", uint64(current.term)))
 	}
-	if now.failed && !seen.failed {
+	if current.failed && !reported.failed {
 		g.voter.fail(m.failure)
 	}
-	return now
+	return current
 }
 
-// background runs work beside the goroutine of the group, and what it returns in
-// it.
+// background runs work in a new goroutine, and then the function that work returned
+// in the goroutine of the group.
 func (g *group) background(work func() (finish func())) {
-	g.voter.wait.Go(func() {
+	g.voter.goroutines.Go(func() {
 		finish := work()
 		select {
 		case g.inbox <- func(*member) { finish() }:
@@ -103,16 +106,17 @@
 	})
 }
 
-// post queues an input. It drops the input when the group is overloaded.
-func (g *group) post(f func(*member)) {
+// enqueue adds an input to the inbox, or drops it if the inbox is full.
+func (g *group) enqueue(f func(*member)) {
 	select {
 	case g.inbox <- f:
 	default:
 	}
 }
 
-// await runs f in the goroutine of the group and waits for its outcome.
-func (g *group) await(ctx context.Context, f func(m *member, d done)) ([]byte, error) {
+// do runs f in the goroutine of the group and waits for the outcome that f passes
+// to d.
+func (g *group) do(ctx context.Context, f func(m *member, d doneFunc)) ([]byte, error) {
 	type outcome struct {
 		reply []byte
 		err   error
@@ -130,51 +134,54 @@
 	case o := <-result:
 		return o.reply, o.err
 	case <-ctx.Done():
-		return nil, unknown(g.id, ctx.Err().Error())
+		return nil, outcomeUnknown(g.id, ctx.Err().Error())
 	case <-g.stopped:
-		return nil, unknown(g.id, "voter is stopping")
+		return nil, outcomeUnknown(g.id, "voter is stopping")
 	}
 }
 
-// send hands a message to the transport. What the receiver told about itself is
-// newer than the members in the log, and a learner without a log has only that.
+// send passes a message to the transport. The address that the receiver itself has
+// sent takes precedence over the one in the log: it is newer, and a learner without
+// a log knows no other.
 func (g *group) send(msg replica.Message) {
-	to, ok := g.voter.known(msg.To)
+	to, ok := g.voter.knownVoter(msg.To)
 	if !ok {
 		if to, ok = g.member.replica.Voter(msg.To); !ok {
 			return
 		}
 	}
 	g.voter.transport.send(to, envelope{group: g.id, message: msg}, func(err error) {
-		g.post(func(m *member) { m.replica.SnapshotSent(msg.To, err == nil) })
+		g.enqueue(func(m *member) { m.replica.SnapshotSent(msg.To, err == nil) })
 	})
 }
 
-// resign transfers the leadership to the voter with the longest log, and waits
-// until it has taken over.
+// resign transfers the leadership to the voter with the longest log. It waits until
+// the replica no longer leads, for at most two election timeouts.
 func (g *group) resign(ctx context.Context) {
 	c := g.voter.config
-	led := false
-	for tick := 0; tick < 2*c.replica.ElectionTicks; tick++ {
-		again, err := g.status(ctx)
-		if err != nil || again.Role != replica.Leader {
+	transferring := false
+	for tick := 0; tick < 2*c.replicaOptions.ElectionTicks; tick++ {
+		s, err := g.status(ctx)
+		if err != nil || s.Role != replica.Leader {
 			return
 		}
-		if !led {
-			led = g.transfer(ctx, again)
+		if !transferring {
+			transferring = g.transferToLongestLog(ctx, s)
 		}
-		if !led {
+		if !transferring {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.clock.After(c.tick):
+		case <-c.clock.After(c.tickInterval):
 		}
 	}
 }
 
-func (g *group) transfer(ctx context.Context, s replica.Status) bool {
+// transferToLongestLog starts a transfer of the leadership to the active voter whose
+// log is the longest, and reports whether it succeeded.
+func (g *group) transferToLongestLog(ctx context.Context, s replica.Status) bool {
 	ps := slices.DeleteFunc(s.Progress, func(p replica.Progress) bool {
 		return p.Voter.ID == s.ID || p.Voter.Learner || !p.Active || p.Lost
 	})
@@ -186,9 +193,9 @@
 }
 
 func (g *group) transferTo(ctx context.Context, to quorum.VoterID) error {
-	_, err := g.await(ctx, func(m *member, d done) {
+	_, err := g.do(ctx, func(m *member, d doneFunc) {
 		if err := m.replica.Transfer(to); err != nil {
-			d(nil, m.notRun(err))
+			d(nil, m.rejected(err))
 			return
 		}
 		d(nil, nil)
@@ -198,12 +205,12 @@
 
 func (g *group) status(ctx context.Context) (replica.Status, error) {
 	var s replica.Status
-	_, err := g.await(ctx, func(m *member, d done) {
+	_, err := g.do(ctx, func(m *member, d doneFunc) {
 		s = m.replica.Status()
 		d(nil, nil)
 	})
 	if err != nil {
-		return replica.Status{}, err // s may still be written
+		return replica.Status{}, err // The callback may still write s.
 	}
 	return s, nil
 }
--- a/internal/quorum/voter/hint.go
+++ b/internal/quorum/voter/hint.go
@@ -5,7 +5,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/refusal"
 )
 
-// leaderHint is a refusal that names the leader.
+// leaderHint is a refusal that names the leader to ask instead.
 type leaderHint struct {
 	refusal  *refusal.Error
 	address  string
--- a/internal/quorum/voter/member.go
+++ b/internal/quorum/voter/member.go
@@ -11,29 +11,31 @@
 	"github.com/pkg/errors"
 )
 
-// patience is the number of election timeouts that a proposal waits for its
-// outcome after the replica lost the leadership.
-const patience = 4
+// outcomeTimeout is how long a proposal waits for its outcome after the replica
+// lost the leadership, in election timeouts.
+const outcomeTimeout = 4
 
-// The log between snapshots is held in memory and read at the next start, so its
-// size is bounded besides the number of its entries.
+// The log between snapshots is held in memory and read at the next start.
+// Therefore its size in bytes is bounded as well as the number of its entries.
 const (
-	snapshotBytes = 32 << 20
-	keepBytes     = 4 << 20
+	maxBytesBetweenSnapshots = 32 << 20
+	maxKeptBytes             = 4 << 20
 )
 
-// done receives the outcome of a proposal or read. It must not block.
-type done func(reply []byte, err error)
+// doneFunc is called with the outcome of a proposal or read. It must not block.
+type doneFunc func(reply []byte, err error)
 
-type waiter struct {
-	term quorum.Term
-	age  int // ticks without leadership
-	done done
+// pendingProposal is a proposal whose entry is not applied yet.
+type pendingProposal struct {
+	term                   quorum.Term
+	ticksWithoutLeadership int
+	done                   doneFunc
 }
 
-type query struct {
+// pendingRead is a query that waits for a majority to confirm the leadership.
+type pendingRead struct {
 	data []byte
-	done done
+	done doneFunc
 }
 
 type memberConfig struct {
@@ -45,35 +47,37 @@
 	dir     string
 	// send must not block. It may drop messages.
 	send func(replica.Message)
-	// background calls work, and then the function that work returns from the
-	// goroutine that drives the member.
+	// background runs work in another goroutine, and then calls the function that
+	// work returned in the goroutine that drives the member.
 	background func(work func() (finish func()))
 	// snapshotEntries is the number of applied entries between snapshots, and
 	// keepEntries the number that the log keeps before a snapshot.
 	snapshotEntries int
 	keepEntries     int
-	// open lets instances without a voter join.
-	open bool
+	// allowJoin lets instances without a voter join.
+	allowJoin bool
 }
 
-// member runs the replica of one group against its journal and state machine. It
-// is driven from one goroutine: inputs first, then flush.
+// member connects the replica of one group with its journal and state machine. It
+// must be driven from one goroutine, which calls flush after each batch of inputs.
 type member struct {
 	memberConfig
-	replica   *replica.Replica
-	journal   *journal.Journal
-	applied   quorum.Index
-	snapshot  quorum.Index
-	preparing bool // a snapshot is being stored
-	// appliedBytes is the size of the commands since the last snapshot.
-	appliedBytes int
-	waiters      map[quorum.Index]waiter
-	reads        map[uint64]query
-	nextRead     uint64
-	failure      error
-	leaderFor    int // ticks as the leader since the last housekeeping
-	// absent counts the rounds of housekeeping in which a member did not answer.
-	absent map[quorum.VoterID]int
+	replica         *replica.Replica
+	journal         *journal.Journal
+	applied         quorum.Index
+	snapshotIndex   quorum.Index
+	storingSnapshot bool
+	// appliedBytes is the size of the entries applied since the last snapshot was
+	// taken.
+	appliedBytes          int
+	proposals             map[quorum.Index]pendingProposal
+	reads                 map[uint64]pendingRead
+	nextRead              uint64
+	failure               error
+	ticksSinceMaintenance int
+	// absentRounds counts the calls of countAbsent in a row for which a member was
+	// inactive or had lost entries.
+	absentRounds map[quorum.VoterID]int
 }
 
 func openMember(c memberConfig) (*member, error) {
@@ -91,9 +95,9 @@
 	}
 	m := &member{
 		memberConfig: c, replica: r, journal: j,
-		applied: s.Index, snapshot: s.Index,
-		waiters: make(map[quorum.Index]waiter), reads: make(map[uint64]query),
-		absent: make(map[quorum.VoterID]int),
+		applied: s.Index, snapshotIndex: s.Index,
+		proposals: make(map[quorum.Index]pendingProposal), reads: make(map[uint64]pendingRead),
+		absentRounds: make(map[quorum.VoterID]int),
 	}
 	if s.Index > 0 {
 		if err := c.machine.Restore(s.State); err != nil {
@@ -103,19 +107,20 @@
 	return m, nil
 }
 
-// tick tells that n ticks passed since the last call.
-func (m *member) tick(n, gap int) {
+// tick processes the n ticks that passed since the last call. From gapTicks on, it
+// reports them as a gap in the execution of the process instead.
+func (m *member) tick(n, gapTicks int) {
 	if m.failure != nil {
 		return
 	}
-	if n >= gap {
+	if n >= gapTicks {
 		m.replica.Gap(n)
 		return
 	}
 	for range n {
 		m.replica.Tick()
-		m.expire()
-		m.housekeep()
+		m.expireProposals()
+		m.maintainMembers()
 	}
 }
 
@@ -128,49 +133,51 @@
 	}
 }
 
-func (m *member) propose(command []byte, d done) {
+func (m *member) propose(command []byte, d doneFunc) {
 	if m.failure != nil {
-		d(nil, m.refuse())
+		d(nil, m.notRunning())
 		return
 	}
 	i, t, err := m.replica.Propose(command)
-	m.await(i, t, err, d)
+	m.awaitOutcome(i, t, err, d)
 }
 
-func (m *member) change(c replica.Change, d done) {
+func (m *member) change(c replica.Change, d doneFunc) {
 	if m.failure != nil {
-		d(nil, m.refuse())
+		d(nil, m.notRunning())
 		return
 	}
 	i, t, err := m.replica.ProposeChange(c)
-	m.await(i, t, err, d)
+	m.awaitOutcome(i, t, err, d)
 }
 
-func (m *member) await(i quorum.Index, t quorum.Term, err error, d done) {
+// awaitOutcome registers d for the entry at index i and term t, or calls it at once
+// if the proposal was rejected with err.
+func (m *member) awaitOutcome(i quorum.Index, t quorum.Term, err error, d doneFunc) {
 	if err != nil {
-		d(nil, m.notRun(err))
+		d(nil, m.rejected(err))
 		return
 	}
-	if old, ok := m.waiters[i]; ok {
-		old.done(nil, unknown(m.group, "another leader wrote at its place"))
+	if old, ok := m.proposals[i]; ok {
+		old.done(nil, outcomeUnknown(m.group, "another leader wrote at its place"))
 	}
-	m.waiters[i] = waiter{term: t, done: d}
+	m.proposals[i] = pendingProposal{term: t, done: d}
 }
 
-func (m *member) read(data []byte, d done) {
+func (m *member) read(data []byte, d doneFunc) {
 	if m.failure != nil {
-		d(nil, m.refuse())
+		d(nil, m.notRunning())
 		return
 	}
 	m.nextRead++
 	if err := m.replica.Read(m.nextRead); err != nil {
-		d(nil, m.notRun(err))
+		d(nil, m.rejected(err))
 		return
 	}
-	m.reads[m.nextRead] = query{data: data, done: d}
+	m.reads[m.nextRead] = pendingRead{data: data, done: d}
 }
 
-// flush executes the effects of the inputs so far.
+// flush executes the effects of all inputs since the last flush.
 func (m *member) flush() {
 	for m.failure == nil {
 		e := m.replica.Effects()
@@ -216,11 +223,11 @@
 	if err := m.machine.Restore(s.State); err != nil {
 		return errors.Wrapf(err, "group %q", m.group)
 	}
-	m.applied, m.snapshot = s.Index, s.Index
-	for i, w := range m.waiters {
+	m.applied, m.snapshotIndex = s.Index, s.Index
+	for i, p := range m.proposals {
 		if i <= s.Index {
-			delete(m.waiters, i)
-			w.done(nil, unknown(m.group, "the replica received a snapshot"))
+			delete(m.proposals, i)
+			p.done(nil, outcomeUnknown(m.group, "the replica received a snapshot"))
 		}
 	}
 	return nil
@@ -239,17 +246,17 @@
 	}
 	m.applied = e.Index
 	m.appliedBytes += len(e.Data)
-	w, ok := m.waiters[e.Index]
+	p, ok := m.proposals[e.Index]
 	if !ok {
 		return
 	}
-	delete(m.waiters, e.Index)
-	if w.term != e.Term {
-		// The entry at this index is final, so the other one never takes effect.
-		w.done(nil, refusal.New(refusal.NotReady, "group %q: another leader replaced the command", m.group))
+	delete(m.proposals, e.Index)
+	if p.term != e.Term {
+		// The entry at this index is committed, so the proposed one never will be.
+		p.done(nil, refusal.New(refusal.NotReady, "group %q: another leader replaced the command", m.group))
 		return
 	}
-	w.done(reply, nil)
+	p.done(reply, nil)
 }
 
 func (m *member) answerReads(e replica.Effects) {
@@ -261,15 +268,16 @@
 	for _, id := range e.FailedReads {
 		q := m.reads[id]
 		delete(m.reads, id)
-		q.done(nil, m.notRun(replica.ErrNotLeader))
+		q.done(nil, m.rejected(replica.ErrNotLeader))
 	}
 }
 
-// takeSnapshot copies the state machine, and stores the copy in the background: a
-// leader that waits for a large file sends no heartbeats and loses its place.
+// takeSnapshot copies the state machine if a snapshot is due, and stores the copy
+// in the background: a leader that waits for the write of a large file sends no
+// heartbeats and loses the leadership.
 func (m *member) takeSnapshot() error {
-	due := m.applied >= m.snapshot+quorum.Index(m.snapshotEntries) || m.appliedBytes >= snapshotBytes
-	if !due || m.preparing {
+	due := m.applied >= m.snapshotIndex+quorum.Index(m.snapshotEntries) || m.appliedBytes >= maxBytesBetweenSnapshots
+	if !due || m.storingSnapshot {
 		return nil
 	}
 	state, err := m.machine.Snapshot()
@@ -277,7 +285,7 @@
 		return errors.Wrapf(err, "group %q: snapshot", m.group)
 	}
 	s := m.replica.MakeSnapshot(state)
-	m.preparing = true
+	m.storingSnapshot = true
 	m.appliedBytes = 0
 	m.background(func() func() {
 		p, err := m.journal.Prepare(s)
@@ -286,12 +294,13 @@
 	return nil
 }
 
-// finishSnapshot drops the log before a stored snapshot.
+// finishSnapshot puts a stored snapshot into force and compacts the log before it.
 func (m *member) finishSnapshot(p journal.Prepared, err error) {
-	// The log that is kept must not run ahead of what was saved. The flush must not
-	// start another snapshot, which would replace this one before it is in force.
+	// Flush first: the retained log must not contain entries that are not saved.
+	// storingSnapshot stays set meanwhile, so that the flush does not start another
+	// snapshot, which would replace this one before it is in force.
 	m.flush()
-	m.preparing = false
+	m.storingSnapshot = false
 	if m.failure != nil {
 		return
 	}
@@ -299,20 +308,20 @@
 		m.fail(err)
 		return
 	}
-	if p.Snapshot.Index <= m.snapshot {
-		return // The leader sent a newer one meanwhile.
+	if p.Snapshot.Index <= m.snapshotIndex {
+		return // The leader has sent a newer snapshot meanwhile.
 	}
-	m.replica.Compact(p.Snapshot, m.keep(p.Snapshot.Index))
+	m.replica.Compact(p.Snapshot, m.entriesToKeep(p.Snapshot.Index))
 	if err := m.journal.Compact(p, m.replica.Retained()); err != nil {
 		m.fail(err)
 		return
 	}
-	m.snapshot = p.Snapshot.Index
+	m.snapshotIndex = p.Snapshot.Index
 }
 
-// keep returns how many entries before a snapshot stay in the log, bounded in
-// number and in bytes.
-func (m *member) keep(snapshot quorum.Index) int {
+// entriesToKeep returns how many entries before a snapshot stay in the log: at most
+// keepEntries of at most maxKeptBytes.
+func (m *member) entriesToKeep(snapshot quorum.Index) int {
 	size := 0
 	n := 0
 	for _, e := range slices.Backward(m.replica.Retained()) {
@@ -320,7 +329,7 @@
 			continue
 		}
 		size += len(e.Data)
-		if n >= m.keepEntries || size > keepBytes {
+		if n >= m.keepEntries || size > maxKeptBytes {
 			break
 		}
 		n++
@@ -328,54 +337,59 @@
 	return n
 }
 
-// expire ends proposals whose outcome this replica may never learn.
-func (m *member) expire() {
+// expireProposals ends proposals with an unknown outcome when the replica has been
+// without the leadership for outcomeTimeout: it may never learn their outcome.
+func (m *member) expireProposals() {
 	if m.replica.Leader() == m.options.ID {
 		return
 	}
-	for i, w := range m.waiters {
-		w.age++
-		m.waiters[i] = w
-		if w.age >= patience*m.options.ElectionTicks {
-			delete(m.waiters, i)
-			w.done(nil, unknown(m.group, "the leadership was lost"))
+	for i, p := range m.proposals {
+		p.ticksWithoutLeadership++
+		m.proposals[i] = p
+		if p.ticksWithoutLeadership >= outcomeTimeout*m.options.ElectionTicks {
+			delete(m.proposals, i)
+			p.done(nil, outcomeUnknown(m.group, "the leadership was lost"))
 		}
 	}
 }
 
-// housekeep completes the replacement of voters whose data folder was lost.
-func (m *member) housekeep() {
-	m.leaderFor++
-	if m.leaderFor < m.options.ElectionTicks {
+// maintainMembers runs once per election timeout. On the leader it proposes the
+// next membership change, if any: a step in the replacement of a voter whose data
+// folder was lost and, with allowJoin, the promotion of an additional voter or the
+// removal of an absent one.
+func (m *member) maintainMembers() {
+	m.ticksSinceMaintenance++
+	if m.ticksSinceMaintenance < m.options.ElectionTicks {
 		return
 	}
-	m.leaderFor = 0
+	m.ticksSinceMaintenance = 0
 	if m.replica.Leader() != m.options.ID {
 		return
 	}
 	s := m.replica.Status()
-	c, ok := nextChange(s.Progress, s.Commit)
-	if !ok && m.open {
+	c, ok := nextReplacementStep(s.Progress, s.Commit)
+	if !ok && m.allowJoin {
 		m.countAbsent(s.Progress)
-		c, ok = nextAddition(s.Progress, s.Commit)
+		c, ok = nextPromotion(s.Progress, s.Commit)
 	}
-	if !ok && m.open {
+	if !ok && m.allowJoin {
 		c, ok = m.nextRemoval(s.Progress)
 	}
 	if ok {
-		// A refused change is tried again after the next pause.
+		// A rejected change is proposed again in the next round.
 		_, _, _ = m.replica.ProposeChange(c)
 	}
 }
 
-// nextChange returns the next step of a replacement. Once the successor of a
-// lost voter has caught up, the lost voter is removed and then the successor is
-// promoted. The other order would raise the majority first, and the loss of the
-// successor would then leave 2 of 4 voters.
-func nextChange(ps []replica.Progress, commit quorum.Index) (replica.Change, bool) {
+// nextReplacementStep returns the next membership change of a replacement. Once the
+// successor of a lost voter has caught up, the lost voter is removed and then the
+// successor is promoted. In a group of three, the reverse order would first raise
+// the required majority to 3 of 4, and the loss of the successor would then leave 2
+// of 4 voters.
+func nextReplacementStep(ps []replica.Progress, commit quorum.Index) (replica.Change, bool) {
 	for i, old := range ps {
-		gone := !old.Active || old.Lost
-		if gone && old.Voter.Learner && hasSuccessor(ps[i+1:], old.Voter) {
+		inactive := !old.Active || old.Lost
+		if inactive && old.Voter.Learner && hasSuccessor(ps[i+1:], old.Voter) {
 			return replica.Change{Kind: replica.Remove, Voter: old.Voter}, true
 		}
 	}
@@ -394,8 +408,8 @@
 	return replica.Change{}, false
 }
 
-// nextAddition returns the promotion of an additional voter that has caught up.
-func nextAddition(ps []replica.Progress, commit quorum.Index) (replica.Change, bool) {
+// nextPromotion returns the promotion of an additional voter that has caught up.
+func nextPromotion(ps []replica.Progress, commit quorum.Index) (replica.Change, bool) {
 	for _, p := range ps {
 		if p.Voter.Learner && p.Voter.Replaces == 0 && p.Active && p.Match >= commit {
 			return replica.Change{Kind: replica.Promote, Voter: p.Voter}, true
@@ -404,55 +418,59 @@
 	return replica.Change{}, false
 }
 
-// absentRounds is the number of rounds of housekeeping, each an election timeout,
-// after which an absent voter is removed if that lowers the majority.
-const absentRounds = 8
+// maxAbsentRounds is the number of rounds of maintainMembers, one per election
+// timeout, after which an absent voter is removed if that lowers the majority.
+const maxAbsentRounds = 8
 
 func (m *member) countAbsent(ps []replica.Progress) {
-	absent := make(map[quorum.VoterID]int)
+	rounds := make(map[quorum.VoterID]int)
 	for _, p := range ps {
 		if !p.Active || p.Lost {
-			absent[p.Voter.ID] = m.absent[p.Voter.ID] + 1
+			rounds[p.Voter.ID] = m.absentRounds[p.Voter.ID] + 1
 		}
 	}
-	m.absent = absent
+	m.absentRounds = rounds
 }
 
-// nextRemoval returns the removal of a voter that has been absent for a while, if
-// the number of voters is even: one voter less needs a smaller majority. Without
-// it, the place of an instance that left for good after its successor had come
-// would count against the group for ever. A voter that comes back joins again.
+// nextRemoval returns the removal of a voter that has been absent for
+// maxAbsentRounds, if the number of voters is even: with one voter less, a smaller
+// majority suffices. Without the removal, an instance that left for good after the
+// new instance that replaces it had joined would count towards the majority for
+// ever. A removed voter that returns joins again.
 func (m *member) nextRemoval(ps []replica.Progress) (replica.Change, bool) {
 	voters := 0
-	var gone replica.Voter
+	var absent replica.Voter
 	for _, p := range ps {
 		if p.Voter.Learner {
 			continue
 		}
 		voters++
-		if m.absent[p.Voter.ID] >= absentRounds {
-			gone = p.Voter
+		if m.absentRounds[p.Voter.ID] >= maxAbsentRounds {
+			absent = p.Voter
 		}
 	}
-	if gone.ID == 0 || voters <= 2 || voters%2 != 0 {
+	if absent.ID == 0 || voters <= 2 || voters%2 != 0 {
 		return replica.Change{}, false
 	}
-	return replica.Change{Kind: replica.Remove, Voter: gone}, true
+	return replica.Change{Kind: replica.Remove, Voter: absent}, true
 }
 
+// hasSuccessor reports whether a member in later runs on the instance of v.
 func hasSuccessor(later []replica.Progress, v replica.Voter) bool {
 	return slices.ContainsFunc(later, func(p replica.Progress) bool { return p.Voter.Instance == v.Instance })
 }
 
-// join adds a learner that takes the place of a lost member of its instance.
-func (m *member) join(v replica.Voter, d done) {
+// join adds v as a learner that replaces the lost voter of its instance. With
+// allowJoin, an instance without a voter replaces any inactive voter that has no
+// successor yet, or is added as a further voter.
+func (m *member) join(v replica.Voter, d doneFunc) {
 	if m.failure != nil {
-		d(nil, m.refuse())
+		d(nil, m.notRunning())
 		return
 	}
 	s := m.replica.Status()
 	if s.Role != replica.Leader {
-		d(nil, m.notRun(replica.ErrNotLeader))
+		d(nil, m.rejected(replica.ErrNotLeader))
 		return
 	}
 	if slices.ContainsFunc(s.Voters, func(o replica.Voter) bool { return o.ID == v.ID }) {
@@ -460,8 +478,8 @@
 		return
 	}
 	lost, err := predecessor(s.Progress, v.Instance)
-	if refusal.KindOf(err) == refusal.Forbidden && m.open {
-		lost, err = vacancy(s.Progress), nil
+	if refusal.KindOf(err) == refusal.Forbidden && m.allowJoin {
+		lost, err = voterToReplace(s.Progress), nil
 	}
 	if err != nil {
 		d(nil, err)
@@ -471,8 +489,9 @@
 	m.change(replica.Change{Kind: replica.AddLearner, Voter: v}, d)
 }
 
-// predecessor returns the voter of an instance whose folder was lost. When its
-// successor was lost as well, it is still the first one.
+// predecessor returns the voter of an instance whose data folder was lost. If its
+// successor was lost as well before it was promoted, the result is still the
+// original voter.
 func predecessor(ps []replica.Progress, instance fleet.InstanceID) (quorum.VoterID, error) {
 	lost := quorum.VoterID(0)
 	for _, p := range ps {
@@ -493,45 +512,49 @@
 	return lost, nil
 }
 
-// vacancy returns a voter that is gone and has no successor yet, or 0.
-func vacancy(ps []replica.Progress) quorum.VoterID {
+// voterToReplace returns a voter that is inactive or lost entries and has no
+// successor yet, or 0.
+func voterToReplace(ps []replica.Progress) quorum.VoterID {
 	for _, p := range ps {
-		taken := slices.ContainsFunc(ps, func(o replica.Progress) bool { return o.Voter.Replaces == p.Voter.ID })
-		if !p.Voter.Learner && (!p.Active || p.Lost) && !taken {
+		replaced := slices.ContainsFunc(ps, func(o replica.Progress) bool { return o.Voter.Replaces == p.Voter.ID })
+		if !p.Voter.Learner && (!p.Active || p.Lost) && !replaced {
 			return p.Voter.ID
 		}
 	}
 	return 0
 }
 
-// stop ends all proposals and reads and closes the journal.
+// stop ends all pending proposals and reads and closes the journal.
 func (m *member) stop() error {
 	m.fail(errors.New("voter is stopping"))
 	return m.journal.Close()
 }
 
-// fail ends the replica. Nothing is sent any more, because the stored state is
-// no longer known.
+// fail stops the replica for good and ends all pending proposals and reads. It
+// sends nothing from then on, because the stored state is no longer known.
 func (m *member) fail(err error) {
 	if m.failure != nil {
 		return
 	}
 	m.failure = err
-	for i, w := range m.waiters {
-		delete(m.waiters, i)
-		w.done(nil, unknown(m.group, err.Error()))
+	for i, p := range m.proposals {
+		delete(m.proposals, i)
+		p.done(nil, outcomeUnknown(m.group, err.Error()))
 	}
 	for id, q := range m.reads {
 		delete(m.reads, id)
-		q.done(nil, m.refuse())
+		q.done(nil, m.notRunning())
 	}
 }
 
-func (m *member) refuse() error {
+// notRunning returns the error of requests after the replica has failed.
+func (m *member) notRunning() error {
 	return refusal.Because(refusal.NotReady, m.failure, "group %q does not run here", m.group)
 }
 
-func (m *member) notRun(err error) error {
+// rejected returns the error of a request that was certainly not run. It names the
+// leader if another replica leads.
+func (m *member) rejected(err error) error {
 	kind := refusal.NotReady
 	if errors.Is(err, replica.ErrBusy) {
 		kind = refusal.Overloaded
@@ -543,6 +566,7 @@
 	return e
 }
 
-func unknown(g quorum.GroupID, why string) error {
-	return refusal.New(refusal.OutcomeUnknown, "group %q: outcome of the command is unknown: %s", g, why)
+// outcomeUnknown returns the error of a command that may or may not take effect.
+func outcomeUnknown(g quorum.GroupID, reason string) error {
+	return refusal.New(refusal.OutcomeUnknown, "group %q: outcome of the command is unknown: %s", g, reason)
 }
--- a/internal/quorum/voter/metrics.go
+++ b/internal/quorum/voter/metrics.go
@@ -8,10 +8,12 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// collectTimeout bounds the wait for a group that is busy with its disk.
+// collectTimeout limits how long a scrape waits for a group whose goroutine is
+// blocked by disk I/O.
 const collectTimeout = time.Second
 
-// collector reads the status of all groups when it is asked.
+// collector implements prometheus.Collector. It reads the status of all groups at
+// each scrape.
 type collector struct {
 	voter   *Voter
 	leads   *prometheus.Desc
@@ -41,44 +43,44 @@
 	}
 }
 
-// Describe sends the descriptions of all metrics.
-func (c *collector) Describe(to chan<- *prometheus.Desc) {
+// Describe implements prometheus.Collector.
+func (c *collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{c.leads, c.term, c.commit, c.applied, c.failed, c.lag, c.active} {
-		to <- d
+		ch <- d
 	}
 }
 
-// Collect sends the current values.
-func (c *collector) Collect(to chan<- prometheus.Metric) {
+// Collect implements prometheus.Collector.
+func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(c.voter.ctx, collectTimeout)
 	defer cancel()
 	for _, s := range c.voter.Status(ctx) {
-		c.collectGroup(to, s)
+		c.collectGroup(ch, s)
 	}
 }
 
-func (c *collector) collectGroup(to chan<- prometheus.Metric, s GroupStatus) {
+func (c *collector) collectGroup(ch chan<- prometheus.Metric, s GroupStatus) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		labels = append([]string{string(s.Group)}, labels...)
-		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	leads := s.Leader == s.Voter && s.Failure == ""
-	gauge(c.leads, number(leads))
+	gauge(c.leads, boolToFloat(leads))
 	gauge(c.term, float64(s.Term))
 	gauge(c.commit, float64(s.Commit))
 	gauge(c.applied, float64(s.Applied))
-	gauge(c.failed, number(s.Failure != ""))
+	gauge(c.failed, boolToFloat(s.Failure != ""))
 	if !leads {
-		return // Only the leader knows about the members.
+		return // Only the leader knows the state of the members.
 	}
 	for _, m := range s.Members {
 		id := strconv.FormatUint(uint64(m.ID), 10)
 		gauge(c.lag, float64(m.Lag), m.Instance, id)
-		gauge(c.active, number(m.Active && !m.Lost), m.Instance, id)
+		gauge(c.active, boolToFloat(m.Active && !m.Lost), m.Instance, id)
 	}
 }
 
-func number(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/quorum/voter/options.go
+++ b/internal/quorum/voter/options.go
@@ -18,32 +18,33 @@
 
 // Default values of options.
 const (
-	DefaultTick            = 50 * time.Millisecond
+	DefaultTickInterval    = 50 * time.Millisecond
 	DefaultSnapshotEntries = 10000
 	DefaultKeepEntries     = 1000
-	// DefaultAttemptTimeout bounds one attempt to propose or read. It is longer
-	// than an election, so that a caller does not give up on a live leader.
+	// DefaultAttemptTimeout limits one attempt to propose or read. It is longer than
+	// an election, so that a caller does not give up on a leader that is running.
 	DefaultAttemptTimeout = 1500 * time.Millisecond
-	// DefaultTimeout bounds a call whose context has no deadline.
+	// DefaultTimeout limits a call whose context has no deadline.
 	DefaultTimeout = 10 * time.Second
-	// MaxCommandBytes bounds one command.
+	// MaxCommandBytes is the maximum size of a command.
 	MaxCommandBytes = 8 << 20
 )
 
 const (
-	// maxMessageBytes holds a batch of batchBytes and one more command.
-	maxMessageBytes  = 32 << 20
-	keepaliveTime    = 10 * time.Second
-	keepaliveTimeout = 3 * time.Second
-	connectTimeout   = time.Second
-	maxConnectDelay  = 500 * time.Millisecond
+	// maxMessageBytes is the maximum size of a gRPC message. A batch of maxBatchBytes
+	// and one more command fit in.
+	maxMessageBytes   = 32 << 20
+	keepaliveTime     = 10 * time.Second
+	keepaliveTimeout  = 3 * time.Second
+	connectTimeout    = time.Second
+	maxConnectBackoff = 500 * time.Millisecond
 )
 
-// Peer is one voter of the initial set, or one address that a Client asks.
+// Peer is an initial voter, or an address to which a Client sends requests.
 type Peer struct {
 	ID       quorum.VoterID
 	Instance fleet.InstanceID
-	// Address is the host and port of the peers listener.
+	// Address is the host and port of the listener for peers.
 	Address string
 }
 
@@ -51,27 +52,27 @@
 type Option func(*config)
 
 type config struct {
-	instance        fleet.InstanceID
-	address         string
-	folder          string
-	disk            journal.Disk
-	clock           fleet.Clock
-	initial         []Peer
-	contacts        []Peer
-	open            bool
-	machines        map[quorum.GroupID]quorum.Reader
-	order           []quorum.GroupID
-	tick            time.Duration
-	replica         replica.Options
-	snapshotEntries int
-	keepEntries     int
-	attemptTimeout  time.Duration
-	cut             func(from, to fleet.InstanceID) bool
-	dial            []grpc.DialOption
-	logger          *zap.Logger
+	instance         fleet.InstanceID
+	address          string
+	folder           string
+	disk             journal.Disk
+	clock            fleet.Clock
+	initial          []Peer
+	contacts         []Peer
+	allowJoin        bool
+	stateMachines    map[quorum.GroupID]quorum.Reader
+	groupOrder       []quorum.GroupID
+	tickInterval     time.Duration
+	replicaOptions   replica.Options
+	snapshotEntries  int
+	keepEntries      int
+	attemptTimeout   time.Duration
+	cut              func(from, to fleet.InstanceID) bool
+	extraDialOptions []grpc.DialOption
+	logger           *zap.Logger
 }
 
-// Instance names the own daemon and the address of its peers listener.
+// Instance sets the id of this instance and the address of its listener for peers.
 func Instance(id fleet.InstanceID, address string) Option {
 	return func(c *config) { c.instance, c.address = id, address }
 }
@@ -79,56 +80,59 @@
 // Folder sets the data folder of a Voter.
 func Folder(dir string) Option { return func(c *config) { c.folder = dir } }
 
-// Disk replaces the access to files.
+// Disk replaces the file system. The default is journal.OS.
 func Disk(d journal.Disk) Option { return func(c *config) { c.disk = d } }
 
-// Clock replaces the clock of the system.
-func Clock(k fleet.Clock) Option { return func(c *config) { c.clock = k } }
+// Clock replaces the system clock.
+func Clock(clk fleet.Clock) Option { return func(c *config) { c.clock = clk } }
 
-// Initial sets the first voters of all groups. It must be the same on all of
-// them. Later changes come from the log.
+// InitialVoters sets the first voters of all groups. It must be the same on all of
+// them. Later changes of the members are read from the log.
 func Initial(ps ...Peer) Option { return func(c *config) { c.initial = ps } }
 
-// Contacts sets addresses at which voters may be found, besides the initial ones
-// and those that the log names. They need not be up.
+// Contacts sets addresses at which voters may be found, in addition to the initial
+// voters and to those that have sent messages to this one. They need not be
+// reachable.
 func Contacts(ps ...Peer) Option { return func(c *config) { c.contacts = ps } }
 
-// Open lets instances that are no voters join the groups. A new instance takes
-// the place of a voter that is gone, or becomes an additional voter.
-func Open() Option { return func(c *config) { c.open = true } }
+// AllowJoin lets instances without a voter join the groups. A new instance replaces
+// a voter that is unavailable, or becomes an additional voter.
+func Open() Option { return func(c *config) { c.allowJoin = true } }
 
 // Group adds a group and its state machine.
 func Group(id quorum.GroupID, m quorum.Reader) Option {
 	return func(c *config) {
-		c.machines[id] = m
-		c.order = append(c.order, id)
+		c.stateMachines[id] = m
+		c.groupOrder = append(c.groupOrder, id)
 	}
 }
 
-// Tick sets the unit of election timeouts and heartbeats.
-func Tick(d time.Duration) Option { return func(c *config) { c.tick = d } }
+// TickInterval sets the duration of a tick, the unit of election timeouts and
+// heartbeat intervals.
+func Tick(d time.Duration) Option { return func(c *config) { c.tickInterval = d } }
 
-// Replica sets the options of the replicas. ID and Seed are set by the Voter,
-// unless Seed is given.
-func Replica(o replica.Options) Option { return func(c *config) { c.replica = o } }
+// ReplicaOptions sets the options of the replicas. The Voter sets ID, and also Seed
+// if it is 0.
+func ReplicaOptions(o replica.Options) Option { return func(c *config) { c.replicaOptions = o } }
 
-// SnapshotEntries sets the number of entries between snapshots, and the number
-// that the log keeps before a snapshot for members that lag.
+// SnapshotEntries sets the number of entries between snapshots, and the number of
+// entries before a snapshot that the log keeps for members that lag.
 func SnapshotEntries(between, keep int) Option {
 	return func(c *config) { c.snapshotEntries, c.keepEntries = between, keep }
 }
 
-// AttemptTimeout bounds one attempt to propose or read. After it, a proposal
-// ends with refusal.OutcomeUnknown and a read is tried elsewhere.
+// AttemptTimeout limits one attempt to propose or read. When it has passed, a
+// proposal ends with refusal.OutcomeUnknown and a read is sent to another voter.
 func AttemptTimeout(d time.Duration) Option { return func(c *config) { c.attemptTimeout = d } }
 
-// Cut drops what is sent from one instance to another while f returns true. It
-// is for tests of one-way partitions.
+// Cut drops messages from one instance to another while f returns true. It is used
+// in tests of one-way network partitions.
 func Cut(f func(from, to fleet.InstanceID) bool) Option { return func(c *config) { c.cut = f } }
 
-// Dial adds options for connections to other voters, such as credentials.
-func Dial(os ...grpc.DialOption) Option {
-	return func(c *config) { c.dial = append(c.dial, os...) }
+// DialOptions adds gRPC options for connections to other voters, such as
+// credentials.
+func Dial(options ...grpc.DialOption) Option {
+	return func(c *config) { c.extraDialOptions = append(c.extraDialOptions, options...) }
 }
 
 // Logger sets the logger.
@@ -148,8 +152,8 @@
 
 func newConfig(options []Option) (*config, error) {
 	c := &config{
-		disk: journal.OS{}, clock: systemclock.Clock{}, tick: DefaultTick,
-		machines:        make(map[quorum.GroupID]quorum.Reader),
+		disk: journal.OS{}, clock: systemclock.Clock{}, tickInterval: DefaultTickInterval,
+		stateMachines:   make(map[quorum.GroupID]quorum.Reader),
 		snapshotEntries: DefaultSnapshotEntries, keepEntries: DefaultKeepEntries,
 		attemptTimeout: DefaultAttemptTimeout,
 		cut:            func(_, _ fleet.InstanceID) bool { return false },
@@ -158,8 +162,8 @@
 	for _, o := range options {
 		o(c)
 	}
-	if c.replica.ElectionTicks == 0 {
-		c.replica.ElectionTicks = replica.DefaultElectionTicks
+	if c.replicaOptions.ElectionTicks == 0 {
+		c.replicaOptions.ElectionTicks = replica.DefaultElectionTicks
 	}
 	if c.instance == "" {
 		return nil, errors.New("voter has no instance id")
@@ -168,8 +172,8 @@
 	return c, nil
 }
 
-// validate checks the settings of a Voter. A wrong list of initial voters would
-// form another group than the one that the others form.
+// validate checks the options of a Voter. With a wrong list of initial voters, this
+// voter would form a different group than the others.
 func (c *config) validate() error {
 	if c.folder == "" {
 		return errors.Errorf("voter of instance %q has no data folder", c.instance)
@@ -181,7 +185,7 @@
 	instances := make(map[fleet.InstanceID]bool)
 	for _, p := range c.initial {
 		if p.ID == 0 || p.Instance == "" || p.Address == "" {
-			return errors.Errorf("initial voter %d of instance %q is incomplete", p.ID, p.Instance)
+			return errors.Errorf("initial voter %d of instance %q must have an id, an instance and an address", p.ID, p.Instance)
 		}
 		if ids[p.ID] || instances[p.Instance] {
 			return errors.Errorf("initial voter %d of instance %q is listed twice", p.ID, p.Instance)
@@ -191,7 +195,8 @@
 	return nil
 }
 
-// dialOptions come before those of the caller, which thus take precedence.
+// dialOptions returns the gRPC options of connections. Those of the caller come
+// last, so that they take precedence.
 func (c *config) dialOptions() []grpc.DialOption {
 	return append([]grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -199,12 +204,12 @@
 			grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay: maxConnectDelay / 10, Multiplier: 2, Jitter: 0.2, MaxDelay: maxConnectDelay,
+				BaseDelay: maxConnectBackoff / 10, Multiplier: 2, Jitter: 0.2, MaxDelay: maxConnectBackoff,
 			},
 			MinConnectTimeout: connectTimeout,
 		}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{
 			Time: keepaliveTime, Timeout: keepaliveTimeout, PermitWithoutStream: true,
 		}),
-	}, c.dial...)
+	}, c.extraDialOptions...)
 }
--- a/internal/quorum/voter/process_test.go
+++ b/internal/quorum/voter/process_test.go
@@ -17,7 +17,8 @@
 	"google.golang.org/grpc"
 )
 
-// processEnv holds the settings of a voter that runs in a process of its own.
+// processEnv is the environment variable that holds the settings of a voter that
+// runs in a separate process, as JSON.
 const processEnv = "BILBERRYROCK_VOTER_TEST"
 
 type processSettings struct {
@@ -41,7 +42,7 @@
 	check(json.Unmarshal([]byte(text), &s))
 	own := s.Peers[s.Self]
 	v, err := New(Instance(own.Instance, own.Address), Folder(s.Folder), Initial(s.Peers...),
-		Group(quorum.ConfigGroup, &register{}), Tick(10*time.Millisecond), SnapshotEntries(50, 10))
+		Group(quorum.ConfigGroup, &recordingMachine{}), Tick(10*time.Millisecond), SnapshotEntries(50, 10))
 	check(err)
 	l, err := net.Listen("tcp", own.Address)
 	check(err)
@@ -62,106 +63,107 @@
 	}
 }
 
-type processes struct {
-	*site
-	commands []*exec.Cmd
-	ask      []*json.Encoder
-	answer   []*json.Decoder
-	count    int
+// processCluster is a testCluster whose voters run in separate processes.
+type processCluster struct {
+	*testCluster
+	commands  []*exec.Cmd
+	requests  []*json.Encoder
+	responses []*json.Decoder
+	proposed  int
 }
 
-func (s *processes) launch(i int) {
-	text, err := json.Marshal(processSettings{Self: i, Folder: s.folder(i), Peers: s.peers})
-	s.is.NoErr(err)
+func (tc *processCluster) launch(i int) {
+	text, err := json.Marshal(processSettings{Self: i, Folder: tc.folder(i), Peers: tc.peers})
+	tc.is.NoErr(err)
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), processEnv+"="+string(text))
 	c.Stderr = os.Stderr
 	in, err := c.StdinPipe()
-	s.is.NoErr(err)
+	tc.is.NoErr(err)
 	out, err := c.StdoutPipe()
-	s.is.NoErr(err)
-	s.is.NoErr(c.Start())
-	s.commands[i], s.ask[i], s.answer[i] = c, json.NewEncoder(in), json.NewDecoder(out)
+	tc.is.NoErr(err)
+	tc.is.NoErr(c.Start())
+	tc.commands[i], tc.requests[i], tc.responses[i] = c, json.NewEncoder(in), json.NewDecoder(out)
 }
 
-func (s *processes) end(i int, sig os.Signal) {
-	s.is.NoErr(s.commands[i].Process.Signal(sig))
-	_ = s.commands[i].Wait()
+func (tc *processCluster) signalAndWait(i int, sig os.Signal) {
+	tc.is.NoErr(tc.commands[i].Process.Signal(sig))
+	_ = tc.commands[i].Wait()
 }
 
-func (s *processes) proposeSome(c *Client) {
+func (tc *processCluster) proposeSome(c *Client) {
 	for range 20 {
-		s.count++
-		s.propose(c, fmt.Sprint("command ", s.count))
+		tc.proposed++
+		tc.propose(c, fmt.Sprint("command ", tc.proposed))
 	}
 }
 
-// TestProcesses guards against what a single process hides: three voters in
-// processes of their own keep every answered command while each of them is
-// killed, frozen and thawed, and started with an empty data folder.
+// TestProcesses guards against faults that don't show while all voters share one
+// process: three voters in separate processes keep every acknowledged command while
+// each of them is killed, frozen and thawed, and started with an empty data folder.
 func TestProcesses(t *testing.T) {
-	s := &processes{
-		site: newSite(t, 3), commands: make([]*exec.Cmd, 3),
-		ask: make([]*json.Encoder, 3), answer: make([]*json.Decoder, 3),
+	tc := &processCluster{
+		testCluster: newTestCluster(t, 3), commands: make([]*exec.Cmd, 3),
+		requests: make([]*json.Encoder, 3), responses: make([]*json.Decoder, 3),
 	}
 	for i := range 3 {
-		s.is.NoErr(s.nodes[i].listener.Close()) // Its address is known now.
-		s.launch(i)
+		tc.is.NoErr(tc.instances[i].listener.Close()) // Its address is known now.
+		tc.launch(i)
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			s.dump(t)
+			tc.dump(t)
 		}
-		for _, c := range s.commands {
+		for _, c := range tc.commands {
 			_ = c.Process.Kill()
 			_ = c.Wait()
 		}
 	})
-	c, err := NewClient(Instance("client", ""), Initial(s.peers...))
-	s.is.NoErr(err)
+	c, err := NewClient(Instance("client", ""), Initial(tc.peers...))
+	tc.is.NoErr(err)
 	defer c.Close()
-	s.proposeSome(c)
+	tc.proposeSome(c)
 	for i := range 3 {
-		s.end(i, syscall.SIGKILL)
-		s.proposeSome(c)
-		s.launch(i)
-		s.proposeSome(c)
-
-		s.is.NoErr(s.commands[i].Process.Signal(syscall.SIGSTOP))
-		s.proposeSome(c)
-		s.is.NoErr(s.commands[i].Process.Signal(syscall.SIGCONT))
-		s.proposeSome(c)
-
-		s.end(i, syscall.SIGKILL)
-		s.is.NoErr(os.RemoveAll(s.folder(i)))
-		s.launch(i)
-		s.proposeSome(c)
-		s.awaitMember(i)
+		tc.signalAndWait(i, syscall.SIGKILL)
+		tc.proposeSome(c)
+		tc.launch(i)
+		tc.proposeSome(c)
+
+		tc.is.NoErr(tc.commands[i].Process.Signal(syscall.SIGSTOP))
+		tc.proposeSome(c)
+		tc.is.NoErr(tc.commands[i].Process.Signal(syscall.SIGCONT))
+		tc.proposeSome(c)
+
+		tc.signalAndWait(i, syscall.SIGKILL)
+		tc.is.NoErr(os.RemoveAll(tc.folder(i)))
+		tc.launch(i)
+		tc.proposeSome(c)
+		tc.awaitMember(i)
 	}
 	reply, err := c.Read(context.Background(), quorum.ConfigGroup, nil)
-	s.is.NoErr(err)
-	s.is.Equal(string(reply), fmt.Sprint(s.count))
+	tc.is.NoErr(err)
+	tc.is.Equal(string(reply), fmt.Sprint(tc.proposed))
 }
 
-// dump logs what each voter knows.
-func (s *processes) dump(t *testing.T) {
-	for i := range s.commands {
+// dump logs the status of each voter.
+func (tc *processCluster) dump(t *testing.T) {
+	for i := range tc.commands {
 		var groups []GroupStatus
-		err := s.ask[i].Encode("status")
+		err := tc.requests[i].Encode("status")
 		if err == nil {
-			err = s.answer[i].Decode(&groups)
+			err = tc.responses[i].Decode(&groups)
 		}
 		t.Logf("voter %d: %+v %v", i+1, groups, err)
 	}
 }
 
-// awaitMember waits until the successor of a lost folder is the only member of
-// its instance, and a voter.
-func (s *processes) awaitMember(i int) {
+// awaitMember waits until instance i is a voter again after its data folder was
+// lost, and the group has three members, so that the lost voter was removed.
+func (tc *processCluster) awaitMember(i int) {
 	for {
-		s.is.NoErr(s.ask[i].Encode("status"))
+		tc.is.NoErr(tc.requests[i].Encode("status"))
 		var groups []GroupStatus
-		s.is.NoErr(s.answer[i].Decode(&groups))
+		tc.is.NoErr(tc.responses[i].Decode(&groups))
 		if len(groups) == 1 && len(groups[0].Members) == 3 && isVoter(groups[0]) {
 			return
 		}
--- a/internal/quorum/voter/schedule_test.go
+++ b/internal/quorum/voter/schedule_test.go
@@ -15,20 +15,21 @@
 	firstSeed = flag.Uint64("seed", 1, "seed of the first random schedule")
 )
 
-// TestSchedules guards the invariants of the replicated log under random kills,
-// power losses, freezes, one-way cuts, lost, repeated and reordered messages,
-// failed and lying syncs, and lost disks: one leader a term, equal logs, one
-// applied history, no lost acknowledgement, no stale read, and nothing applied
-// that was reported as not run. Afterwards all members must agree again.
+// TestSchedules guards against violations of the invariants of the replicated log
+// under random kills, power losses, freezes, one-way cuts, lost, repeated and
+// reordered messages, failed syncs, syncs that report success without syncing, and
+// lost disks. The invariants are: one leader per term, equal logs, one applied
+// history, no lost acknowledged command, no stale read, and no command applied that
+// was reported as not run. Afterwards all members must converge.
 func TestSchedules(t *testing.T) {
 	total := make(map[string]int)
 	for k := range *schedules {
 		seed := *firstSeed + uint64(k)
-		w := runSchedule(seed, 3+2*int(seed%2), *steps)
-		if w.broken != nil {
-			t.Fatalf("seed %d: %v (%v)", seed, w.broken, w.counts)
+		sim := runSchedule(seed, 3+2*int(seed%2), *steps)
+		if sim.violation != nil {
+			t.Fatalf("seed %d: %v (%v)", seed, sim.violation, sim.counts)
 		}
-		for name, n := range w.counts {
+		for name, n := range sim.counts {
 			total[name] += n
 		}
 	}
@@ -36,142 +37,144 @@
 	is.New(t).True(total["acknowledged"] > 0 && total["read"] > 0)
 }
 
-// TestScheduleRepeats guards against hidden sources of randomness: a seed that
-// failed must fail again.
+// TestScheduleRepeats guards against sources of randomness other than the seed: a
+// seed that failed must fail again.
 func TestScheduleRepeats(t *testing.T) {
 	is := is.New(t)
 	a, b := runSchedule(7, 5, 2000), runSchedule(7, 5, 2000)
-	is.Equal(a.history, b.history)
+	is.Equal(a.stateHashes, b.stateHashes)
 	is.Equal(a.counts, b.counts)
 }
 
-// TestThousandCommands guards against a history that does not survive restarts:
-// after 1,000 commands, with snapshots in between, all members lose power, one
-// after the other and then all at once, and go on with the same state.
+// TestThousandCommands guards against loss of state at restarts: after 1,000
+// commands with snapshots in between, all members lose power, first one after the
+// other and then all at once, and continue with the same state.
 func TestThousandCommands(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, 3)
-	ticksToLeader(w)
+	sim := newSimulation(1, 3)
+	ticksToLeader(sim)
 	for i := range 1000 {
-		w.leader().propose(fmt.Sprint("command ", i))
-		w.deliverAll()
+		sim.leader().propose(fmt.Sprint("command ", i))
+		sim.deliverAll()
 	}
-	is.Equal(w.counts["acknowledged"], 1000)
-	for _, p := range w.sites {
+	is.Equal(sim.counts["acknowledged"], 1000)
+	for _, p := range sim.peers {
 		p.kill(true)
 		p.restart()
-		ticksToLeader(w)
+		ticksToLeader(sim)
 	}
-	for _, p := range w.sites {
+	for _, p := range sim.peers {
 		p.kill(true)
 	}
-	for _, p := range w.sites {
+	for _, p := range sim.peers {
 		p.restart()
 	}
-	is.NoErr(w.settle())
-	is.Equal(len(w.history), w.counts["acknowledged"])
+	is.NoErr(sim.healAndConverge())
+	is.Equal(len(sim.stateHashes), sim.counts["acknowledged"])
 }
 
-func runSchedule(seed uint64, places, steps int) *world {
-	w := newWorld(seed, places)
-	w.faults = []int{2, 8, 25}[w.random.IntN(3)]
-	for i := 0; i < steps && w.broken == nil; i++ {
-		w.step(w.sites[w.random.IntN(places)], fmt.Sprintf("command %d", i))
+func runSchedule(seed uint64, n, steps int) *simulation {
+	sim := newSimulation(seed, n)
+	sim.faultRate = []int{2, 8, 25}[sim.random.IntN(3)]
+	for i := 0; i < steps && sim.violation == nil; i++ {
+		sim.step(sim.peers[sim.random.IntN(n)], fmt.Sprintf("command %d", i))
 	}
-	if w.broken == nil {
-		w.broken = w.settle()
+	if sim.violation == nil {
+		sim.violation = sim.healAndConverge()
 	}
-	return w
+	return sim
 }
 
-// step does one random thing. Most steps are ticks and deliveries, so that the
-// group makes progress between faults.
-func (w *world) step(p *place, command string) {
-	k := w.random.IntN(1000)
+// step performs one random action, at p if it concerns one peer. Most actions are
+// ticks and deliveries, so that the group makes progress between faults.
+func (sim *simulation) step(p *simPeer, command string) {
+	k := sim.random.IntN(1000)
 	if k >= 850 && k < 930 {
-		p = w.believesToLead(p)
+		p = sim.claimedLeader(p)
 	}
 	switch {
-	case k < w.faults:
-		w.fault(p)
+	case k < sim.faultRate:
+		sim.injectFault(p)
 	case k < 100:
-		w.passTime()
+		sim.tickAll()
 	case k < 850:
-		w.deliverSome()
-	case k < 900 && p.runs():
+		sim.deliverRandom()
+	case k < 900 && p.running():
 		p.propose(command)
-	case k < 930 && p.runs():
+	case k < 930 && p.running():
 		p.read()
 	case k < 990:
 	case p.member == nil || p.member.failure != nil:
-		p.kill(p.lied || w.random.IntN(2) == 0)
+		p.kill(p.syncsIgnored || sim.random.IntN(2) == 0)
 		p.restart()
-	case p.asleep:
+	case p.frozen:
 		p.thaw()
 	case !p.isVoter():
-		if at := w.sites[w.random.IntN(len(w.sites))]; at.runs() {
+		if at := sim.peers[sim.random.IntN(len(sim.peers))]; at.running() {
 			p.join(at)
 		}
 	}
 }
 
-// passTime ticks all places, those with a slow clock less often.
-func (w *world) passTime() {
-	if w.random.IntN(10) == 0 {
-		w.endTransfers()
+// tickAll ticks all peers, those with a slow clock in a quarter of the calls.
+func (sim *simulation) tickAll() {
+	if sim.random.IntN(10) == 0 {
+		sim.reportSnapshotsSent()
 	}
-	for _, p := range w.sites {
-		if p.member == nil || p.slow && w.random.IntN(4) > 0 {
+	for _, p := range sim.peers {
+		if p.member == nil || p.slowClock && sim.random.IntN(4) > 0 {
 			continue
 		}
-		if p.asleep {
-			p.frozen++
+		if p.frozen {
+			p.missedTicks++
 			continue
 		}
 		p.tick(1)
 	}
 }
 
-// deliverSome delivers a random message, repeats it or loses it.
-func (w *world) deliverSome() {
-	for len(w.net) > 100 {
-		w.lose(w.random.IntN(len(w.net)))
+// deliverRandom delivers, repeats or drops a random message. Before that it drops
+// random messages until at most 100 are in flight.
+func (sim *simulation) deliverRandom() {
+	for len(sim.inFlight) > 100 {
+		sim.drop(sim.random.IntN(len(sim.inFlight)))
 	}
-	if len(w.net) == 0 {
+	if len(sim.inFlight) == 0 {
 		return
 	}
-	k := w.random.IntN(min(len(w.net), 8))
-	switch w.random.IntN(40) {
+	k := sim.random.IntN(min(len(sim.inFlight), 8))
+	switch sim.random.IntN(40) {
 	case 0:
-		w.lose(k)
+		sim.drop(k)
 	case 1:
-		w.deliver(w.random.IntN(len(w.net)), true)
+		sim.deliver(sim.random.IntN(len(sim.inFlight)), true)
 	default:
-		w.deliver(k, false)
+		sim.deliver(k, false)
 	}
 }
 
-func (w *world) lose(k int) {
-	w.net = append(w.net[:k], w.net[k+1:]...)
+func (sim *simulation) drop(k int) {
+	sim.inFlight = append(sim.inFlight[:k], sim.inFlight[k+1:]...)
 }
 
-// fault breaks something, in half of the cases at a leader.
-func (w *world) fault(p *place) {
-	if l := w.leader(); l != nil && w.random.IntN(2) == 0 {
+// injectFault injects a random fault at p, or in half of the cases at the leader. It
+// may also end a fault.
+func (sim *simulation) injectFault(p *simPeer) {
+	if l := sim.leader(); l != nil && sim.random.IntN(2) == 0 {
 		p = l
 	}
-	other := w.sites[w.random.IntN(len(w.sites))]
-	switch k := w.random.IntN(100); {
+	other := sim.peers[sim.random.IntN(len(sim.peers))]
+	switch k := sim.random.IntN(100); {
 	case k < 10:
-		w.cuts[[2]fleet.InstanceID{p.instance, other.instance}] = true
+		sim.cuts[[2]fleet.InstanceID{p.instance, other.instance}] = true
 	case k < 25:
-		w.isolate(p, w.random.IntN(3))
+		sim.isolate(p, sim.random.IntN(3))
 	case k < 45:
-		clear(w.cuts)
+		clear(sim.cuts)
 	case k < 53 && p.member != nil:
-		p.asleep = true
+		p.frozen = true
 	case k < 60 && p.member != nil:
-		p.kill(p.lied)
+		p.kill(p.syncsIgnored)
 	case k < 70 && p.member != nil:
 		p.kill(true)
 	case k < 75 && p.member != nil:
@@ -180,50 +183,51 @@
 	case k < 83:
 		p.disk.FailSyncs(1)
 	case k < 87:
-		p.slow = !p.slow
-	case k < 90 && w.mayLose(p) && p.member != nil:
-		p.lied = true
+		p.slowClock = !p.slowClock
+	case k < 90 && sim.canLose(p) && p.member != nil:
+		p.syncsIgnored = true
 		p.disk.Lie(true)
-	case k < 95 && p.lied:
+	case k < 95 && p.syncsIgnored:
 		p.kill(true)
 		p.restart()
-	case k < 98 && w.mayLose(p):
-		w.counts["replaced"]++
+	case k < 98 && sim.canLose(p):
+		sim.counts["replaced"]++
 		p.replace()
 	}
 }
 
-// isolate cuts the links from a place (0), to it (1) or both (2).
-func (w *world) isolate(p *place, direction int) {
-	for _, o := range w.sites {
+// isolate cuts the links from a peer (direction 0), to it (1) or both (2).
+func (sim *simulation) isolate(p *simPeer, direction int) {
+	for _, o := range sim.peers {
 		if direction != 1 {
-			w.cuts[[2]fleet.InstanceID{p.instance, o.instance}] = true
+			sim.cuts[[2]fleet.InstanceID{p.instance, o.instance}] = true
 		}
 		if direction != 0 {
-			w.cuts[[2]fleet.InstanceID{o.instance, p.instance}] = true
+			sim.cuts[[2]fleet.InstanceID{o.instance, p.instance}] = true
 		}
 	}
 }
 
-// believesToLead returns a place that believes that it leads, perhaps wrongly, or
-// p if there is none. Most calls to followers would only be refused.
-func (w *world) believesToLead(p *place) *place {
-	if w.random.IntN(20) == 0 {
+// claimedLeader returns a random peer that takes itself for the leader, perhaps
+// wrongly, or p if there is none or in one of 20 calls. Followers would reject the
+// requests.
+func (sim *simulation) claimedLeader(p *simPeer) *simPeer {
+	if sim.random.IntN(20) == 0 {
 		return p
 	}
-	for _, k := range w.random.Perm(len(w.sites)) {
-		if o := w.sites[k]; o.runs() && o.member.replica.Leader() == o.id {
+	for _, k := range sim.random.Perm(len(sim.peers)) {
+		if o := sim.peers[k]; o.running() && o.member.replica.Leader() == o.id {
 			return o
 		}
 	}
 	return p
 }
 
-// leader returns the place that leads the highest term.
-func (w *world) leader() *place {
-	var l *place
-	for _, p := range w.sites {
-		if p.runs() && p.member.replica.Leader() == p.id && (l == nil || p.term > l.term) {
+// leader returns the running peer that leads with the highest term, or nil.
+func (sim *simulation) leader() *simPeer {
+	var l *simPeer
+	for _, p := range sim.peers {
+		if p.running() && p.member.replica.Leader() == p.id && (l == nil || p.term > l.term) {
 			l = p
 		}
 	}
--- a/internal/quorum/voter/script_test.go
+++ b/internal/quorum/voter/script_test.go
@@ -12,9 +12,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScripts runs the scripted cases in testdata. Each file says which failure
-// it guards against. A place is named by its instance, so it keeps its name when
-// its voter is replaced.
+// TestScripts runs the scripts in testdata. The head of each file states which
+// failure it guards against. Commands name a peer by its instance, which stays the
+// same when its voter is replaced.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var s script
@@ -24,8 +24,10 @@
 	})
 }
 
+// script runs the commands of one file against a simulation.
 type script struct {
-	*world
+	*simulation
+	// copies are the results of copyDisk, for rollBack.
 	copies map[fleet.InstanceID]*quorumtest.Disk
 }
 
@@ -33,23 +35,23 @@
 	n := 1
 	d.MaybeScanArgs(t, "n", &n)
 	if d.Cmd == "start" {
-		s.world = newWorld(1, n)
-		if d.HasArg("open") {
-			s.newcomers = true
-			for _, p := range s.sites {
-				p.member.open = true
+		s.simulation = newSimulation(1, n)
+		if d.HasArg("allowJoin") {
+			s.allowJoin = true
+			for _, p := range s.peers {
+				p.member.allowJoin = true
 			}
 		}
 		s.copies = make(map[fleet.InstanceID]*quorumtest.Disk)
 	}
-	p, to := s.place(t, d, "at"), s.place(t, d, "to")
-	s.log = nil
+	p, to := s.peer(t, d, "at"), s.peer(t, d, "to")
+	s.output = nil
 	switch d.Cmd {
 	case "start":
 	case "elect":
 		s.elect(p)
-	case "pass":
-		s.pass(n, s.place(t, d, "without"))
+	case "advance":
+		s.advance(n, s.peer(t, d, "without"))
 	case "cut":
 		s.cuts[[2]fleet.InstanceID{p.instance, to.instance}] = true
 	case "isolate":
@@ -66,7 +68,7 @@
 		s.drain()
 	case "transfer":
 		if err := p.member.replica.Transfer(to.id); err != nil {
-			s.note("%v", err)
+			s.printf("%v", err)
 		}
 		p.flush()
 		s.drain()
@@ -77,16 +79,16 @@
 	default:
 		s.runFault(t, d, p)
 	}
-	if s.broken != nil {
-		s.note("violated: %v", s.broken)
+	if s.violation != nil {
+		s.printf("violated: %v", s.violation)
 	}
-	return strings.Join(append(s.log, s.describe()...), "\n") + "\n"
+	return strings.Join(append(s.output, s.describe()...), "\n") + "\n"
 }
 
-func (s *script) runFault(t *testing.T, d *datadriven.TestData, p *place) {
+func (s *script) runFault(t *testing.T, d *datadriven.TestData, p *simPeer) {
 	switch d.Cmd {
 	case "freeze":
-		p.asleep = true
+		p.frozen = true
 	case "thaw":
 		p.thaw()
 	case "kill":
@@ -107,7 +109,7 @@
 	case "replace":
 		p.replace()
 	case "add":
-		s.add()
+		s.addPeer()
 	case "join":
 		s.joinAll()
 		s.drain()
@@ -116,17 +118,17 @@
 	}
 }
 
-func (s *script) place(t *testing.T, d *datadriven.TestData, key string) *place {
+func (s *script) peer(t *testing.T, d *datadriven.TestData, key string) *simPeer {
 	k := 0
 	d.MaybeScanArgs(t, key, &k)
 	if k == 0 {
 		return nil
 	}
-	return s.sites[k-1]
+	return s.peers[k-1]
 }
 
-// elect lets only one member's time pass until it leads.
-func (s *script) elect(p *place) {
+// elect advances only the clock of p until p leads.
+func (s *script) elect(p *simPeer) {
 	for range 10 * electionTicks {
 		if p.member.replica.Leader() == p.id {
 			return
@@ -136,15 +138,16 @@
 	}
 }
 
-// pass lets time pass, except for a place whose clock stands still.
-func (s *script) pass(n int, without *place) {
+// advance runs n ticks on all peers but one whose clock stands still, and delivers
+// the messages after each.
+func (s *script) advance(n int, without *simPeer) {
 	for range n {
-		for _, p := range s.sites {
+		for _, p := range s.peers {
 			if p == without || p.member == nil {
 				continue
 			}
-			if p.asleep {
-				p.frozen++
+			if p.frozen {
+				p.missedTicks++
 				continue
 			}
 			p.tick(1)
@@ -153,42 +156,42 @@
 	}
 }
 
+// drain delivers all messages. Messages to frozen peers are dropped.
 func (s *script) drain() {
-	for len(s.net) > 0 && s.broken == nil {
-		if to := s.byID(s.net[0].To); to != nil && to.asleep {
-			s.lose(0)
+	for len(s.inFlight) > 0 && s.violation == nil {
+		if to := s.peerByID(s.inFlight[0].To); to != nil && to.frozen {
+			s.drop(0)
 			continue
 		}
 		s.deliver(0, false)
 	}
 }
 
-func (s *script) remove(p, which *place) {
+func (s *script) remove(p, which *simPeer) {
 	p.member.change(replica.Change{Kind: replica.Remove, Voter: replica.Voter{ID: which.id}}, func(_ []byte, err error) {
-		s.note("remove: %s", outcome(err))
+		s.printf("remove: %s", outcomeCode(err))
 	})
 	p.flush()
 	s.drain()
 }
 
-// vote asks a member for its vote in term 9 and notes the reply.
-func (s *script) vote(p, candidate *place) {
+// vote sends p a vote request in term 9 and prints the reply.
+func (s *script) vote(p, candidate *simPeer) {
 	p.member.step(replica.Message{
 		Kind: replica.Vote, From: candidate.id, To: p.id, Term: 9, LogIndex: 1000, LogTerm: 8,
 	})
 	p.flush()
-	for _, m := range s.net {
-		s.note("%s from %d to %d: reject=%v", m.Kind, m.From, m.To, m.Reject)
+	for _, m := range s.inFlight {
+		s.printf("%s from %d to %d: reject=%v", m.Kind, m.From, m.To, m.Reject)
 	}
-	s.net = nil
+	s.inFlight = nil
 }
 
-// describe lists the state of all places. Entries of the leader are counted by
-// its applied commands.
+// describe returns one line with the state of each peer.
 func (s *script) describe() []string {
 	var lines []string
-	for _, p := range s.sites {
-		if !p.runs() {
+	for _, p := range s.peers {
+		if !p.running() {
 			lines = append(lines, fmt.Sprintf("%s: stopped", p.instance))
 			continue
 		}
@@ -198,12 +201,12 @@
 		}
 		st := p.member.status()
 		lines = append(lines, fmt.Sprintf("%s: voter %d %s term=%d leader=%d commit=%d members=%s",
-			p.instance, st.Voter, st.Role, st.Term, st.Leader, st.Commit, members(st)))
+			p.instance, st.Voter, st.Role, st.Term, st.Leader, st.Commit, formatMembers(st)))
 	}
 	return lines
 }
 
-func members(st GroupStatus) string {
+func formatMembers(st GroupStatus) string {
 	var names []string
 	for _, m := range st.Members {
 		name := fmt.Sprint(m.ID)
@@ -218,4 +221,4 @@
 	return "(" + strings.Join(names, ", ") + ")"
 }
 
-var _ quorum.Reader = (*chain)(nil)
+var _ quorum.Reader = (*hashChain)(nil)
--- a/internal/quorum/voter/service.go
+++ b/internal/quorum/voter/service.go
@@ -14,25 +14,26 @@
 	"google.golang.org/grpc/status"
 )
 
-// Service serves the methods of peerv1.PeerServer that belong to a Voter. A
-// daemon that serves all methods delegates these to it.
+// Service implements the methods of peerv1.PeerServer that belong to a Voter. A
+// daemon that serves further methods delegates these to it.
 type Service struct {
 	peerv1.UnimplementedPeerServer
 	voter *Voter
 }
 
-// Service returns the gRPC methods of the voter.
+// Service returns the gRPC service of the voter.
 func (v *Voter) Service() *Service { return &Service{voter: v} }
 
-// Register serves the voter alone.
+// Register registers the service of the voter. The other methods of
+// peerv1.PeerServer are unimplemented.
 func (v *Voter) Register(s grpc.ServiceRegistrar) { peerv1.RegisterPeerServer(s, v.Service()) }
 
-// Consensus receives the messages of another voter.
+// Consensus receives the consensus messages of another voter.
 func (s *Service) Consensus(stream peerv1.Peer_ConsensusServer) error {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		var a assembler
+		var a snapshotAssembler
 		for {
 			b, err := stream.Recv()
 			if err != nil {
@@ -51,46 +52,48 @@
 	return stream.SendAndClose(&peerv1.ConsensusDone{})
 }
 
-// Propose runs a command on the own replica. It does not forward: the refusal
-// names the leader.
+// Propose runs a command on the replica of this voter. It does not forward the
+// command: if another replica leads, the refusal names the leader.
 func (s *Service) Propose(ctx context.Context, r *peerv1.ProposeRequest) (*peerv1.ProposeReply, error) {
-	reply, err := s.voter.local(ctx, call{group: quorum.GroupID(r.GetGroup()), data: r.GetCommand()})
+	reply, err := s.voter.callLocal(ctx, request{group: quorum.GroupID(r.GetGroup()), data: r.GetCommand()})
 	return &peerv1.ProposeReply{Reply: reply, Refusal: refusalToProto(err)}, nil
 }
 
-// Read runs a query on the own replica. It does not forward.
+// Read runs a query on the replica of this voter. It does not forward the query.
 func (s *Service) Read(ctx context.Context, r *peerv1.ReadRequest) (*peerv1.ReadReply, error) {
-	reply, err := s.voter.local(ctx, call{group: quorum.GroupID(r.GetGroup()), data: r.GetQuery(), read: true})
+	reply, err := s.voter.callLocal(ctx, request{group: quorum.GroupID(r.GetGroup()), data: r.GetQuery(), read: true})
 	return &peerv1.ReadReply{Reply: reply, Refusal: refusalToProto(err)}, nil
 }
 
-// Identify binds the id of an initial voter to a data folder.
+// Identify binds the id of an initial voter to a data folder, unless it is bound
+// already. The reply holds the folder to which it is bound.
 func (s *Service) Identify(_ context.Context, r *peerv1.IdentifyRequest) (*peerv1.IdentifyReply, error) {
-	reply, err := s.voter.bind(quorum.VoterID(r.GetId()), journal.FolderID(r.GetFolder()))
+	reply, err := s.voter.bindFolder(quorum.VoterID(r.GetId()), journal.FolderID(r.GetFolder()))
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
 	return reply, nil
 }
 
-// Join adds the successor of a lost voter as a learner.
+// Join adds a voter to a group as a learner: the successor of a lost voter or, with
+// AllowJoin, a new instance.
 func (s *Service) Join(ctx context.Context, r *peerv1.JoinRequest) (*peerv1.JoinReply, error) {
 	g, err := s.voter.group(quorum.GroupID(r.GetGroup()))
 	if err == nil {
-		_, err = g.await(ctx, func(m *member, d done) { m.join(voterOf(r.GetVoter()), d) })
+		_, err = g.do(ctx, func(m *member, d doneFunc) { m.join(voterFromProto(r.GetVoter()), d) })
 	}
 	return &peerv1.JoinReply{Refusal: refusalToProto(err)}, nil
 }
 
-// deliver hands the messages of a batch to their groups.
+// deliver passes the messages of a batch to their groups.
 func (v *Voter) deliver(b *peerv1.ConsensusBatch) {
-	v.learn(voterOf(b.GetSender()))
+	v.recordVoter(voterFromProto(b.GetSender()))
 	for _, ms := range b.GetGroups() {
-		g, ok := v.running(quorum.GroupID(ms.GetGroup()))
+		g, ok := v.runningGroup(quorum.GroupID(ms.GetGroup()))
 		if !ok {
 			continue
 		}
-		g.post(func(m *member) {
+		g.enqueue(func(m *member) {
 			for _, p := range ms.GetMessages() {
 				m.step(replica.MessageFromProto(p))
 			}
@@ -98,27 +101,29 @@
 	}
 }
 
-func (v *Voter) learn(o replica.Voter) {
+// recordVoter stores the address and instance that a voter stated about itself.
+func (v *Voter) recordVoter(o replica.Voter) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.directory[o.ID] = o
+	v.knownVoters[o.ID] = o
 }
 
-// heard returns the voters that sent messages to this one.
-func (v *Voter) heard() []Peer {
+// knownPeers returns the voters that have sent messages to this one, ordered by id.
+func (v *Voter) knownPeers() []Peer {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var ps []Peer
-	for _, o := range v.directory {
+	for _, o := range v.knownVoters {
 		ps = append(ps, Peer{ID: o.ID, Instance: o.Instance, Address: o.Address})
 	}
 	slices.SortFunc(ps, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
 	return ps
 }
 
-func (v *Voter) known(id quorum.VoterID) (replica.Voter, bool) {
+// knownVoter returns what a voter last stated about itself.
+func (v *Voter) knownVoter(id quorum.VoterID) (replica.Voter, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	o, ok := v.directory[id]
+	o, ok := v.knownVoters[id]
 	return o, ok
 }
--- a/internal/quorum/voter/silent_test.go
+++ b/internal/quorum/voter/silent_test.go
@@ -15,26 +15,26 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// silentPeer answers proposals unless it is silent.
-type silentPeer struct {
+// stallingPeer answers proposals unless it is stalled.
+type stallingPeer struct {
 	peerv1.UnimplementedPeerServer
-	silent atomic.Bool
+	stalled atomic.Bool
 }
 
-func (f *silentPeer) Propose(ctx context.Context, _ *peerv1.ProposeRequest) (*peerv1.ProposeReply, error) {
-	if f.silent.Load() {
+func (p *stallingPeer) Propose(ctx context.Context, _ *peerv1.ProposeRequest) (*peerv1.ProposeReply, error) {
+	if p.stalled.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return &peerv1.ProposeReply{Reply: []byte("done")}, nil
 }
 
-// TestSilentLeader guards against a client that asks a frozen or cut-off leader
-// first for ever, so that every proposal ends with an unknown outcome although
-// another leader was elected.
-func TestSilentLeader(t *testing.T) {
+// TestUnresponsiveLeader guards against a client that keeps trying a frozen or
+// disconnected leader first, so that every proposal ends with an unknown outcome
+// although another leader was elected.
+func TestUnresponsiveLeader(t *testing.T) {
 	is := is.New(t)
-	frozen, elected := &silentPeer{}, &silentPeer{}
+	frozen, elected := &stallingPeer{}, &stallingPeer{}
 	c, err := NewClient(
 		Instance("client", ""),
 		Initial(Peer{ID: 1, Instance: "a", Address: servePeer(t, frozen)}, Peer{ID: 2, Instance: "b", Address: servePeer(t, elected)}),
@@ -47,19 +47,19 @@
 		return err
 	}
 	is.NoErr(propose()) // a is remembered as the leader
-	frozen.silent.Store(true)
+	frozen.stalled.Store(true)
 	is.Equal(refusal.KindOf(propose()), refusal.OutcomeUnknown)
-	is.NoErr(propose()) // b is asked first now
+	is.NoErr(propose()) // b is tried first now
 }
 
-func servePeer(t *testing.T, f *silentPeer) string {
+func servePeer(t *testing.T, p *stallingPeer) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := grpc.NewServer()
-	peerv1.RegisterPeerServer(s, f)
+	peerv1.RegisterPeerServer(s, p)
 	go func() { _ = s.Serve(listener) }()
 	t.Cleanup(s.Stop)
 	return listener.Addr().String()
--- a/internal/quorum/voter/status.go
+++ b/internal/quorum/voter/status.go
@@ -7,7 +7,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum/replica"
 )
 
-// GroupStatus is the state of one group as one voter sees it.
+// GroupStatus is the state of one group as seen by one voter.
 type GroupStatus struct {
 	Group   quorum.GroupID `json:"group"`
 	Voter   quorum.VoterID `json:"voter"`
@@ -17,35 +17,38 @@
 	Commit  quorum.Index   `json:"commit"`
 	Applied quorum.Index   `json:"applied"`
 	Members []MemberStatus `json:"members"`
-	// Failure says why the replica does not run, or is empty.
+	// Failure is the error that stopped the replica. It is empty while the replica
+	// runs.
 	Failure string `json:"failure,omitempty"`
 }
 
-// MemberStatus is one member of a group. Lag, Active and Lost are known to the
-// leader only.
+// MemberStatus is the state of one member of a group. Only the leader fills in
+// Lag, Active and Lost.
 type MemberStatus struct {
 	ID       quorum.VoterID `json:"id"`
 	Instance string         `json:"instance"`
 	Address  string         `json:"address"`
 	Learner  bool           `json:"learner,omitempty"`
 	// Lag is the number of entries of the leader that the member has not synced.
-	Lag    quorum.Index `json:"lag"`
-	Active bool         `json:"active"`
-	// Lost tells that the member lost entries that it had acknowledged.
+	Lag quorum.Index `json:"lag"`
+	// Active reports whether the member answered the leader within the last two
+	// election timeouts.
+	Active bool `json:"active"`
+	// Lost reports whether the member lost entries that it had acknowledged.
 	Lost bool `json:"lost,omitempty"`
 }
 
-// Status returns the state of all groups, in the order of the options. It is
-// empty until the first start is complete.
+// Status returns the state of all groups, in the order of the Group options. The
+// list is empty until the voter knows its id and has started the groups.
 func (v *Voter) Status(ctx context.Context) []GroupStatus {
 	var list []GroupStatus
-	for _, id := range v.config.order {
+	for _, id := range v.config.groupOrder {
 		g, err := v.group(id)
 		if err != nil {
 			continue
 		}
 		var s GroupStatus
-		_, err = g.await(ctx, func(m *member, d done) {
+		_, err = g.do(ctx, func(m *member, d doneFunc) {
 			s = m.status()
 			d(nil, nil)
 		})
@@ -65,19 +68,19 @@
 	if m.failure != nil {
 		s.Failure = m.failure.Error()
 	}
-	known := make(map[quorum.VoterID]replica.Progress)
+	progress := make(map[quorum.VoterID]replica.Progress)
 	for _, p := range r.Progress {
-		known[p.Voter.ID] = p
+		progress[p.Voter.ID] = p
 	}
 	for _, o := range r.Voters {
-		s.Members = append(s.Members, memberStatus(o, known, r.Last))
+		s.Members = append(s.Members, memberStatus(o, progress, r.Last))
 	}
 	return s
 }
 
-func memberStatus(o replica.Voter, known map[quorum.VoterID]replica.Progress, last quorum.Index) MemberStatus {
+func memberStatus(o replica.Voter, progress map[quorum.VoterID]replica.Progress, last quorum.Index) MemberStatus {
 	s := MemberStatus{ID: o.ID, Instance: string(o.Instance), Address: o.Address, Learner: o.Learner}
-	if p, ok := known[o.ID]; ok {
+	if p, ok := progress[o.ID]; ok {
 		s.Lag, s.Active, s.Lost = last-min(p.Match, last), p.Active, p.Lost
 	}
 	return s
--- a/internal/quorum/voter/transport.go
+++ b/internal/quorum/voter/transport.go
@@ -16,14 +16,20 @@
 )
 
 const (
-	outboxMessages  = 4096
-	batchMessages   = 256
-	batchBytes      = 4 << 20
-	chunkBytes      = 1 << 20
+	// outboxSize is the maximum number of messages queued for one address.
+	outboxSize = 4096
+	// maxBatchMessages is the maximum number of queued messages that are sent together
+	// with the first one.
+	maxBatchMessages = 256
+	// maxBatchBytes is the size of the entries in a batch from which on no more messages
+	// are added to it.
+	maxBatchBytes = 4 << 20
+	// maxChunkBytes is the maximum size of the state in one chunk of a snapshot.
+	maxChunkBytes   = 1 << 20
 	snapshotTimeout = 30 * time.Second
 )
 
-// connections holds one connection for each address.
+// connections holds one gRPC connection for each address.
 type connections struct {
 	options []grpc.DialOption
 	mu      sync.Mutex
@@ -52,8 +58,8 @@
 	return conn, nil
 }
 
-// ready returns a connection that is established. An error means that nothing
-// was sent.
+// ready waits up to connectTimeout until the connection is established, and returns
+// it. An error means that nothing was sent.
 func (c *connections) ready(ctx context.Context, address string) (*grpc.ClientConn, error) {
 	conn, err := c.get(address)
 	if err != nil {
@@ -86,21 +92,22 @@
 	}
 }
 
+// envelope is a message together with its group.
 type envelope struct {
 	group   quorum.GroupID
 	message replica.Message
 }
 
-// transport sends consensus messages in batches, one stream for each address.
+// transport sends consensus messages in batches, over one stream for each address.
 type transport struct {
-	config   *config
-	conns    *connections
-	self     replica.Voter
-	ctx      context.Context
-	cancel   context.CancelFunc
-	mu       sync.Mutex
-	outboxes map[string]chan envelope
-	wait     sync.WaitGroup
+	config     *config
+	conns      *connections
+	self       replica.Voter
+	ctx        context.Context
+	cancel     context.CancelFunc
+	mu         sync.Mutex
+	outboxes   map[string]chan envelope
+	goroutines sync.WaitGroup
 }
 
 func newTransport(c *config, conns *connections, self replica.Voter) *transport {
@@ -109,18 +116,19 @@
 	return t
 }
 
-// send queues a message. It drops the message when the queue is full or the link
-// is cut, which the protocol tolerates. It calls sent once for each snapshot.
-func (t *transport) send(to replica.Voter, e envelope, sent func(error)) {
+// send queues a message. It drops the message if the queue is full or the link is
+// cut, which the protocol tolerates. For each snapshot it calls onSent once with the
+// result.
+func (t *transport) send(to replica.Voter, e envelope, onSent func(error)) {
 	cut := t.config.cut(t.self.Instance, to.Instance)
 	if cut && e.message.Kind == replica.InstallSnapshot {
-		sent(errors.New("link is cut"))
+		onSent(errors.New("link is cut"))
 	}
 	if cut {
 		return
 	}
 	if e.message.Kind == replica.InstallSnapshot {
-		t.sendSnapshot(to, e, sent)
+		t.sendSnapshot(to, e, onSent)
 		return
 	}
 	select {
@@ -129,30 +137,32 @@
 	}
 }
 
+// outbox returns the queue of an address. The first call for an address starts the
+// goroutine that sends from it.
 func (t *transport) outbox(address string) chan envelope {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if box, ok := t.outboxes[address]; ok {
 		return box
 	}
-	box := make(chan envelope, outboxMessages)
+	box := make(chan envelope, outboxSize)
 	t.outboxes[address] = box
-	t.wait.Go(func() {
+	t.goroutines.Go(func() {
 		var s peerv1.Peer_ConsensusClient
 		for {
 			select {
 			case <-t.ctx.Done():
 				return
 			case e := <-box:
-				s = t.sendBatch(s, address, collect(e, box))
+				s = t.sendBatch(s, address, collectBatch(e, box))
 			}
 		}
 	})
 	return box
 }
 
-// sendBatch sends over s, or over a new stream if s is nil. It returns nil when
-// the stream failed.
+// sendBatch sends a batch over s, or over a new stream if s is nil. It returns the
+// stream, or nil if the stream failed.
 func (t *transport) sendBatch(s peerv1.Peer_ConsensusClient, address string, b *peerv1.ConsensusBatch) peerv1.Peer_ConsensusClient {
 	if s == nil {
 		conn, err := t.conns.get(address)
@@ -163,35 +173,37 @@
 			return nil
 		}
 	}
-	b.Sender = senderOf(t.self)
+	b.Sender = voterToProto(t.self)
 	if s.Send(b) != nil {
 		return nil
 	}
 	return s
 }
 
-// sendSnapshot uses a stream of its own, so that heartbeats don't wait for the
-// snapshot.
-func (t *transport) sendSnapshot(to replica.Voter, e envelope, sent func(error)) {
-	t.wait.Go(func() {
+// sendSnapshot sends a snapshot over a separate stream, so that heartbeats don't
+// wait for it.
+func (t *transport) sendSnapshot(to replica.Voter, e envelope, onSent func(error)) {
+	t.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(t.ctx, snapshotTimeout)
 		defer cancel()
 		conn, err := t.conns.get(to.Address)
 		if err == nil {
-			err = t.streamOnce(ctx, conn, e)
+			err = t.streamSnapshot(ctx, conn, e)
 		}
-		sent(err)
+		onSent(err)
 	})
 }
 
-func (t *transport) streamOnce(ctx context.Context, conn *grpc.ClientConn, e envelope) error {
+// streamSnapshot sends a snapshot in chunks over a new stream, and waits until the
+// receiver has ended it.
+func (t *transport) streamSnapshot(ctx context.Context, conn *grpc.ClientConn, e envelope) error {
 	s, err := peerv1.NewPeerClient(conn).Consensus(ctx)
 	if err != nil {
 		return err
 	}
-	for _, m := range chunks(e.message) {
+	for _, m := range splitSnapshot(e.message) {
 		b := &peerv1.ConsensusBatch{
-			Sender: senderOf(t.self),
+			Sender: voterToProto(t.self),
 			Groups: []*peerv1.GroupMessages{{Group: string(e.group), Messages: []*peerv1.Message{m}}},
 		}
 		if err := s.Send(b); err != nil {
@@ -202,17 +214,18 @@
 	return err
 }
 
-// chunks splits a snapshot into messages of bounded size. They share the state.
-func chunks(m replica.Message) []*peerv1.Message {
+// splitSnapshot splits a snapshot into messages with at most maxChunkBytes of its
+// state each. The state is not copied.
+func splitSnapshot(m replica.Message) []*peerv1.Message {
 	var ms []*peerv1.Message
 	rest := m.Snapshot.State
 	for {
-		n := min(len(rest), chunkBytes)
-		part := *m.Snapshot
-		part.State = rest[:n]
+		n := min(len(rest), maxChunkBytes)
+		chunk := *m.Snapshot
+		chunk.State = rest[:n]
 		rest = rest[n:]
 		c := m
-		c.Snapshot = &part
+		c.Snapshot = &chunk
 		p := replica.MessageToProto(c)
 		p.Snapshot.More = len(rest) > 0
 		ms = append(ms, p)
@@ -222,14 +235,14 @@
 	}
 }
 
-// assembler joins the chunks of one stream.
-type assembler struct {
+// snapshotAssembler joins the snapshot chunks of one stream.
+type snapshotAssembler struct {
 	state []byte
 }
 
-// add takes the chunk in m and reports whether the snapshot is complete. Messages
-// without a snapshot are complete.
-func (a *assembler) add(m *peerv1.Message) bool {
+// add takes the chunk in m and reports whether m is complete. The last chunk of a
+// snapshot receives the whole state. Messages without a snapshot are complete.
+func (a *snapshotAssembler) add(m *peerv1.Message) bool {
 	s := m.GetSnapshot()
 	if s == nil {
 		return true
@@ -245,23 +258,24 @@
 
 func (t *transport) close() {
 	t.cancel()
-	t.wait.Wait()
+	t.goroutines.Wait()
 }
 
-// collect takes what is queued without waiting. It lets other groups run first,
-// whose messages of the same tick then share the batch.
-func collect(first envelope, box chan envelope) *peerv1.ConsensusBatch {
+// collectBatch returns a batch of first and the queued messages, without waiting for
+// more. It yields the processor once, so that messages of other groups from the same
+// tick get into the batch.
+func collectBatch(first envelope, box chan envelope) *peerv1.ConsensusBatch {
 	runtime.Gosched()
 	b := &peerv1.ConsensusBatch{}
-	index := make(map[quorum.GroupID]*peerv1.GroupMessages)
-	size := add(b, index, first)
-	for range batchMessages {
-		if size >= batchBytes {
+	groups := make(map[quorum.GroupID]*peerv1.GroupMessages)
+	size := addToBatch(b, groups, first)
+	for range maxBatchMessages {
+		if size >= maxBatchBytes {
 			return b
 		}
 		select {
 		case e := <-box:
-			size += add(b, index, e)
+			size += addToBatch(b, groups, e)
 		default:
 			return b
 		}
@@ -269,12 +283,13 @@
 	return b
 }
 
-// add puts a message into the batch, and returns the bytes of its entries.
-func add(b *peerv1.ConsensusBatch, index map[quorum.GroupID]*peerv1.GroupMessages, e envelope) int {
-	g := index[e.group]
+// addToBatch appends a message to the batch, and returns the size of its entries in
+// bytes.
+func addToBatch(b *peerv1.ConsensusBatch, groups map[quorum.GroupID]*peerv1.GroupMessages, e envelope) int {
+	g := groups[e.group]
 	if g == nil {
 		g = &peerv1.GroupMessages{Group: string(e.group)}
-		index[e.group] = g
+		groups[e.group] = g
 		b.Groups = append(b.Groups, g)
 	}
 	g.Messages = append(g.Messages, replica.MessageToProto(e.message))
@@ -285,11 +300,11 @@
 	return size
 }
 
-func senderOf(v replica.Voter) *peerv1.Voter {
+func voterToProto(v replica.Voter) *peerv1.Voter {
 	return &peerv1.Voter{Id: uint64(v.ID), Instance: string(v.Instance), Address: v.Address}
 }
 
-func voterOf(p *peerv1.Voter) replica.Voter {
+func voterFromProto(p *peerv1.Voter) replica.Voter {
 	return replica.Voter{
 		ID: quorum.VoterID(p.GetId()), Instance: fleet.InstanceID(p.GetInstance()), Address: p.GetAddress(),
 	}
--- a/internal/quorum/voter/voter.go
+++ b/internal/quorum/voter/voter.go
@@ -1,16 +1,16 @@
-// Package voter runs the replicas of several groups in one daemon: journals,
-// transport, clock, batching, snapshots, and the replacement of a voter whose
-// data folder was lost.
+// Package voter runs the replicas of several groups in one daemon. It provides
+// their journals, transport, clock, batching and snapshots, and replaces a voter
+// whose data folder was lost.
 //
 //	v, err := voter.New(
 //		voter.Instance("london-1", "10.0.0.1:7300"),
 //		voter.Folder("/var/lib/bilberryrock"),
-//		voter.Initial(
+//		voter.InitialVoters(
 //			voter.Peer{ID: 1, Instance: "london-1", Address: "10.0.0.1:7300"},
 //			voter.Peer{ID: 2, Instance: "leeds-1", Address: "10.0.1.1:7300"},
 //			voter.Peer{ID: 3, Instance: "derby-1", Address: "10.0.2.1:7300"},
 //		),
-//		voter.Group(quorum.ConfigGroup, register),
+//		voter.Group(quorum.ConfigGroup, stateMachine),
 //		voter.Logger(logger),
 //	)
 //	server := grpc.NewServer(voter.ServerOptions()...)
@@ -23,11 +23,11 @@
 //
 // # First start and lost folders
 //
-// The ids in Initial belong to data folders, not to instances. A voter with a
-// new folder first asks all other initial voters to bind its id to the folder,
-// and each of them keeps the first folder that it saw. The group therefore forms
-// once all initial voters have been up at the same time. A folder that finds its
-// id bound to another one is the successor of a lost folder: it takes a new
+// The ids in InitialVoters belong to data folders, not to instances. A voter with
+// a new folder first asks all other initial voters to bind its id to the folder,
+// and each of them keeps the first binding that it received. The group therefore
+// forms once all initial voters have been up at the same time. A voter whose id is
+// already bound to another folder is the successor of a lost voter: it takes a new
 // random id and joins as a learner. When it has caught up, the leader removes the
 // lost voter and then promotes the learner.
 package voter
@@ -50,29 +50,31 @@
 
 // Voter runs the replicas of one daemon. It is safe for concurrent use.
 type Voter struct {
-	config *config
-	conns  *connections
-	client *Client
-	lock   io.Closer
-	ctx    context.Context
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
-	failed chan error
-	// started is the time from which ticks are counted.
-	started time.Time
+	config     *config
+	conns      *connections
+	client     *Client
+	lock       io.Closer
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	failed     chan error
+	// startTime is the time from which ticks are counted.
+	startTime time.Time
 
 	mu        sync.Mutex
 	identity  journal.Identity
 	groups    map[quorum.GroupID]*group
 	transport *transport
-	directory map[quorum.VoterID]replica.Voter
-	stopping  bool
+	// knownVoters holds what the sender of the last batch from each voter stated
+	// about itself.
+	knownVoters map[quorum.VoterID]replica.Voter
+	stopping    bool
 }
 
 var _ quorum.Proposer = (*Voter)(nil)
 
-// New opens the data folder and starts the replicas. A damaged folder is an
-// error that names the file. New does not wait for other voters.
+// New opens the data folder and starts the replicas. If the folder is damaged, the
+// error names the file. New does not wait for other voters.
 func New(options ...Option) (*Voter, error) {
 	c, err := newConfig(options)
 	if err != nil {
@@ -90,23 +92,23 @@
 	}
 	v := &Voter{
 		config: c, conns: newConnections(c.dialOptions()), lock: lock,
-		failed: make(chan error, 1), started: c.clock.Now(), groups: make(map[quorum.GroupID]*group),
-		directory: make(map[quorum.VoterID]replica.Voter),
+		failed: make(chan error, 1), startTime: c.clock.Now(), groups: make(map[quorum.GroupID]*group),
+		knownVoters: make(map[quorum.VoterID]replica.Voter),
 	}
 	v.ctx, v.cancel = context.WithCancel(context.Background())
 	v.client = newClient(c, v.conns)
-	v.client.local = v.local
-	v.client.others = v.heard
-	if err := v.begin(); err != nil {
+	v.client.local = v.callLocal
+	v.client.knownPeers = v.knownPeers
+	if err := v.initialize(); err != nil {
 		_ = v.Stop(context.Background())
 		return nil, err
 	}
 	return v, nil
 }
 
-// begin loads the identity and starts the groups, now or once the identity is
-// known.
-func (v *Voter) begin() error {
+// initialize loads the identity of the data folder. It starts the groups at once
+// if the voter id is known, and otherwise in the background after bootstrap.
+func (v *Voter) initialize() error {
 	id, err := journal.LoadIdentity(v.config.disk, v.config.folder)
 	if err != nil {
 		return err
@@ -122,18 +124,18 @@
 	}
 	v.identity = id
 	if id.Voter != 0 {
-		return v.start()
+		return v.startGroups()
 	}
-	v.wait.Go(func() {
-		if err := v.form(); err != nil {
+	v.goroutines.Go(func() {
+		if err := v.bootstrap(); err != nil {
 			v.fail(err)
 		}
 	})
 	return nil
 }
 
-// start opens all groups and runs them.
-func (v *Voter) start() error {
+// startGroups opens and runs all groups, unless the voter is stopping.
+func (v *Voter) startGroups() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.stopping {
@@ -141,14 +143,14 @@
 	}
 	self := replica.Voter{ID: v.identity.Voter, Instance: v.config.instance, Address: v.config.address}
 	v.transport = newTransport(v.config, v.conns, self)
-	for _, id := range v.config.order {
+	for _, id := range v.config.groupOrder {
 		if err := v.startGroup(id); err != nil {
 			return err
 		}
 	}
-	for _, id := range v.config.order {
+	for _, id := range v.config.groupOrder {
 		g := v.groups[id]
-		v.wait.Go(func() { v.join(g) })
+		v.goroutines.Go(func() { v.ensureMembership(g) })
 	}
 	return nil
 }
@@ -158,21 +160,21 @@
 	if err := v.checkFolder(id, dir); err != nil {
 		return err
 	}
-	o := v.config.replica
+	o := v.config.replicaOptions
 	o.ID = v.identity.Voter
 	if o.Seed == 0 {
 		o.Seed = newID()
 	}
-	g := &group{voter: v, id: id, inbox: make(chan func(*member), inboxInputs), stopped: make(chan struct{})}
+	g := &group{voter: v, id: id, inbox: make(chan func(*member), inboxSize), stopped: make(chan struct{})}
 	m, err := openMember(memberConfig{
-		group: id, options: o, initial: v.initialVoters(), machine: v.config.machines[id],
+		group: id, options: o, initial: v.initialVoters(), machine: v.config.stateMachines[id],
 		disk: v.config.disk, dir: dir, send: g.send, background: g.background,
-		snapshotEntries: v.config.snapshotEntries, keepEntries: v.config.keepEntries, open: v.config.open,
+		snapshotEntries: v.config.snapshotEntries, keepEntries: v.config.keepEntries, allowJoin: v.config.allowJoin,
 	})
 	if err != nil {
 		return err
 	}
-	if err := v.noteGroup(id); err != nil {
+	if err := v.recordGroup(id); err != nil {
 		return err
 	}
 	g.member = m
@@ -181,8 +183,8 @@
 	return nil
 }
 
-// checkFolder refuses an empty journal of a group that this folder took part in:
-// the voter may have voted and acknowledged entries that are gone.
+// checkFolder returns an error if the journal is empty although the identity lists
+// the group: the voter may have cast votes and acknowledged entries that are lost.
 func (v *Voter) checkFolder(id quorum.GroupID, dir string) error {
 	if err := v.config.disk.MakeDir(dir); err != nil {
 		return errors.Wrap(err, "data folder")
@@ -199,7 +201,8 @@
 	return nil
 }
 
-func (v *Voter) noteGroup(id quorum.GroupID) error {
+// recordGroup stores in the identity that this folder takes part in a group.
+func (v *Voter) recordGroup(id quorum.GroupID) error {
 	for _, g := range v.identity.Groups {
 		if g == id {
 			return nil
@@ -209,8 +212,9 @@
 	return journal.SaveIdentity(v.config.disk, v.config.folder, v.identity)
 }
 
-// initialVoters returns the members of a new group. A replaced voter is none of
-// them and learns the members from the leader.
+// initialVoters returns the members of a new group. For the successor of a lost
+// voter it returns nil: that voter is no initial member and receives the members
+// from the leader.
 func (v *Voter) initialVoters() []replica.Voter {
 	if v.identity.Replaced {
 		return nil
@@ -218,7 +222,7 @@
 	if len(v.identity.Initial) > 0 {
 		return v.identity.Initial
 	}
-	// Folders that were made before identities named the members.
+	// The identity was stored by a version that did not record the initial voters.
 	var vs []replica.Voter
 	for _, p := range v.config.initial {
 		vs = append(vs, replica.Voter{ID: p.ID, Instance: p.Instance, Address: p.Address})
@@ -226,19 +230,19 @@
 	return vs
 }
 
-// Propose hands a command to the leader of a group.
+// Propose forwards a command to the leader of a group.
 func (v *Voter) Propose(ctx context.Context, id quorum.GroupID, command []byte) ([]byte, error) {
 	return v.client.Propose(ctx, id, command)
 }
 
-// Read hands a query to the leader of a group.
+// Read forwards a query to the leader of a group.
 func (v *Voter) Read(ctx context.Context, id quorum.GroupID, query []byte) ([]byte, error) {
 	return v.client.Read(ctx, id, query)
 }
 
-// Lead hands a query to the own replica and returns its reply and term once a majority
-// has confirmed that it leads the group. The kind of the error is refusal.NotReady if
-// another replica leads.
+// Lead runs a query on the replica of this voter, and returns the reply and the
+// term once a majority has confirmed that the replica leads the group. The kind of
+// the error is refusal.NotReady if another replica leads.
 func (v *Voter) Lead(ctx context.Context, id quorum.GroupID, query []byte) ([]byte, quorum.Term, error) {
 	ctx, cancel := context.WithTimeout(ctx, v.config.attemptTimeout)
 	defer cancel()
@@ -247,57 +251,57 @@
 		return nil, 0, err
 	}
 	var term quorum.Term
-	reply, err := g.await(ctx, func(m *member, d done) {
+	reply, err := g.do(ctx, func(m *member, d doneFunc) {
 		m.read(query, func(reply []byte, err error) {
-			// Reads fail when the replica ceases to lead, so the term is that of the
-			// confirmation.
+			// Pending reads fail when the replica loses the leadership, so this is
+			// the term in which the leadership was confirmed.
 			term = m.replica.Term()
 			d(reply, err)
 		})
 	})
 	if err != nil {
-		return nil, 0, err // term may still be written
+		return nil, 0, err // The callback may still write term.
 	}
 	return reply, term, nil
 }
 
-// local runs a call on the own replica.
-func (v *Voter) local(ctx context.Context, k call) ([]byte, error) {
-	g, err := v.group(k.group)
+// callLocal runs a request on the replica of this voter.
+func (v *Voter) callLocal(ctx context.Context, req request) ([]byte, error) {
+	g, err := v.group(req.group)
 	if err != nil {
 		return nil, err
 	}
-	return g.await(ctx, func(m *member, d done) {
-		if k.read {
-			m.read(k.data, d)
+	return g.do(ctx, func(m *member, d doneFunc) {
+		if req.read {
+			m.read(req.data, d)
 			return
 		}
-		m.propose(k.data, d)
+		m.propose(req.data, d)
 	})
 }
 
 // AddLearner adds a member that receives the log without voting. It must be
 // called on the leader.
 func (v *Voter) AddLearner(ctx context.Context, id quorum.GroupID, p Peer) error {
-	return v.change(ctx, id, replica.Change{
+	return v.changeMembership(ctx, id, replica.Change{
 		Kind:  replica.AddLearner,
 		Voter: replica.Voter{ID: p.ID, Instance: p.Instance, Address: p.Address},
 	})
 }
 
-// Promote makes a learner that has caught up a voter. It must be called on the
-// leader.
+// Promote turns a learner that has caught up into a voter. It must be called on
+// the leader.
 func (v *Voter) Promote(ctx context.Context, id quorum.GroupID, voter quorum.VoterID) error {
-	return v.change(ctx, id, replica.Change{Kind: replica.Promote, Voter: replica.Voter{ID: voter}})
+	return v.changeMembership(ctx, id, replica.Change{Kind: replica.Promote, Voter: replica.Voter{ID: voter}})
 }
 
 // Remove removes a member. It must be called on the leader.
 func (v *Voter) Remove(ctx context.Context, id quorum.GroupID, voter quorum.VoterID) error {
-	return v.change(ctx, id, replica.Change{Kind: replica.Remove, Voter: replica.Voter{ID: voter}})
+	return v.changeMembership(ctx, id, replica.Change{Kind: replica.Remove, Voter: replica.Voter{ID: voter}})
 }
 
-// TransferLeadership asks a voter to take over. It must be called on the leader
-// and returns before the transfer is complete.
+// TransferLeadership starts a transfer of the leadership to another voter. It must
+// be called on the leader and returns before the transfer is complete.
 func (v *Voter) TransferLeadership(ctx context.Context, id quorum.GroupID, to quorum.VoterID) error {
 	g, err := v.group(id)
 	if err != nil {
@@ -306,12 +310,12 @@
 	return g.transferTo(ctx, to)
 }
 
-func (v *Voter) change(ctx context.Context, id quorum.GroupID, c replica.Change) error {
+func (v *Voter) changeMembership(ctx context.Context, id quorum.GroupID, c replica.Change) error {
 	g, err := v.group(id)
 	if err != nil {
 		return err
 	}
-	_, err = g.await(ctx, func(m *member, d done) { m.change(c, d) })
+	_, err = g.do(ctx, func(m *member, d doneFunc) { m.change(c, d) })
 	return err
 }
 
@@ -328,30 +332,31 @@
 	return g, nil
 }
 
-// running returns a group also while the voter is stopping, so that a transfer
-// of its leadership can complete.
-func (v *Voter) running(id quorum.GroupID) (*group, bool) {
+// runningGroup returns a group even while the voter is stopping, so that a
+// transfer of its leadership can complete.
+func (v *Voter) runningGroup(id quorum.GroupID) (*group, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	g, ok := v.groups[id]
 	return g, ok
 }
 
-// Failed returns a channel that receives the first error after which a replica
-// can't continue, such as a failed sync. The daemon should then stop.
+// Failed returns a channel that receives the first fatal error of a replica, such
+// as a failed sync. The daemon should then stop.
 func (v *Voter) Failed() <-chan error { return v.failed }
 
 func (v *Voter) fail(err error) {
 	v.config.logger.Error("A replica failed.", zap.Error(err))
-	v.noteDamage(err)
+	v.recordDamage(err)
 	select {
 	case v.failed <- err:
 	default:
 	}
 }
 
-// noteDamage keeps a folder that lost entries from being used after a restart.
-func (v *Voter) noteDamage(err error) {
+// recordDamage stores in the identity that the folder lost entries, so that it
+// can't be used after a restart.
+func (v *Voter) recordDamage(err error) {
 	var lost *replica.LostError
 	if !errors.As(err, &lost) {
 		return
@@ -360,34 +365,34 @@
 	defer v.mu.Unlock()
 	v.identity.Damage = lost.Error()
 	if err := journal.SaveIdentity(v.config.disk, v.config.folder, v.identity); err != nil {
-		v.config.logger.Error("The damage of the data folder could not be noted.", zap.Error(err))
+		v.config.logger.Error("Failed to record the damage of the data folder.", zap.Error(err))
 	}
 }
 
-// untilTick returns the time until the next tick, which all groups share so that
-// their heartbeats travel in one batch.
-func (v *Voter) untilTick() time.Duration {
-	passed := v.config.clock.Now().Sub(v.started)
-	return v.config.tick - passed%v.config.tick
+// timeToNextTick returns the time until the next tick. All groups tick at the same
+// times, so that their heartbeats are sent in one batch.
+func (v *Voter) timeToNextTick() time.Duration {
+	passed := v.config.clock.Now().Sub(v.startTime)
+	return v.config.tickInterval - passed%v.config.tickInterval
 }
 
-// Stop hands the leadership of all groups to other voters, ends the replicas and
-// closes the journals. It waits for a transfer until ctx ends, but no longer than
-// two election timeouts.
+// Stop transfers the leadership of all groups to other voters, stops the replicas
+// and closes the journals. It waits for the transfers until ctx ends, but no longer
+// than two election timeouts.
 func (v *Voter) Stop(ctx context.Context) error {
 	v.mu.Lock()
 	if v.stopping {
 		v.mu.Unlock()
 		return nil
 	}
-	v.stopping = true // start adds no groups from here on
+	v.stopping = true // startGroups adds no groups from here on.
 	groups, t := v.groups, v.transport
 	v.mu.Unlock()
-	var resigned sync.WaitGroup
+	var resigning sync.WaitGroup
 	for _, g := range groups {
-		resigned.Go(func() { g.resign(ctx) })
+		resigning.Go(func() { g.resign(ctx) })
 	}
-	resigned.Wait()
+	resigning.Wait()
 	v.cancel()
 	var err error
 	for _, g := range groups {
@@ -396,7 +401,7 @@
 			err = e
 		}
 	}
-	v.wait.Wait()
+	v.goroutines.Wait()
 	if t != nil {
 		t.close()
 	}
@@ -407,8 +412,8 @@
 	return err
 }
 
-// newID returns a random id. Ids of 63 bits don't collide in practice with each
-// other or with the small ids of the settings.
+// newID returns a random id of 63 bits above 1<<32. Such ids don't collide in
+// practice with each other or with the small ids in the settings.
 func newID() uint64 {
 	for {
 		if id := rand.Uint64() >> 1; id > 1<<32 {
--- a/internal/quorum/voter/voter_test.go
+++ b/internal/quorum/voter/voter_test.go
@@ -20,14 +20,15 @@
 	"google.golang.org/grpc"
 )
 
-// register is a state machine that keeps its commands, each of them once as real
-// state machines do. A query returns their number.
-type register struct {
+// recordingMachine is a state machine that records its commands. It records a
+// repeated command once, as real state machines do. A query returns the number of
+// commands.
+type recordingMachine struct {
 	mu       sync.Mutex
 	commands []string
 }
 
-func (r *register) Apply(i quorum.Index, command []byte) []byte {
+func (r *recordingMachine) Apply(i quorum.Index, command []byte) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !slices.Contains(r.commands, string(command)) {
@@ -36,7 +37,7 @@
 	return []byte(fmt.Sprintf("%s applied", command))
 }
 
-func (r *register) Snapshot() ([]byte, error) {
+func (r *recordingMachine) Snapshot() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var b []byte
@@ -47,7 +48,7 @@
 	return b, nil
 }
 
-func (r *register) Restore(b []byte) error {
+func (r *recordingMachine) Restore(b []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.commands = nil
@@ -59,82 +60,84 @@
 	return nil
 }
 
-func (r *register) Query([]byte) []byte {
+func (r *recordingMachine) Query([]byte) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return []byte(fmt.Sprint(len(r.commands)))
 }
 
-// site is a group of voters on loopback.
-type site struct {
-	is    *is.I
-	dir   string
-	peers []Peer
-	nodes []*node
+// testCluster is a group of voters on the loopback interface.
+type testCluster struct {
+	is        *is.I
+	dir       string
+	peers     []Peer
+	instances []*testInstance
 	// machine returns a new state machine.
 	machine func() quorum.Reader
 	cut     atomic.Pointer[map[[2]fleet.InstanceID]bool]
 }
 
-type node struct {
+// testInstance is a voter with its gRPC server.
+type testInstance struct {
 	voter    *Voter
 	server   *grpc.Server
 	listener net.Listener
 }
 
-func newSite(t testing.TB, n int) *site {
-	s := &site{is: is.New(t), dir: t.TempDir(), machine: func() quorum.Reader { return &register{} }}
-	s.cut.Store(&map[[2]fleet.InstanceID]bool{})
+func newTestCluster(t testing.TB, n int) *testCluster {
+	tc := &testCluster{is: is.New(t), dir: t.TempDir(), machine: func() quorum.Reader { return &recordingMachine{} }}
+	tc.cut.Store(&map[[2]fleet.InstanceID]bool{})
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
-		s.is.NoErr(err)
-		s.nodes = append(s.nodes, &node{listener: l})
-		s.peers = append(s.peers, Peer{
+		tc.is.NoErr(err)
+		tc.instances = append(tc.instances, &testInstance{listener: l})
+		tc.peers = append(tc.peers, Peer{
 			ID: quorum.VoterID(i + 1), Instance: fleet.InstanceID(fmt.Sprintf("i%d", i+1)), Address: l.Addr().String(),
 		})
 	}
 	t.Cleanup(func() {
 		for i := range n {
-			s.stop(i)
+			tc.stop(i)
 		}
 	})
-	return s
+	return tc
 }
 
-func (s *site) folder(i int) string { return filepath.Join(s.dir, fmt.Sprint(i)) }
+func (tc *testCluster) folder(i int) string { return filepath.Join(tc.dir, fmt.Sprint(i)) }
 
-func (s *site) start(i int) {
-	n := s.nodes[i]
+func (tc *testCluster) start(i int) {
+	inst := tc.instances[i]
 	var err error
-	n.voter, err = New(
-		Instance(s.peers[i].Instance, s.peers[i].Address), Folder(s.folder(i)), Initial(s.peers...),
-		Group(quorum.ConfigGroup, s.machine()), Tick(10*time.Millisecond), SnapshotEntries(50, 10),
-		Cut(func(from, to fleet.InstanceID) bool { return (*s.cut.Load())[[2]fleet.InstanceID{from, to}] }),
+	inst.voter, err = New(
+		Instance(tc.peers[i].Instance, tc.peers[i].Address), Folder(tc.folder(i)), Initial(tc.peers...),
+		Group(quorum.ConfigGroup, tc.machine()), Tick(10*time.Millisecond), SnapshotEntries(50, 10),
+		Cut(func(from, to fleet.InstanceID) bool { return (*tc.cut.Load())[[2]fleet.InstanceID{from, to}] }),
 	)
-	s.is.NoErr(err)
-	if n.listener == nil {
-		n.listener, err = net.Listen("tcp", s.peers[i].Address)
-		s.is.NoErr(err)
+	tc.is.NoErr(err)
+	if inst.listener == nil {
+		inst.listener, err = net.Listen("tcp", tc.peers[i].Address)
+		tc.is.NoErr(err)
 	}
-	n.server = grpc.NewServer(ServerOptions()...)
-	n.voter.Register(n.server)
-	go func(l net.Listener, g *grpc.Server) { _ = g.Serve(l) }(n.listener, n.server)
+	inst.server = grpc.NewServer(ServerOptions()...)
+	inst.voter.Register(inst.server)
+	go func(l net.Listener, g *grpc.Server) { _ = g.Serve(l) }(inst.listener, inst.server)
 }
 
-func (s *site) stop(i int) {
-	n := s.nodes[i]
-	if n.voter == nil {
+func (tc *testCluster) stop(i int) {
+	inst := tc.instances[i]
+	if inst.voter == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	s.is.NoErr(n.voter.Stop(ctx))
-	n.server.Stop()
-	n.voter, n.listener = nil, nil
+	tc.is.NoErr(inst.voter.Stop(ctx))
+	inst.server.Stop()
+	inst.voter, inst.listener = nil, nil
 }
 
-// propose repeats a command until its outcome is known to be a success.
-func (s *site) propose(p quorum.Proposer, command string) {
+// propose repeats a command while its outcome is unknown, and checks that it
+// succeeds.
+func (tc *testCluster) propose(p quorum.Proposer, command string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	for {
@@ -142,61 +145,61 @@
 		if refusal.KindOf(err) == refusal.OutcomeUnknown && ctx.Err() == nil {
 			continue
 		}
-		s.is.NoErr(err)
-		s.is.Equal(string(reply), command+" applied")
+		tc.is.NoErr(err)
+		tc.is.Equal(string(reply), command+" applied")
 		return
 	}
 }
 
-// TestVoters guards against faults between transport, journal and replica: three
-// voters elect a leader, every voter and a client can propose and read, a
-// stopped leader hands over, and a restarted voter catches up.
+// TestVoters guards against faults in the interaction of transport, journal and
+// replica: three voters elect a leader, every voter and a client can propose and
+// read, a stopped leader transfers the leadership, and a restarted voter catches up.
 func TestVoters(t *testing.T) {
-	s := newSite(t, 3)
+	tc := newTestCluster(t, 3)
 	for i := range 3 {
-		s.start(i)
+		tc.start(i)
 	}
-	c, err := NewClient(Instance("client", ""), Initial(s.peers...))
-	s.is.NoErr(err)
+	c, err := NewClient(Instance("client", ""), Initial(tc.peers...))
+	tc.is.NoErr(err)
 	defer c.Close()
 	for i := range 60 {
-		s.propose(s.nodes[i%3].voter, fmt.Sprint("command ", i))
+		tc.propose(tc.instances[i%3].voter, fmt.Sprint("command ", i))
 	}
-	s.propose(c, "from client")
+	tc.propose(c, "from client")
 	for i := range 3 {
-		s.stop(i)
-		s.propose(c, fmt.Sprint("without ", i))
-		s.start(i)
-		s.propose(c, fmt.Sprint("again with ", i))
+		tc.stop(i)
+		tc.propose(c, fmt.Sprint("without ", i))
+		tc.start(i)
+		tc.propose(c, fmt.Sprint("again with ", i))
 	}
 	reply, err := c.Read(context.Background(), quorum.ConfigGroup, nil)
-	s.is.NoErr(err)
-	s.is.Equal(string(reply), "67")
-	problems, err := testutil.CollectAndLint(s.nodes[0].voter.Collector())
-	s.is.NoErr(err)
-	s.is.Equal(len(problems), 0)
+	tc.is.NoErr(err)
+	tc.is.Equal(string(reply), "67")
+	problems, err := testutil.CollectAndLint(tc.instances[0].voter.Collector())
+	tc.is.NoErr(err)
+	tc.is.Equal(len(problems), 0)
 }
 
-// Guards against a replica that takes the leadership of another one for its own: only
-// the leader's own replica answers Lead.
-func TestOnlyTheLeaderLeads(t *testing.T) {
-	s := newSite(t, 3)
+// TestLeadOnlyOnLeader guards against a replica that mistakes the leadership of
+// another one for its own: only the replica of the leader answers Lead.
+func TestLeadOnlyOnLeader(t *testing.T) {
+	tc := newTestCluster(t, 3)
 	for i := range 3 {
-		s.start(i)
+		tc.start(i)
 	}
 	ctx := context.Background()
-	_, err := s.nodes[0].voter.Read(ctx, quorum.ConfigGroup, nil)
-	s.is.NoErr(err)
+	_, err := tc.instances[0].voter.Read(ctx, quorum.ConfigGroup, nil)
+	tc.is.NoErr(err)
 	leaders := 0
-	for _, n := range s.nodes {
-		reply, term, err := n.voter.Lead(ctx, quorum.ConfigGroup, nil)
+	for _, inst := range tc.instances {
+		reply, term, err := inst.voter.Lead(ctx, quorum.ConfigGroup, nil)
 		if err != nil {
-			s.is.Equal(refusal.KindOf(err), refusal.NotReady)
+			tc.is.Equal(refusal.KindOf(err), refusal.NotReady)
 			continue
 		}
 		leaders++
-		s.is.Equal(string(reply), "0")
-		s.is.True(term > 0)
+		tc.is.Equal(string(reply), "0")
+		tc.is.True(term > 0)
 	}
-	s.is.Equal(leaders, 1)
+	tc.is.Equal(leaders, 1)
 }
--- a/internal/quorum/voter/world_test.go
+++ b/internal/quorum/voter/world_test.go
@@ -16,177 +16,180 @@
 	"github.com/pkg/errors"
 )
 
-// electionTicks is short, so that a schedule holds many elections.
+// electionTicks is small, so that a schedule contains many elections.
 const electionTicks = 5
 
-// world runs the members of one group in one goroutine, without clock and
+// simulation runs the members of one group in one goroutine, without a clock or a
 // network, and checks the invariants after each step.
-type world struct {
-	random  *rand.Rand
-	sites   []*place
-	initial []replica.Voter
-	net     []replica.Message
-	// transfers are snapshots whose end the sender was not told yet.
-	transfers []replica.Message
-	cuts      map[[2]fleet.InstanceID]bool
-	nextID    quorum.VoterID
-	// newcomers lets instances without a voter join.
-	newcomers bool
-	faults    int   // in 1000 steps
-	sent      int   // messages, some of which are checked
-	broken    error // first violated invariant
-
-	leaders  map[quorum.Term]quorum.VoterID
-	entries  map[position]mark
-	history  map[quorum.Index]uint64 // hash of the state after a command
-	commands map[string]quorum.Index // applied commands
-	acked    quorum.Index            // highest index of an answered command
-	promised []string                // commands that were reported as not run
-	counts   map[string]int
-	log      []string // outcomes, for scripted cases
-}
-
-// place is one instance with its disk.
-type place struct {
-	w        *world
-	instance fleet.InstanceID
-	id       quorum.VoterID
-	joined   bool // member of the initial set
-	disk     *quorumtest.Disk
-	member   *member
-	frozen   int // ticks missed
-	asleep   bool
-	voters   []replica.Voter // newest members that the place knew
-	term     quorum.Term
-	saved    stored // what it acknowledged as synced
-	lied     bool
-	slow     bool // its clock runs at a quarter of the speed
-	state    chain
-	work     func() func() // stores a snapshot
-	finishes []func()      // to call after the work
-}
-
-type position struct {
+type simulation struct {
+	random   *rand.Rand
+	peers    []*simPeer
+	initial  []replica.Voter
+	inFlight []replica.Message
+	// unreportedSnapshots are the messages with snapshots whose outcome was not
+	// reported to the sender yet.
+	unreportedSnapshots []replica.Message
+	cuts                map[[2]fleet.InstanceID]bool
+	nextID              quorum.VoterID
+	// allowJoin lets instances without a voter join.
+	allowJoin    bool
+	faultRate    int   // faults per 1000 steps
+	sentMessages int   // every eighth one is checked by checkDurable
+	violation    error // first violated invariant
+
+	leaders         map[quorum.Term]quorum.VoterID
+	entries         map[entryID]entryDigest
+	stateHashes     map[quorum.Index]uint64 // hash of the state after each command
+	appliedCommands map[string]quorum.Index // index of each applied command
+	ackedIndex      quorum.Index            // highest index of an acknowledged command
+	reportedNotRun  []string                // commands
+	counts          map[string]int
+	output          []string // lines that a script prints
+}
+
+// simPeer is a simulated instance with its disk.
+type simPeer struct {
+	sim             *simulation
+	instance        fleet.InstanceID
+	id              quorum.VoterID
+	initialMember   bool // member of the initial set
+	disk            *quorumtest.Disk
+	member          *member
+	missedTicks     int // while frozen
+	frozen          bool
+	voters          []replica.Voter // last list of members that the peer had
+	term            quorum.Term
+	syncedState     durableState // at the last flush
+	syncsIgnored    bool         // the disk reports syncs without performing them
+	slowClock       bool         // its clock runs at a quarter of the speed
+	machine         hashChain
+	snapshotWork    func() func() // stores a snapshot, not run yet
+	pendingFinishes []func()      // of snapshotWork, not called yet
+}
+
+// entryID identifies an entry of the log.
+type entryID struct {
 	index quorum.Index
 	term  quorum.Term
 }
 
-// stored tells two logs of a place apart, apart from their commit index.
-type stored struct {
+// durableState identifies the synced state of a peer, except for the commit index.
+type durableState struct {
 	term quorum.Term
-	last position
+	last entryID
 }
 
-type mark struct {
+// entryDigest is used to compare entries of different peers.
+type entryDigest struct {
 	hash     uint64
-	previous quorum.Term
+	previous quorum.Term // term of the entry before
 }
 
-// chain is a state machine whose state is a hash over all commands.
-type chain struct {
-	p     *place
+// hashChain is a state machine whose state is a hash over all commands.
+type hashChain struct {
+	p     *simPeer
 	index quorum.Index
 	hash  uint64
 }
 
-func (c *chain) Apply(i quorum.Index, command []byte) []byte {
+func (c *hashChain) Apply(i quorum.Index, command []byte) []byte {
 	b := binary.BigEndian.AppendUint64(nil, c.hash)
 	b = binary.BigEndian.AppendUint64(b, uint64(i))
 	c.hash = xxhash.Sum64(append(b, command...))
 	c.index = i
-	w := c.p.w
-	if h, ok := w.history[i]; ok && h != c.hash {
-		w.violate("instance %s applied another history up to %d", c.p.instance, i)
+	sim := c.p.sim
+	if h, ok := sim.stateHashes[i]; ok && h != c.hash {
+		sim.violate("instance %s applied another history up to %d", c.p.instance, i)
 	}
-	w.history[i] = c.hash
-	w.commands[string(command)] = i
-	if slices.Contains(w.promised, string(command)) {
-		w.violate("command %q was applied after it was reported as not run", command)
+	sim.stateHashes[i] = c.hash
+	sim.appliedCommands[string(command)] = i
+	if slices.Contains(sim.reportedNotRun, string(command)) {
+		sim.violate("command %q was applied after it was reported as not run", command)
 	}
 	return binary.BigEndian.AppendUint64(nil, uint64(i))
 }
 
-func (c *chain) Snapshot() ([]byte, error) {
+func (c *hashChain) Snapshot() ([]byte, error) {
 	b := binary.BigEndian.AppendUint64(nil, uint64(c.index))
 	return binary.BigEndian.AppendUint64(b, c.hash), nil
 }
 
-func (c *chain) Restore(b []byte) error {
+func (c *hashChain) Restore(b []byte) error {
 	c.index, c.hash = quorum.Index(binary.BigEndian.Uint64(b)), binary.BigEndian.Uint64(b[8:])
-	if c.index > 0 && c.p.w.history[c.index] != c.hash {
-		c.p.w.violate("instance %s restored another history up to %d", c.p.instance, c.index)
+	if c.index > 0 && c.p.sim.stateHashes[c.index] != c.hash {
+		c.p.sim.violate("instance %s restored another history up to %d", c.p.instance, c.index)
 	}
 	return nil
 }
 
-func (c *chain) Query([]byte) []byte {
+func (c *hashChain) Query([]byte) []byte {
 	return binary.BigEndian.AppendUint64(nil, uint64(c.index))
 }
 
-func newWorld(seed uint64, n int) *world {
-	w := &world{
+func newSimulation(seed uint64, n int) *simulation {
+	sim := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), cuts: make(map[[2]fleet.InstanceID]bool), nextID: 100,
-		leaders: make(map[quorum.Term]quorum.VoterID), entries: make(map[position]mark),
-		history: make(map[quorum.Index]uint64), commands: make(map[string]quorum.Index), counts: make(map[string]int),
+		leaders: make(map[quorum.Term]quorum.VoterID), entries: make(map[entryID]entryDigest),
+		stateHashes: make(map[quorum.Index]uint64), appliedCommands: make(map[string]quorum.Index), counts: make(map[string]int),
 	}
 	for i := range n {
-		p := &place{w: w, id: quorum.VoterID(i + 1), instance: fleet.InstanceID(fmt.Sprint(i + 1)), joined: true, disk: quorumtest.NewDisk()}
-		w.sites = append(w.sites, p)
-		w.initial = append(w.initial, replica.Voter{ID: p.id, Instance: p.instance})
+		p := &simPeer{sim: sim, id: quorum.VoterID(i + 1), instance: fleet.InstanceID(fmt.Sprint(i + 1)), initialMember: true, disk: quorumtest.NewDisk()}
+		sim.peers = append(sim.peers, p)
+		sim.initial = append(sim.initial, replica.Voter{ID: p.id, Instance: p.instance})
 	}
-	for _, p := range w.sites {
-		p.voters = w.initial
+	for _, p := range sim.peers {
+		p.voters = sim.initial
 		if err := p.open(); err != nil {
-			w.violate("%v", err)
+			sim.violate("%v", err)
 		}
 	}
-	return w
+	return sim
 }
 
-func (w *world) violate(format string, args ...any) {
-	if w.broken == nil {
-		w.broken = errors.Errorf(format, args...)
+func (sim *simulation) violate(format string, args ...any) {
+	if sim.violation == nil {
+		sim.violation = errors.Errorf(format, args...)
 	}
 }
 
-// open starts the member on its disk.
-func (p *place) open() error {
+// open starts the member from its disk.
+func (p *simPeer) open() error {
 	c := memberConfig{
-		group: "test", machine: &p.state, disk: p.disk, dir: "data",
-		options: replica.Options{ID: p.id, Seed: p.w.random.Uint64(), MaxInFlight: 4, MaxAppendBytes: 64},
+		group: "test", machine: &p.machine, disk: p.disk, dir: "data",
+		options: replica.Options{ID: p.id, Seed: p.sim.random.Uint64(), MaxInFlight: 4, MaxAppendBytes: 64},
 		send:    p.send, snapshotEntries: 20, keepEntries: 5,
-		background: p.background, open: p.w.newcomers,
+		background: p.background, allowJoin: p.sim.allowJoin,
 	}
 	c.options.ElectionTicks, c.options.HeartbeatTicks = electionTicks, 1
-	if p.joined {
-		c.initial = p.w.initial
+	if p.initialMember {
+		c.initial = p.sim.initial
 	}
-	p.state, p.work, p.finishes = chain{p: p}, nil, nil
+	p.machine, p.snapshotWork, p.pendingFinishes = hashChain{p: p}, nil, nil
 	m, err := openMember(c)
 	if err != nil {
 		return err
 	}
-	p.member, p.frozen, p.asleep = m, 0, false
+	p.member, p.missedTicks, p.frozen = m, 0, false
 	p.flush()
 	return nil
 }
 
-func (p *place) send(m replica.Message) {
-	p.w.sent++
-	if !p.lied && !m.Reject && p.w.sent%8 == 0 {
+func (p *simPeer) send(m replica.Message) {
+	p.sim.sentMessages++
+	if !p.syncsIgnored && !m.Reject && p.sim.sentMessages%8 == 0 {
 		p.checkDurable(m)
 	}
 	if m.Kind == replica.InstallSnapshot {
-		p.w.transfers = append(p.w.transfers, m)
+		p.sim.unreportedSnapshots = append(p.sim.unreportedSnapshots, m)
 	}
-	if to := p.w.byID(m.To); to != nil && !p.w.cuts[[2]fleet.InstanceID{p.instance, to.instance}] {
-		p.w.net = append(p.w.net, m)
+	if to := p.sim.peerByID(m.To); to != nil && !p.sim.cuts[[2]fleet.InstanceID{p.instance, to.instance}] {
+		p.sim.inFlight = append(p.sim.inFlight, m)
 	}
 }
 
-// checkDurable checks that a power loss now would not take back what a message
-// promises.
-func (p *place) checkDurable(m replica.Message) {
+// checkDurable checks that the vote, the term or the entry that a message
+// acknowledges would survive a power loss at this moment.
+func (p *simPeer) checkDurable(m replica.Message) {
 	if m.Kind != replica.Vote && m.Kind != replica.VoteReply && m.Kind != replica.AppendReply {
 		return
 	}
@@ -195,15 +198,15 @@
 	if n := len(s.Entries); n > 0 {
 		last = max(last, s.Entries[n-1].Index)
 	}
-	vote := m.Kind == replica.VoteReply && s.State.Vote != m.To || m.Kind == replica.Vote && s.State.Vote != p.id
-	entry := m.Kind == replica.AppendReply && last < m.LogIndex
-	if err != nil || s.State.Term < m.Term || vote || entry {
-		p.w.violate("voter %d sent a %s of term %d that was not synced (%+v, %v)", p.id, m.Kind, m.Term, s.State, err)
+	voteMissing := m.Kind == replica.VoteReply && s.State.Vote != m.To || m.Kind == replica.Vote && s.State.Vote != p.id
+	entryMissing := m.Kind == replica.AppendReply && last < m.LogIndex
+	if err != nil || s.State.Term < m.Term || voteMissing || entryMissing {
+		p.sim.violate("voter %d sent a %s of term %d that was not synced (%+v, %v)", p.id, m.Kind, m.Term, s.State, err)
 	}
 }
 
-func (w *world) byID(id quorum.VoterID) *place {
-	for _, p := range w.sites {
+func (sim *simulation) peerByID(id quorum.VoterID) *simPeer {
+	for _, p := range sim.peers {
 		if p.id == id {
 			return p
 		}
@@ -211,251 +214,255 @@
 	return nil
 }
 
-func (p *place) runs() bool { return p.member != nil && !p.asleep }
+func (p *simPeer) running() bool { return p.member != nil && !p.frozen }
 
-// flush executes the effects and checks the invariants of this member.
-func (p *place) flush() {
+// flush executes the effects of the member and checks its invariants.
+func (p *simPeer) flush() {
 	p.member.flush()
 	if err := p.member.failure; err != nil {
 		var lost *replica.LostError
 		if !errors.Is(err, quorumtest.ErrDisk) && !errors.As(err, &lost) {
-			p.w.violate("voter %d failed: %v", p.id, err)
+			p.sim.violate("voter %d failed: %v", p.id, err)
 		}
 		return
 	}
 	r := p.member.replica
 	if r.Leader() == p.id {
-		if other, ok := p.w.leaders[r.Term()]; ok && other != p.id {
-			p.w.violate("voters %d and %d lead term %d", other, p.id, r.Term())
+		if other, ok := p.sim.leaders[r.Term()]; ok && other != p.id {
+			p.sim.violate("voters %d and %d lead term %d", other, p.id, r.Term())
 		}
-		p.w.leaders[r.Term()] = p.id
+		p.sim.leaders[r.Term()] = p.id
 	}
 	if r.Term() < p.term {
-		p.w.violate("term of voter %d fell from %d to %d", p.id, p.term, r.Term())
+		p.sim.violate("term of voter %d fell from %d to %d", p.id, p.term, r.Term())
 	}
 	p.term = r.Term()
 	s := r.Status()
 	p.voters = s.Voters
-	p.saved = p.stored(s)
+	p.syncedState = p.durableState(s)
 	p.checkLog()
 }
 
-func (p *place) stored(s replica.Status) stored {
-	last := position{index: s.Last}
+func (p *simPeer) durableState(s replica.Status) durableState {
+	last := entryID{index: s.Last}
 	if es := p.member.replica.Retained(); len(es) > 0 {
 		last.term = es[len(es)-1].Term
 	}
-	return stored{term: s.Term, last: last}
+	return durableState{term: s.Term, last: last}
 }
 
-// checkLog checks that entries with equal index and term are equal, and so are
-// the entries before them.
-func (p *place) checkLog() {
+// checkLog checks that entries with equal index and term are equal and follow
+// entries of equal term, so that by induction all earlier entries are equal too.
+func (p *simPeer) checkLog() {
 	previous := quorum.Term(0)
 	for k, e := range p.member.replica.Retained() {
-		at := position{e.Index, e.Term}
-		m := mark{hash: xxhash.Sum64(e.Data) + uint64(e.Kind), previous: previous}
-		known, ok := p.w.entries[at]
+		at := entryID{e.Index, e.Term}
+		m := entryDigest{hash: xxhash.Sum64(e.Data) + uint64(e.Kind), previous: previous}
+		known, ok := p.sim.entries[at]
 		if !ok && k > 0 {
-			p.w.entries[at] = m
+			p.sim.entries[at] = m
 		}
 		if ok && (known.hash != m.hash || k > 0 && known.previous != m.previous) {
-			p.w.violate("voter %d has another entry %d of term %d", p.id, e.Index, e.Term)
+			p.sim.violate("voter %d has another entry %d of term %d", p.id, e.Index, e.Term)
 		}
 		previous = e.Term
 	}
 }
 
-func (p *place) tick(n int) {
+func (p *simPeer) tick(n int) {
 	p.member.tick(n, electionTicks)
-	p.runBackground() // before the flush, as in a batch of inputs
+	p.runBackground() // Before the flush, as group.run does with a batch of inputs.
 	p.flush()
 }
 
-// background stores a snapshot at once or at a later tick, and finishes it later.
-func (p *place) background(work func() func()) {
-	if p.work != nil {
-		p.w.violate("voter %d stores two snapshots at once", p.id)
+// background stores a snapshot at once or at a later tick, at random. It is finished
+// at a later tick.
+func (p *simPeer) background(work func() func()) {
+	if p.snapshotWork != nil {
+		p.sim.violate("voter %d stores two snapshots at once", p.id)
 	}
-	p.work = work
-	if p.w.random.IntN(2) == 0 {
-		p.doWork()
+	p.snapshotWork = work
+	if p.sim.random.IntN(2) == 0 {
+		p.runSnapshotWork()
 	}
 }
 
-func (p *place) doWork() {
-	p.finishes = append(p.finishes, p.work())
-	p.work = nil
+func (p *simPeer) runSnapshotWork() {
+	p.pendingFinishes = append(p.pendingFinishes, p.snapshotWork())
+	p.snapshotWork = nil
 }
 
-func (p *place) runBackground() {
+// runBackground performs, in a third of the calls, the next pending action of a
+// snapshot.
+func (p *simPeer) runBackground() {
 	switch {
-	case p.work == nil && len(p.finishes) == 0 || p.w.random.IntN(3) > 0:
-	case len(p.finishes) > 0:
-		finish := p.finishes[0]
-		p.finishes = p.finishes[1:]
+	case p.snapshotWork == nil && len(p.pendingFinishes) == 0 || p.sim.random.IntN(3) > 0:
+	case len(p.pendingFinishes) > 0:
+		finish := p.pendingFinishes[0]
+		p.pendingFinishes = p.pendingFinishes[1:]
 		finish()
-	case p.work != nil:
-		p.doWork()
+	case p.snapshotWork != nil:
+		p.runSnapshotWork()
 	}
 }
 
-// thaw lets a frozen member run again. It counts the missed ticks first, as
-// group.run does.
-func (p *place) thaw() {
-	p.asleep = false
-	missed := p.frozen
-	p.frozen = 0
+// thaw resumes a frozen member. It counts the missed ticks first, as group.run does.
+func (p *simPeer) thaw() {
+	p.frozen = false
+	missed := p.missedTicks
+	p.missedTicks = 0
 	p.tick(missed)
 }
 
-// deliver hands over message k, unless the receiver can't get it.
-func (w *world) deliver(k int, keep bool) {
-	m := w.net[k]
-	to, from := w.byID(m.To), w.byID(m.From)
-	if to != nil && to.member != nil && to.asleep {
+// deliver delivers message k, unless the receiver is stopped, frozen or cut off. The
+// message stays in flight if keep is set or the receiver is frozen.
+func (sim *simulation) deliver(k int, keep bool) {
+	m := sim.inFlight[k]
+	to, from := sim.peerByID(m.To), sim.peerByID(m.From)
+	if to != nil && to.member != nil && to.frozen {
 		return
 	}
 	if !keep {
-		w.net = slices.Delete(w.net, k, k+1)
+		sim.inFlight = slices.Delete(sim.inFlight, k, k+1)
 	}
-	if to == nil || from == nil || to.member == nil || w.cuts[[2]fleet.InstanceID{from.instance, to.instance}] {
+	if to == nil || from == nil || to.member == nil || sim.cuts[[2]fleet.InstanceID{from.instance, to.instance}] {
 		return
 	}
 	to.member.step(m)
 	to.flush()
 }
 
-func (w *world) note(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf(format, args...))
+// printf adds a line to the output of the script.
+func (sim *simulation) printf(format string, args ...any) {
+	sim.output = append(sim.output, fmt.Sprintf(format, args...))
 }
 
-// endTransfers tells the senders of snapshots that these were handed over, or in
-// some cases that they failed.
-func (w *world) endTransfers() {
-	for _, m := range w.transfers {
-		if p := w.byID(m.From); p != nil && p.runs() {
-			p.member.replica.SnapshotSent(m.To, w.random.IntN(4) > 0)
+// reportSnapshotsSent reports to the senders of snapshots that the transfer succeeded,
+// or at random that it failed.
+func (sim *simulation) reportSnapshotsSent() {
+	for _, m := range sim.unreportedSnapshots {
+		if p := sim.peerByID(m.From); p != nil && p.running() {
+			p.member.replica.SnapshotSent(m.To, sim.random.IntN(4) > 0)
 		}
 	}
-	w.transfers = nil
+	sim.unreportedSnapshots = nil
 }
 
-func (w *world) deliverAll() {
-	for len(w.net) > 0 && w.broken == nil {
-		w.deliver(0, false)
+func (sim *simulation) deliverAll() {
+	for len(sim.inFlight) > 0 && sim.violation == nil {
+		sim.deliver(0, false)
 	}
 }
 
-func (p *place) propose(command string) {
+func (p *simPeer) propose(command string) {
 	p.member.propose([]byte(command), func(reply []byte, err error) {
-		p.w.note("%s: %s", command, outcome(err))
+		p.sim.printf("%s: %s", command, outcomeCode(err))
 		switch refusal.KindOf(err) {
 		case refusal.NotReady, refusal.Overloaded:
-			p.w.counts["notRun"]++
-			p.w.promised = append(p.w.promised, command)
-			if _, ok := p.w.commands[command]; ok {
-				p.w.violate("command %q was reported as not run after it was applied", command)
+			p.sim.counts["notRun"]++
+			p.sim.reportedNotRun = append(p.sim.reportedNotRun, command)
+			if _, ok := p.sim.appliedCommands[command]; ok {
+				p.sim.violate("command %q was reported as not run after it was applied", command)
 			}
 		case refusal.OutcomeUnknown:
-			p.w.counts["unknown"]++
+			p.sim.counts["unknown"]++
 		default:
-			p.w.counts["acknowledged"]++
-			p.w.acked = max(p.w.acked, quorum.Index(binary.BigEndian.Uint64(reply)))
+			p.sim.counts["acknowledged"]++
+			p.sim.ackedIndex = max(p.sim.ackedIndex, quorum.Index(binary.BigEndian.Uint64(reply)))
 		}
 	})
 	p.flush()
 }
 
-func (p *place) read() {
-	atLeast := p.w.acked
+func (p *simPeer) read() {
+	atLeast := p.sim.ackedIndex
 	p.member.read(nil, func(reply []byte, err error) {
-		p.w.note("read at %d: %s", p.id, outcome(err))
+		p.sim.printf("read at %d: %s", p.id, outcomeCode(err))
 		if err != nil {
-			p.w.counts["readFailed"]++
+			p.sim.counts["readFailed"]++
 			return
 		}
-		p.w.counts["read"]++
+		p.sim.counts["read"]++
 		if got := quorum.Index(binary.BigEndian.Uint64(reply)); got < atLeast {
-			p.w.violate("voter %d answered a read at %d after %d was acknowledged", p.id, got, atLeast)
+			p.sim.violate("voter %d answered a read at %d after %d was acknowledged", p.id, got, atLeast)
 		}
 	})
 	p.flush()
 }
 
-// kill ends the process. With power loss, unsynced content is lost too.
-func (p *place) kill(power bool) {
+// kill stops the process. With power loss, unsynced data is lost as well.
+func (p *simPeer) kill(power bool) {
 	if p.member != nil {
 		_ = p.member.stop()
 	}
 	p.member = nil
 	if power {
-		p.disk.PowerLoss(p.w.random)
+		p.disk.PowerLoss(p.sim.random)
 	}
 }
 
-// restart opens the folder again. What a lying disk lost may be damage that the
-// journal reports, or a shorter log that it can't tell from a crash; both are
-// treated as the replacement of the voter by the operator.
-func (p *place) restart() {
-	if p.lied {
-		p.lied = false
+// restart opens the data folder again. After lost syncs, the journal may report
+// damage, or find a shorter log that it can't distinguish from one after a crash. In
+// both cases the voter is replaced, as an operator would do.
+func (p *simPeer) restart() {
+	if p.syncsIgnored {
+		p.syncsIgnored = false
 		p.disk.Lie(false)
 		p.term = 0
-		saved := p.saved
+		syncedState := p.syncedState
 		err := p.open()
-		if err == nil && p.stored(p.member.replica.Status()) == saved {
+		if err == nil && p.durableState(p.member.replica.Status()) == syncedState {
 			return
 		}
-		p.w.counts["lieDetected"] += one(err != nil)
-		p.w.counts["lieUndetected"] += one(err == nil)
+		p.sim.counts["lieDetected"] += boolToInt(err != nil)
+		p.sim.counts["lieUndetected"] += boolToInt(err == nil)
 		p.replace()
 		return
 	}
 	if err := p.open(); err != nil && !errors.Is(err, quorumtest.ErrDisk) {
-		p.w.violate("restart of voter %d: %v", p.id, err)
+		p.sim.violate("restart of voter %d: %v", p.id, err)
 	}
 }
 
 // replace starts the instance with an empty disk under a new id.
-func (p *place) replace() {
+func (p *simPeer) replace() {
 	p.kill(false)
 	p.disk = quorumtest.NewDisk()
-	p.w.nextID++
-	p.id, p.joined, p.lied, p.term, p.saved, p.voters = p.w.nextID, false, false, 0, stored{}, nil
+	p.sim.nextID++
+	p.id, p.initialMember, p.syncsIgnored, p.term, p.syncedState, p.voters = p.sim.nextID, false, false, 0, durableState{}, nil
 	p.restart()
 }
 
-// add starts a new instance with an empty disk.
-func (w *world) add() {
-	w.nextID++
-	p := &place{w: w, id: w.nextID, instance: fleet.InstanceID(fmt.Sprint(len(w.sites) + 1)), disk: quorumtest.NewDisk()}
-	w.sites = append(w.sites, p)
+// addPeer starts a new instance with an empty disk.
+func (sim *simulation) addPeer() {
+	sim.nextID++
+	p := &simPeer{sim: sim, id: sim.nextID, instance: fleet.InstanceID(fmt.Sprint(len(sim.peers) + 1)), disk: quorumtest.NewDisk()}
+	sim.peers = append(sim.peers, p)
 	p.restart()
 }
 
-// join asks a place to add the own voter.
-func (p *place) join(at *place) {
+// join asks the member of another peer to add this voter.
+func (p *simPeer) join(at *simPeer) {
 	at.member.join(replica.Voter{ID: p.id, Instance: p.instance}, func([]byte, error) {})
 	at.flush()
 }
 
-// mayLose reports whether all groups of members that some place believes in keep
-// a majority without the place. A learner that was lost counts as a voter: the
-// leader may promote it before it notices the loss, and no leader survives the
-// loss of a majority within one election timeout.
-func (w *world) mayLose(lost *place) bool {
-	for _, p := range w.sites {
+// canLose reports whether each list of members that some peer has keeps a majority
+// of working voters without the given peer. One lost learner counts as a voter: the
+// leader may promote it before it detects the loss, and no leader survives the loss
+// of a majority within one election timeout.
+func (sim *simulation) canLose(lost *simPeer) bool {
+	for _, p := range sim.peers {
 		alive, voters, deadLearners := 0, 0, 0
 		for _, v := range p.voters {
-			o := w.byID(v.ID)
-			runs := o != nil && o != lost && !o.lied
+			o := sim.peerByID(v.ID)
+			runs := o != nil && o != lost && !o.syncsIgnored
 			if v.Learner {
-				deadLearners += one(!runs)
+				deadLearners += boolToInt(!runs)
 				continue
 			}
 			voters++
-			alive += one(runs)
+			alive += boolToInt(runs)
 		}
 		if p != lost && voters > 0 && alive <= (voters+min(deadLearners, 1))/2 {
 			return false
@@ -464,93 +471,94 @@
 	return true
 }
 
-// settle ends all faults and runs until all places applied the same history.
-func (w *world) settle() error {
-	clear(w.cuts)
-	for _, p := range w.sites {
+// healAndConverge ends all faults and runs until all peers have applied the same
+// commands.
+func (sim *simulation) healAndConverge() error {
+	clear(sim.cuts)
+	for _, p := range sim.peers {
 		p.disk.FailSyncs(0)
-		if p.member != nil && p.member.failure != nil || p.lied {
-			p.kill(p.lied)
+		if p.member != nil && p.member.failure != nil || p.syncsIgnored {
+			p.kill(p.syncsIgnored)
 		}
 		if p.member == nil {
 			p.restart()
-		} else if p.asleep {
+		} else if p.frozen {
 			p.thaw()
 		}
 	}
 	for round := range 2000 {
-		w.endTransfers()
-		for _, p := range w.sites {
+		sim.reportSnapshotsSent()
+		for _, p := range sim.peers {
 			p.tick(1)
 		}
-		w.deliverAll()
+		sim.deliverAll()
 		if round%10 == 0 {
-			w.joinAll()
+			sim.joinAll()
 		}
-		if w.broken != nil || w.settled(round) {
-			return w.broken
+		if sim.violation != nil || sim.converged(round) {
+			return sim.violation
 		}
 	}
 	return errors.New("members did not settle")
 }
 
-func (w *world) joinAll() {
-	for _, p := range w.sites {
-		for _, at := range w.sites {
-			if p.mustJoin() && at.runs() {
+func (sim *simulation) joinAll() {
+	for _, p := range sim.peers {
+		for _, at := range sim.peers {
+			if p.needsJoin() && at.running() {
 				p.join(at)
 			}
 		}
 	}
 }
 
-// mustJoin reports whether a place asks to join, as Voter.join decides.
-func (p *place) mustJoin() bool {
-	lonely := p.w.newcomers && p.runs() && p.member.replica.Leader() == 0
-	return !p.isVoter() || lonely
+// needsJoin reports whether a peer asks to join, as Voter.ensureMembership decides.
+func (p *simPeer) needsJoin() bool {
+	leaderless := p.sim.allowJoin && p.running() && p.member.replica.Leader() == 0
+	return !p.isVoter() || leaderless
 }
 
-func (p *place) isVoter() bool {
+func (p *simPeer) isVoter() bool {
 	return slices.ContainsFunc(p.voters, func(v replica.Voter) bool { return v.ID == p.id && !v.Learner })
 }
 
-// settled reports whether a last command was acknowledged and applied everywhere
-// by exactly the running voters.
-func (w *world) settled(round int) bool {
+// converged reports whether all peers are voters of a group without other members,
+// and a last command was acknowledged and applied by all of them.
+func (sim *simulation) converged(round int) bool {
 	final := fmt.Sprintf("final %d", round)
-	before := w.counts["acknowledged"]
-	for _, p := range w.sites {
-		if len(p.voters) != len(w.sites) || !p.isVoter() {
+	before := sim.counts["acknowledged"]
+	for _, p := range sim.peers {
+		if len(p.voters) != len(sim.peers) || !p.isVoter() {
 			return false
 		}
 	}
-	for _, p := range w.sites {
-		if p.member.replica.Leader() == p.id && w.counts["acknowledged"] == before {
+	for _, p := range sim.peers {
+		if p.member.replica.Leader() == p.id && sim.counts["acknowledged"] == before {
 			p.propose(final)
 		}
 	}
 	for range 40 {
-		for _, p := range w.sites {
+		for _, p := range sim.peers {
 			p.tick(1)
 		}
-		w.deliverAll()
+		sim.deliverAll()
 	}
-	for _, p := range w.sites {
-		if w.broken != nil || w.counts["acknowledged"] == before || p.state.index < w.acked {
+	for _, p := range sim.peers {
+		if sim.violation != nil || sim.counts["acknowledged"] == before || p.machine.index < sim.ackedIndex {
 			return false
 		}
 	}
 	return true
 }
 
-func outcome(err error) string {
+func outcomeCode(err error) string {
 	if err == nil {
 		return "done"
 	}
 	return refusal.KindOf(err).Answer().Code
 }
 
-func one(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
