--- a/internal/quorum/voter/group.go
+++ b/internal/quorum/voter/group.go
@@ -155,9 +155,9 @@
 	})
 }
 
-// resign transfers the leadership to the voter with the longest log. It waits until
+// transferLeadership transfers the leadership to the voter with the longest log. It waits until
 // the replica no longer leads, for at most two election timeouts.
-func (g *group) resign(ctx context.Context) {
+func (g *group) transferLeadership(ctx context.Context) {
 	c := g.voter.config
 	transferring := false
 	for tick := 0; tick < 2*c.replicaOptions.ElectionTicks; tick++ {
--- a/internal/quorum/voter/member.go
+++ b/internal/quorum/voter/member.go
@@ -107,8 +107,9 @@
 	return m, nil
 }
 
-// tick processes the n ticks that passed since the last call. From gapTicks on, it
-// reports them as a gap in the execution of the process instead.
+// tick processes the n ticks that passed since the last call. If there are gapTicks
+// or more, the process was probably suspended: tick then only tells the replica how
+// many ticks it missed.
 func (m *member) tick(n, gapTicks int) {
 	if m.failure != nil {
 		return
@@ -294,11 +295,11 @@
 	return nil
 }
 
-// finishSnapshot puts a stored snapshot into force and compacts the log before it.
+// finishSnapshot makes a prepared snapshot current and compacts the log before it.
 func (m *member) finishSnapshot(p journal.Prepared, err error) {
-	// Flush first: the retained log must not contain entries that are not saved.
+	// Flush first: the retained log must not contain entries that were not saved.
 	// storingSnapshot stays set meanwhile, so that the flush does not start another
-	// snapshot, which would replace this one before it is in force.
+	// snapshot, which would replace this one before it is current.
 	m.flush()
 	m.storingSnapshot = false
 	if m.failure != nil {
--- a/internal/quorum/voter/voter.go
+++ b/internal/quorum/voter/voter.go
@@ -388,11 +388,11 @@
 	v.stopping = true // startGroups adds no groups from here on.
 	groups, t := v.groups, v.transport
 	v.mu.Unlock()
-	var resigning sync.WaitGroup
+	var transfers sync.WaitGroup
 	for _, g := range groups {
-		resigning.Go(func() { g.resign(ctx) })
+		transfers.Go(func() { g.transferLeadership(ctx) })
 	}
-	resigning.Wait()
+	transfers.Wait()
 	v.cancel()
 	var err error
 	for _, g := range groups {
