--- a/internal/gateway/forward/copies_test.go
+++ b/internal/gateway/forward/copies_test.go
@@ -11,17 +11,17 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a late second copy of a refusal that is taken for the answer to the
-// same request when it is sent to that upstream again: the request would then run
-// once more elsewhere.
+// Guards against a delayed duplicate of a refusal that is taken for the response to the
+// next attempt at the same upstream. That attempt would count as not run, and the
+// request would run a second time.
 func TestLateRefusalIsNoAnswerToNextSend(t *testing.T) {
 	is := is.New(t)
 	const refused = "HTTP/1.1 503 S\r\nId: 1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	var ran atomic.Int64
-	w := newWorld(t, 1, func(n int, rw http.ResponseWriter, r *http.Request) {
+	w := newTestGateway(t, 1, func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n > 1 {
 			ran.Add(1)
-			ok(rw, "id: 1\ndata: x\n\n")
+			respond(rw, "id: 1\ndata: x\n\n")
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -31,15 +31,15 @@
 		}
 		go refuseTwice(c, refused, &ran)
 	})
-	status, _, body, whole := w.call(t, "/single/", "k1")
+	status, _, body, complete := w.post(t, "/single/", "k1")
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "id: 1\ndata: x\n\n")
-	is.True(whole)
+	is.True(complete)
 	is.Equal(ran.Load(), int64(1))
 }
 
-// refuseTwice refuses a request, and runs the next one on the connection after it has
-// sent the refusal again.
+// refuseTwice refuses a request. It runs the next request on the same connection, but
+// responds with a duplicate of the refusal.
 func refuseTwice(c net.Conn, refused string, ran *atomic.Int64) {
 	defer func() { _ = c.Close() }()
 	_, _ = io.WriteString(c, refused)
--- a/internal/gateway/forward/endless_test.go
+++ b/internal/gateway/forward/endless_test.go
@@ -13,37 +13,36 @@
 	"github.com/matryer/is"
 )
 
-// bufferedBytes is the size up to which the gateway takes an answer that it keeps
-// whole.
-const bufferedBytes = 1 << 20
+// maxBufferedBytes has the value of the constant of package forward.
+const maxBufferedBytes = 1 << 20
 
-// Guards against an answer that is cut off at the bound of the buffer and looks
+// Guards against a response that is truncated at the size limit of the buffer and looks
 // complete.
 func TestLongFailureIsNotCutOff(t *testing.T) {
 	for _, status := range []int{http.StatusNotFound, http.StatusInternalServerError} {
 		is := is.New(t)
-		w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) {
+		w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set("Id", "1")
 			rw.Header().Set("Seal", "s")
 			rw.WriteHeader(status)
-			_, _ = io.WriteString(rw, strings.Repeat("x", bufferedBytes+1))
+			_, _ = io.WriteString(rw, strings.Repeat("x", maxBufferedBytes+1))
 		})
-		got, header, _, whole := w.call(t, "/single/", "k1")
+		got, header, _, complete := w.post(t, "/single/", "k1")
 		is.Equal(got, http.StatusBadGateway)
-		is.True(whole)
+		is.True(complete)
 		is.Equal(header.Get("Seal"), "")
-		is.Equal(len(w.headers()), 1)
+		is.Equal(len(w.receivedHeaders()), 1)
 	}
 }
 
-// Guards against the rest of a long body that is read as the answer to the next
-// request on its connection.
+// Guards against the rest of a long body that is read as the response to the next
+// request on the same connection.
 func TestConnectionWithRestOfBodyIsNotKept(t *testing.T) {
 	const forged = "HTTP/1.1 200 OK\r\nId: 1\r\nSeal: forged\r\nContent-Length: 0\r\n\r\n"
 	is := is.New(t)
-	w := newWorld(t, 1, func(n int, rw http.ResponseWriter, _ *http.Request) {
+	w := newTestGateway(t, 1, func(n int, rw http.ResponseWriter, _ *http.Request) {
 		if n > 1 {
-			events(rw, 1, 2)
+			writeEvents(rw, 1, 2)
 			return
 		}
 		c, b, err := http.NewResponseController(rw).Hijack()
@@ -51,31 +50,31 @@
 			panic(err)
 		}
 		defer func() { _ = c.Close() }()
-		_, _ = fmt.Fprintf(b, "HTTP/1.1 503 Service Unavailable\r\nNot-Run: 1\r\nContent-Length: %d\r\n\r\n", bufferedBytes+len(forged))
-		_, _ = io.WriteString(b, strings.Repeat("x", bufferedBytes))
+		_, _ = fmt.Fprintf(b, "HTTP/1.1 503 Service Unavailable\r\nNot-Run: 1\r\nContent-Length: %d\r\n\r\n", maxBufferedBytes+len(forged))
+		_, _ = io.WriteString(b, strings.Repeat("x", maxBufferedBytes))
 		_ = b.Flush()
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 			_, _ = io.WriteString(c, forged)
 		}
 	})
-	status, header, _, whole := w.call(t, "/single/", "k1")
+	status, header, _, complete := w.post(t, "/single/", "k1")
 	is.Equal(status, http.StatusOK)
-	is.True(whole)
+	is.True(complete)
 	is.Equal(header.Get("Seal"), "from1")
 }
 
-// Guards against a request that waits for the body of a refusal, which may come
-// slowly or never end, while another upstream could run it.
-func TestRefusalWithoutEndIsLeft(t *testing.T) {
+// Guards against a request that waits for the end of a refusal's body, which may be slow
+// or endless, while another upstream could run it.
+func TestEndlessRefusalBodyIsAbandoned(t *testing.T) {
 	for _, c := range []struct {
 		path string
-		more string // is written again and again, unless it is empty
+		more string // written repeatedly, unless empty
 	}{{"/once/", ""}, {"/once/", "x"}, {"/stream/", ""}, {"/stream/", "x"}} {
 		is := is.New(t)
-		left := make(chan struct{})
-		w := newWorld(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
+		disconnected := make(chan struct{})
+		w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
 			if n > 1 {
-				events(rw, 1, 1)
+				writeEvents(rw, 1, 1)
 				return
 			}
 			rw.Header().Set("Not-Run", "1")
@@ -86,27 +85,27 @@
 				_, _ = io.WriteString(rw, c.more)
 			}
 			<-r.Context().Done()
-			close(left)
+			close(disconnected)
 		})
-		status, _, body, whole := w.call(t, c.path, "k1")
+		status, _, body, complete := w.post(t, c.path, "k1")
 		is.Equal(status, http.StatusOK)
 		is.Equal(body, "id: 1\ndata: 1\n\n")
-		is.True(whole)
-		is.Equal(len(w.headers()), 2)
-		<-left
+		is.True(complete)
+		is.Equal(len(w.receivedHeaders()), 2)
+		<-disconnected
 	}
 }
 
-// Guards against the rest of a line that is longer than the read buffer and is taken
-// for a line: an event would get a wrong number, or end before its last line.
+// Guards against the rest of a line longer than the read buffer that is parsed as a line
+// of its own: an event would get a wrong ID, or end before its last line.
 func TestLongLinesOfEvents(t *testing.T) {
 	const readBuffer = 2 << 10
 	for _, rest := range []string{"id: 99", "", "\r"} {
 		is := is.New(t)
 		line := "data: " + strings.Repeat("x", readBuffer-len("data: ")) + rest + "\n"
-		w := newWorld(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
+		w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
 			if n > 1 {
-				events(rw, 2, 2)
+				writeEvents(rw, 2, 2)
 				return
 			}
 			rw.Header().Set("Id", "1")
@@ -115,20 +114,20 @@
 			_ = http.NewResponseController(rw).Flush()
 			abort()
 		})
-		_, _, body, whole := w.call(t, "/stream/", "k1")
-		is.True(whole)
+		_, _, body, complete := w.post(t, "/stream/", "k1")
+		is.True(complete)
 		is.Equal(body, "id: 1\n"+line+"data: x\n\nid: 2\ndata: 2\n\n")
-		is.Equal(w.headers()[1].Get("After"), "1")
+		is.Equal(w.receivedHeaders()[1].Get("After"), "1")
 	}
 }
 
-// endlessBytes is more than the socket buffers of a connection hold, so an upstream
-// that has written as much was read without a bound.
+// endlessBytes is more than the socket buffers of a connection hold. If a peer could
+// write this much, it was read without a limit.
 const endlessBytes = 64 << 20
 
-// repeat writes text again and again until the connection is closed, or until it has
+// writeUntilClosed writes text repeatedly until the connection is closed or it has
 // written endlessBytes. It reports whether the connection was closed.
-func repeat(rw http.ResponseWriter, text string) bool {
+func writeUntilClosed(rw http.ResponseWriter, text string) bool {
 	block := strings.Repeat(text, 1+(64<<10)/len(text))
 	for n := 0; n < endlessBytes; n += len(block) {
 		if _, err := io.WriteString(rw, block); err != nil {
@@ -138,45 +137,45 @@
 	return false
 }
 
-// Guards against bytes that never become an event and are read, or forwarded as the
-// answer, until the deadline. A stream that may be resumed goes elsewhere, any other
-// one may have run and fails.
+// Guards against bytes that never complete an event and are read, or forwarded as the
+// response, until the deadline. A resumable stream must fail over. Any other stream may
+// have run and must fail.
 func TestEndlessEvent(t *testing.T) {
 	for _, text := range []string{"x", "data: x\n", "\n", "\r\n"} {
 		for _, path := range []string{"/stream/", "/single/"} {
 			is := is.New(t)
 			cut := make(chan bool, 1)
-			w := newWorld(t, 2, func(n int, rw http.ResponseWriter, _ *http.Request) {
+			w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, _ *http.Request) {
 				if n > 1 {
-					events(rw, 1, 1)
+					writeEvents(rw, 1, 1)
 					return
 				}
 				rw.Header().Set("Id", "1")
 				rw.Header().Set("Seal", "s")
-				cut <- repeat(rw, text)
+				cut <- writeUntilClosed(rw, text)
 			})
-			status, _, body, whole := w.call(t, path, "k1")
+			status, _, body, complete := w.post(t, path, "k1")
 			is.True(<-cut)
-			is.True(whole)
+			is.True(complete)
 			if path == "/single/" {
 				is.Equal(status, http.StatusBadGateway)
-				is.Equal(len(w.headers()), 1)
+				is.Equal(len(w.receivedHeaders()), 1)
 				continue
 			}
 			is.Equal(status, http.StatusOK)
 			is.Equal(body, "id: 1\ndata: 1\n\n")
-			is.Equal(len(w.headers()), 2)
+			is.Equal(len(w.receivedHeaders()), 2)
 		}
 	}
 }
 
-// Guards against streams that hold a large part of the memory for events that do not
-// end. With a bound of 1 MiB, the 192 slots of one engine can take 192 MiB.
-func TestLongEventIsNotAwaited(t *testing.T) {
+// Guards against streams that use a large part of the memory for endless events. With
+// a limit of 1 MiB per event, the 192 slots of one engine could take 192 MiB.
+func TestLongEventBreaksStream(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
+	w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n > 1 {
-			events(rw, 1, 1)
+			writeEvents(rw, 1, 1)
 			return
 		}
 		rw.Header().Set("Id", "1")
@@ -185,13 +184,13 @@
 		_ = http.NewResponseController(rw).Flush()
 		<-r.Context().Done()
 	})
-	status, _, body, whole := w.call(t, "/stream/", "k1")
+	status, _, body, complete := w.post(t, "/stream/", "k1")
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "id: 1\ndata: 1\n\n")
-	is.True(whole)
+	is.True(complete)
 }
 
-// Guards against blank lines between and after events that are lost or break a
+// Guards against blank lines before, between and after events that are lost or break a
 // stream.
 func TestBlankLines(t *testing.T) {
 	for _, text := range []string{
@@ -199,63 +198,62 @@
 		"id: 1\ndata: 1\n\n\n", "id: 1\ndata: 1\n\n\n\n\n\n", "\n", "",
 	} {
 		is := is.New(t)
-		w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { ok(rw, text) })
-		status, _, body, whole := w.call(t, "/single/", "k1")
+		w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { respond(rw, text) })
+		status, _, body, complete := w.post(t, "/single/", "k1")
 		is.Equal(status, http.StatusOK)
 		is.Equal(body, text)
-		is.True(whole)
+		is.True(complete)
 	}
 }
 
-// Guards against a stream that is held until its deadline, while other engines could
-// go on with it, because its engine sends an event that the client has again and
-// again.
+// Guards against a stream that is kept until its deadline, while other engines could
+// continue it, because its engine repeats an event that the client already has.
 func TestRepeatedEventsAreNoProgress(t *testing.T) {
 	is := is.New(t)
-	left := make(chan struct{})
-	w := newWorld(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
+	disconnected := make(chan struct{})
+	w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n > 1 {
-			events(rw, 2, 2)
+			writeEvents(rw, 2, 2)
 			return
 		}
 		for r.Context().Err() == nil {
-			events(rw, 1, 1)
+			writeEvents(rw, 1, 1)
 		}
-		close(left)
+		close(disconnected)
 	})
-	_, _, body, whole := w.call(t, "/brisk/", "k1")
-	is.True(whole)
+	_, _, body, complete := w.post(t, "/brisk/", "k1")
+	is.True(complete)
 	is.Equal(body, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n")
-	is.Equal(w.headers()[1].Get("After"), "1")
-	<-left
+	is.Equal(w.receivedHeaders()[1].Get("After"), "1")
+	<-disconnected
 }
 
-// Guards against a stream that is held until its deadline because its engine sends
-// comments, which are no answer, instead of events.
+// Guards against a stream that is kept until its deadline because its engine sends
+// comments, which are no content, instead of events.
 func TestCommentsAreNoProgress(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
+	w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n > 1 {
-			events(rw, 2, 2)
+			writeEvents(rw, 2, 2)
 			return
 		}
-		events(rw, 1, 1)
+		writeEvents(rw, 1, 1)
 		for r.Context().Err() == nil {
 			_, _ = io.WriteString(rw, ": busy\n\n")
 			_ = http.NewResponseController(rw).Flush()
 		}
 	})
-	_, _, body, whole := w.call(t, "/brisk/", "k1")
-	is.True(whole)
+	_, _, body, complete := w.post(t, "/brisk/", "k1")
+	is.True(complete)
 	is.Equal(strings.ReplaceAll(body, ": busy\n\n", ""), "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n")
-	is.Equal(w.headers()[1].Get("After"), "1")
+	is.Equal(w.receivedHeaders()[1].Get("After"), "1")
 }
 
-// Guards against log lines that are as long as what an upstream sent.
-func TestLogQuotesLittle(t *testing.T) {
+// Guards against log lines that quote all of what an upstream sent.
+func TestLogLinesAreBounded(t *testing.T) {
 	long := strings.Repeat("\x7f", 16<<10)
-	for _, c := range []behave{
-		func(_ int, rw http.ResponseWriter, _ *http.Request) { ok(rw, "id: "+long+"\ndata: 1\n\n") },
+	for _, c := range []upstreamFunc{
+		func(_ int, rw http.ResponseWriter, _ *http.Request) { respond(rw, "id: "+long+"\ndata: 1\n\n") },
 		func(_ int, rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set("At", strings.Repeat("a", 16<<10))
 			rw.Header().Set("Not-Run", "1")
@@ -263,10 +261,10 @@
 		},
 	} {
 		is := is.New(t)
-		w := newWorld(t, 1, c)
-		_, _, _, whole := w.call(t, "/single/", "k1")
-		is.True(whole)
-		w.gateway.Close()
+		w := newTestGateway(t, 1, c)
+		_, _, _, complete := w.post(t, "/single/", "k1")
+		is.True(complete)
+		w.server.Close()
 		is.True(w.logs.FilterMessage("A stream broke.").Len() > 0)
 		for _, e := range w.logs.All() {
 			text, _ := e.ContextMap()["error"].(string)
@@ -275,31 +273,31 @@
 	}
 }
 
-// Guards against a request whose body does not come and that is held beyond its
-// deadline.
-func TestBodyThatDoesNotCome(t *testing.T) {
+// Guards against a request that is kept beyond its deadline because its body does not
+// arrive.
+func TestRequestBodyTimeout(t *testing.T) {
 	for _, body := range []string{"Content-Length: 5\r\n\r\nx", "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n"} {
 		is := is.New(t)
-		w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { ok(rw, "done") })
-		c, err := net.Dial("tcp", w.gateway.Listener.Addr().String())
+		w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { respond(rw, "done") })
+		c, err := net.Dial("tcp", w.server.Listener.Addr().String())
 		is.NoErr(err)
 		defer func() { _ = c.Close() }()
-		is.NoErr(c.SetDeadline(time.Now().Add(patience))) // bounds what would otherwise hang
+		is.NoErr(c.SetDeadline(time.Now().Add(testTimeout))) // a failing test would hang otherwise
 		_, err = io.WriteString(c, "POST /once/ HTTP/1.1\r\nHost: h\r\nId: 1\r\nKey: k1\r\nBudget: 100\r\n"+body)
 		is.NoErr(err)
 		p, err := http.ReadResponse(bufio.NewReader(c), nil)
 		is.NoErr(err)
 		is.Equal(p.StatusCode, http.StatusServiceUnavailable)
-		is.Equal(len(w.headers()), 0)
+		is.Equal(len(w.receivedHeaders()), 0)
 	}
 }
 
-// Guards against chunked bodies of clients that have no end.
+// Guards against endless chunked request bodies.
 func TestEndlessBodyOfClient(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { ok(rw, "done") })
+	w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { respond(rw, "done") })
 	for _, chunk := range []string{"40\r\n" + strings.Repeat("x", 64) + "\r\n", "1;" + strings.Repeat("x", 1<<10) + "\r\nx\r\n"} {
-		c, err := net.Dial("tcp", w.gateway.Listener.Addr().String())
+		c, err := net.Dial("tcp", w.server.Listener.Addr().String())
 		is.NoErr(err)
 		defer func() { _ = c.Close() }()
 		_, err = io.WriteString(c, "POST /once/ HTTP/1.1\r\nHost: h\r\nId: 1\r\nKey: k1\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -309,14 +307,14 @@
 		}
 		is.True(err != nil)
 	}
-	is.Equal(len(w.headers()), 0)
+	is.Equal(len(w.receivedHeaders()), 0)
 }
 
-// Guards against a client that does not read its answer and holds its request and
-// connection without end.
+// Guards against a client that does not read its response and so keeps its request and
+// connection open forever.
 func TestClientThatDoesNotRead(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Id", "1")
 		rw.Header().Set("Seal", "s")
 		for i := 1; ; i++ {
@@ -325,7 +323,7 @@
 			}
 		}
 	})
-	c, err := net.Dial("tcp", w.gateway.Listener.Addr().String())
+	c, err := net.Dial("tcp", w.server.Listener.Addr().String())
 	is.NoErr(err)
 	defer func() { _ = c.Close() }()
 	_, err = io.WriteString(c, "POST /single/ HTTP/1.1\r\nHost: h\r\nId: 1\r\nKey: k1\r\nBudget: 300\r\nContent-Length: 0\r\n\r\n")
@@ -335,12 +333,12 @@
 	is.Equal(p.StatusCode, http.StatusOK)
 	ended := make(chan struct{})
 	go func() {
-		w.gateway.Close() // waits for requests in progress
+		w.server.Close() // waits for requests in progress
 		close(ended)
 	}()
 	select {
 	case <-ended:
-	case <-time.After(patience): // bounds what would otherwise hang
+	case <-time.After(testTimeout): // a failing test would hang otherwise
 		t.Fatal("the request did not end")
 	}
 	ends := w.logs.FilterMessage("A request ended.").All()
--- a/internal/gateway/forward/events.go
+++ b/internal/gateway/forward/events.go
@@ -10,88 +10,89 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds one event of a stream, which has a few hundred bytes. Each
-// stream in progress may hold as much, and a gateway with 200 MB of memory has more
-// than a thousand.
+// maxEventBytes is the size limit of one event. A usual event has a few hundred bytes.
+// Each stream in progress may buffer this much, and a gateway with 200 MB of memory
+// has more than a thousand streams.
 const maxEventBytes = 64 << 10
 
-// event is one event of a text/event-stream, with the blank line that ends it.
+// event is one event of a text/event-stream, including the blank line that ends it.
 type event struct {
 	raw []byte
-	// id is the number of the event. It is 0 for events without one.
+	// id is the event ID, or 0 for events without one.
 	id uint64
-	// comment tells that there are only comments and blank lines, which servers send
-	// so that an idle connection is kept.
+	// comment reports whether the event consists only of comments and blank lines,
+	// which servers send to keep an idle connection open.
 	comment bool
 }
 
-// events reads a stream event by event. The bytes of an event are valid until the
-// next call.
-type events struct {
-	reader *bufio.Reader
+// eventReader splits a stream into events. The bytes of an event are valid until the
+// next call of next.
+type eventReader struct {
+	source *bufio.Reader
 	buffer []byte
 }
 
-// next returns the next whole event with the blank lines before it. The error is
-// io.EOF at the end of a stream, and io.ErrUnexpectedEOF when the stream ends within
-// an event. Blank lines at the end of a stream come as an event without a number.
-func (s *events) next() (event, error) {
+// next returns the next whole event, including blank lines before it. The error is
+// io.EOF at the end of a stream, and io.ErrUnexpectedEOF if the stream ends within an
+// event. Blank lines at the end of a stream are returned as an event without an ID.
+func (s *eventReader) next() (event, error) {
 	s.buffer = s.buffer[:0]
 	e := event{comment: true}
-	start := 0     // of the current line in the buffer
-	begun := false // a line of the event that is not blank was read
+	lineStart := 0   // offset of the current line in the buffer
+	inEvent := false // a line of the event that is not blank has been read
 	for {
-		part, err := s.reader.ReadSlice('\n')
+		part, err := s.source.ReadSlice('\n')
 		s.buffer = append(s.buffer, part...)
 		if len(s.buffer) > maxEventBytes {
-			return event{}, errors.Errorf("an event has more than %d bytes", maxEventBytes)
+			return event{}, errors.Errorf("event exceeds %d bytes", maxEventBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
-			continue // the line goes on
+			continue // the line continues
 		}
 		if err != nil {
-			return s.end(err, begun || start < len(s.buffer))
+			return s.end(err, inEvent || lineStart < len(s.buffer))
 		}
-		line := bytes.TrimRight(s.buffer[start:], "\r\n")
-		start = len(s.buffer)
+		line := bytes.TrimRight(s.buffer[lineStart:], "\r\n")
+		lineStart = len(s.buffer)
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			value = bytes.TrimSpace(value)
 			if e.id, err = strconv.ParseUint(string(value), 10, 64); err != nil {
-				// The error of strconv quotes the whole value.
-				return event{}, errors.Errorf("the number of an event is %.64q", value)
+				// The value is cut off, whereas the error of strconv quotes all of it.
+				return event{}, errors.Errorf("invalid event ID %.64q", value)
 			}
 		}
 		if len(line) > 0 {
-			begun = true
+			inEvent = true
 			e.comment = e.comment && line[0] == ':'
-		} else if begun {
+		} else if inEvent {
 			e.raw = s.buffer
 			return e, nil
 		}
 	}
 }
 
-// end returns what is left when the stream ends with an error.
-func (s *events) end(err error, within bool) (event, error) {
+// end returns the rest of the buffer when reading failed with err. partial reports
+// whether the buffer holds a part of an event.
+func (s *eventReader) end(err error, partial bool) (event, error) {
 	switch {
 	case !errors.Is(err, io.EOF) || len(s.buffer) == 0:
 		return event{}, err
-	case within:
+	case partial:
 		return event{}, io.ErrUnexpectedEOF
 	}
 	return event{raw: s.buffer, comment: true}, nil
 }
 
-// pace tells how the events of a stream reached the client. Times count from the
-// arrival of the request.
-type pace struct {
+// eventTiming records when the events of a stream were written to the client. Times are
+// relative to the arrival of the request; longestGapAt is the end of the longest gap.
+type eventTiming struct {
 	events                   int
 	first, newest            time.Duration
 	longestGap, longestGapAt time.Duration
 }
 
-// note records an event at a time.
-func (p *pace) note(at time.Duration) {
+// record adds an event that was written at the given time.
+func (p *eventTiming) record(at time.Duration) {
 	if p.events == 0 {
 		p.first = at
 	} else if g := at - p.newest; g > p.longestGap {
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -1,11 +1,11 @@
-// Package forward decides what happens to a request of a client: which route and
-// account it belongs to, which upstream it goes to, what is tried again, and what
-// the client is told.
+// Package forward handles requests of clients: it finds the route and the account
+// of a request, selects upstreams, retries failed attempts and sends the response
+// to the client.
 //
-// A request that may run at most once is sent again only if it certainly did not
-// run. A stream that may be resumed goes on at other engines after the last event
-// that the client has. A refusal with status 503 is sent only for requests that
-// did not run and will not.
+// A request that may run at most once is retried only if it certainly did not run.
+// A resumable stream fails over to other engines and continues after the last event
+// that the client has. Status 503 is sent only for requests that did not run and
+// will not run.
 package forward
 
 import (
@@ -32,76 +32,78 @@
 )
 
 const (
-	// defaultBodyBytes bounds a body while the release sets no limit.
-	defaultBodyBytes = 4 << 20
-	// retryLeast and retrySpread give the time after which a refused client may
-	// come back. The spread keeps refused clients from coming back together.
-	retryLeast  = 300 * time.Millisecond
-	retrySpread = 700 * time.Millisecond
-	// stoppingSpread is the longest time after which a client may come back that a
-	// gateway refused because it stops. Other gateways serve it at once.
-	stoppingSpread = 50 * time.Millisecond
-	// admissionWait and admissionPoll bound the wait for a configuration that a
-	// majority confirms. Clients leave a request without an answer after about two
-	// seconds.
-	admissionWait = 1500 * time.Millisecond
-	admissionPoll = 25 * time.Millisecond
-	// writeMargin is the time after the deadline of a request in which the client must
-	// have read its answer. Its connection is closed then.
+	// defaultMaxBodyBytes is the limit of a request body if the release sets none.
+	defaultMaxBodyBytes = 4 << 20
+	// Retry-After of a refusal is minRetryAfter plus a random part of
+	// retryAfterJitter. The jitter keeps refused clients from retrying all at once.
+	minRetryAfter    = 300 * time.Millisecond
+	retryAfterJitter = 700 * time.Millisecond
+	// maxStoppingRetryAfter is the upper bound of the random Retry-After of a gateway
+	// that is stopping. It is short because other gateways can serve the client at
+	// once.
+	maxStoppingRetryAfter = 50 * time.Millisecond
+	// A request waits up to readyTimeout for a configuration that a majority of the
+	// controllers has confirmed, and checks every readyPollInterval. Clients abandon
+	// a request without a response after about 2 s.
+	readyTimeout      = 1500 * time.Millisecond
+	readyPollInterval = 25 * time.Millisecond
+	// writeMargin is how long after the deadline of a request its client may still
+	// read the response. After that the connection is closed.
 	writeMargin = time.Second
-	// sendWithin is the age of a choice of upstreams up to which it is acted on. Opening
-	// a connection takes up to 0.4 s. What was known of an upstream may be wrong later,
-	// as after a pause of the process.
-	sendWithin = time.Second
-	// extraSends are the sends beyond the attempts of a route that upstreams
-	// answered without running the request.
-	extraSends = 2
-	// maxStreamRuns bounds the runs of a stream that may be resumed.
+	// maxSelectionAge is the longest time between the selection of an upstream and
+	// the write of the request. Opening a connection takes up to 0.4 s. Later, as
+	// after a pause of the process, the known state of the upstream may be outdated.
+	maxSelectionAge = time.Second
+	// extraAttempts is the number of attempts beyond the limit of the route that are
+	// allowed for attempts which did not run the request.
+	extraAttempts = 2
+	// maxStreamRuns is the least limit on the runs of a resumable stream. A higher
+	// MaxAttempts of the route takes precedence.
 	maxStreamRuns = 5
 )
 
-// Prober asks engines for their state.
+// Prober requests state reports from engines.
 type Prober interface {
 	Report(ctx context.Context, id fleet.UpstreamID, address string) (placement.Report, error)
 }
 
 // Handler forwards requests. It is safe for concurrent use.
 type Handler struct {
-	clock   state.Clock
-	state   *state.State
-	client  *exchange.Client
-	dialect gateway.Dialect
-	stalls  *stalls
-	metrics *Metrics
-	logger  *zap.Logger
-	closing atomic.Bool
-	active  atomic.Int64
+	clock          state.Clock
+	state          *state.State
+	client         *exchange.Client
+	codec          gateway.Dialect
+	probes         *probeCache
+	metrics        *Metrics
+	logger         *zap.Logger
+	draining       atomic.Bool
+	activeRequests atomic.Int64
 }
 
 // New returns a Handler.
 func New(clock state.Clock, s *state.State, c *exchange.Client, d gateway.Dialect, p Prober, m *Metrics, l *zap.Logger) *Handler {
 	return &Handler{
-		clock: clock, state: s, client: c, dialect: d, metrics: m, logger: l.Named("forward"),
-		stalls: &stalls{clock: clock, prober: p, reports: make(map[string]*probe)},
+		clock: clock, state: s, client: c, codec: d, metrics: m, logger: l.Named("forward"),
+		probes: &probeCache{clock: clock, prober: p, probes: make(map[string]*probe)},
 	}
 }
 
-// Close makes clients open new connections for further requests, which the
-// platform then sends to other gateways.
-func (h *Handler) Close() { h.closing.Store(true) }
+// Close starts to drain the gateway: responses close their connections, so that the
+// platform routes the new connections of clients to other gateways.
+func (h *Handler) Close() { h.draining.Store(true) }
 
 // Active returns the number of requests in progress.
-func (h *Handler) Active() int64 { return h.active.Load() }
+func (h *Handler) Active() int64 { return h.activeRequests.Load() }
 
-// Ready reports whether the gateway should get new connections.
-func (h *Handler) Ready() bool { return !h.closing.Load() && h.state.Ready() }
+// Ready reports whether the gateway should receive new connections.
+func (h *Handler) Ready() bool { return !h.draining.Load() && h.state.Ready() }
 
-// request is one request in progress.
+// request is a client request in progress.
 type request struct {
 	*Handler
 	w        http.ResponseWriter
 	r        *http.Request
-	call     gateway.Call
+	headers  gateway.Call
 	route    *release.Route
 	account  *release.Account
 	table    *table.Table
@@ -110,40 +112,43 @@
 	body     []byte
 	arrival  time.Time
 	deadline time.Time
-	// runs counts the sends after which the request may have run, and sends all.
-	runs, sends int
-	// arrived tells that an upstream may have got any send.
-	arrived bool
-	// denied tells that the retry budget did not allow another send, and paid that it
-	// has allowed the next one already. A watcher sets them, too.
-	denied  atomic.Bool
-	paid    atomic.Bool
-	avoid   []fleet.UpstreamID
-	ran     []fleet.UpstreamID // that may have run the request
-	asked   []fleet.UpstreamID // that the request was sent to
-	last    string             // the upstream of the newest send
-	status  int
-	outcome string
-	lastErr error
-	// waited is the time without a usable path.
+	// possibleRuns is the number of attempts that may have run the request, and
+	// attempts the number of all attempts.
+	possibleRuns, attempts int
+	// reachedUpstream reports whether an upstream may have received any attempt.
+	reachedUpstream bool
+	// retryDenied reports whether the retry budget denied an attempt, and
+	// retryReserved whether the budget was already charged for the next one. A
+	// watcher sets them concurrently.
+	retryDenied   atomic.Bool
+	retryReserved atomic.Bool
+	avoid         []fleet.UpstreamID
+	ranAt         []fleet.UpstreamID // upstreams that may have run the request
+	tried         []fleet.UpstreamID // upstreams selected for an attempt
+	lastUpstream  string             // upstream of the latest attempt
+	status        int
+	outcome       string
+	lastErr       error
+	// waited is the time spent waiting for a usable path.
 	waited time.Duration
-	// pace is how the events of a stream reached the client.
-	pace pace
+	// timing records when the events of a stream were written to the client.
+	timing eventTiming
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.active.Add(1)
-	defer h.active.Add(-1)
+	h.activeRequests.Add(1)
+	defer h.activeRequests.Add(-1)
 	q := &request{Handler: h, w: w, r: r, arrival: h.clock.Now()}
 	defer q.report()
-	if err := q.awaitAdmission(); err != nil {
+	if err := q.awaitReady(); err != nil {
 		q.refuse(err)
 		return
 	}
-	if q.closing.Load() && q.route.Repeat == release.Stream && !q.route.Resumable {
-		// The end of the grace time could cut it off for good. Another gateway takes it.
-		q.refuse(refusal.New(refusal.Stopping, "the gateway stops, and the stream cannot be resumed"))
+	if q.draining.Load() && q.route.Repeat == release.Stream && !q.route.Resumable {
+		// The stream would be lost if it were still running at the end of the grace
+		// period. Another gateway can serve it.
+		q.refuse(refusal.New(refusal.Stopping, "the gateway is draining and the stream cannot be resumed"))
 		return
 	}
 	if err := q.readBody(); err != nil {
@@ -152,95 +157,97 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), q.deadline.Sub(h.clock.Now()))
 	defer cancel()
-	q.boundWrites()
+	q.setWriteDeadline()
 	q.pool.Budget.Deposit()
 	if q.route.Repeat == release.Stream {
-		q.stream(ctx)
+		q.serveStream(ctx)
 		return
 	}
-	q.plain(ctx)
+	q.serveUnary(ctx)
 }
 
-// boundWrites ends writes to a client that does not read. net/http removes the bound
-// after the request.
-func (q *request) boundWrites() {
-	until := time.Now().Add(q.deadline.Sub(q.clock.Now()) + writeMargin)
-	if err := http.NewResponseController(q.w).SetWriteDeadline(until); err != nil {
-		q.logger.Warn("Writes to a client have no bound.", zap.String("request", string(q.call.ID)), zap.Error(err))
+// setWriteDeadline makes writes fail if the client does not read the response.
+// net/http clears the write deadline after the request.
+func (q *request) setWriteDeadline() {
+	deadline := time.Now().Add(q.deadline.Sub(q.clock.Now()) + writeMargin)
+	if err := http.NewResponseController(q.w).SetWriteDeadline(deadline); err != nil {
+		q.logger.Warn("Cannot set the write deadline of a client connection.", zap.String("request", string(q.headers.ID)), zap.Error(err))
 	}
 }
 
-// awaitAdmission waits a while for what the gateway lacks after a start or while
-// its controllers elect a leader. A refused client comes back once at most.
-func (q *request) awaitAdmission() error {
+// awaitReady resolves the request. It retries for up to readyTimeout while the
+// gateway lacks a confirmed configuration, as after a start or during an election
+// among the controllers, because a refused client retries at most once.
+func (q *request) awaitReady() error {
 	for {
-		err := q.admit()
+		err := q.resolve()
 		if refusal.KindOf(err) != refusal.NotReady {
 			return err
 		}
-		limit := admissionWait
-		if q.call.Budget > 0 {
-			limit = min(limit, q.call.Budget/2)
+		limit := readyTimeout
+		if q.headers.Budget > 0 {
+			limit = min(limit, q.headers.Budget/2)
 		}
-		if q.clock.Now().Sub(q.arrival) >= limit || q.closing.Load() {
+		if q.clock.Now().Sub(q.arrival) >= limit || q.draining.Load() {
 			return err
 		}
 		select {
 		case <-q.r.Context().Done():
 			return err
-		case <-q.clock.After(admissionPoll):
+		case <-q.clock.After(readyPollInterval):
 		}
 	}
 }
 
-// admit finds the route and the account of the request.
-func (q *request) admit() error {
-	call, err := q.dialect.ReadCall(q.r.Header)
-	q.call = call
+// resolve decodes the headers of the client and finds the route, the account, the
+// deadline and the pool of the request.
+func (q *request) resolve() error {
+	headers, err := q.codec.ReadCall(q.r.Header)
+	q.headers = headers
 	if err != nil {
 		return err
 	}
 	t := q.state.Table()
 	if t == nil {
-		return refusal.New(refusal.NotReady, "no configuration is known yet")
+		return refusal.New(refusal.NotReady, "no configuration received yet")
 	}
 	q.table = t
-	if n, most := headBytes(q.r), t.Release.Limits.HeaderBytes; most > 0 && n > most {
-		return refusal.New(refusal.HeadTooLarge, "the head of the request has %d bytes, more than %d", n, most)
+	if n, limit := headBytes(q.r), t.Release.Limits.HeaderBytes; limit > 0 && n > limit {
+		return refusal.New(refusal.HeadTooLarge, "request head has %d bytes, limit is %d", n, limit)
 	}
 	if len(t.Release.Accounts) > 0 && !q.state.Leased() {
 		return refusal.New(refusal.NotReady, "the configuration was last confirmed %s ago", q.state.Age().Round(time.Millisecond))
 	}
-	o, ok := t.Route(q.r.Host, q.r.URL.Path)
+	route, ok := t.Route(q.r.Host, q.r.URL.Path)
 	if !ok {
 		return refusal.New(refusal.NotFound, "no route for host %q and path %q", q.r.Host, q.r.URL.Path)
 	}
-	q.route = o
-	if t.NeedsKey(o) {
-		if q.account, ok = t.Account(call.Key); !ok {
-			return refusal.New(refusal.Unauthenticated, "the account key is not known")
+	q.route = route
+	if t.NeedsKey(route) {
+		if q.account, ok = t.Account(headers.Key); !ok {
+			return refusal.New(refusal.Unauthenticated, "unknown account key")
 		}
 	}
-	q.deadline = q.arrival.Add(o.Timeout)
-	if d := q.arrival.Add(call.Budget); call.Budget > 0 && d.Before(q.deadline) {
+	q.deadline = q.arrival.Add(route.Timeout)
+	if d := q.arrival.Add(headers.Budget); headers.Budget > 0 && d.Before(q.deadline) {
 		q.deadline = d
 	}
-	q.poolID = table.Pick(o, rand.IntN)
+	q.poolID = table.Pick(route, rand.IntN)
 	if q.pool, ok = q.state.Pool(q.poolID); !ok {
 		return refusal.New(refusal.NoUpstream, "no upstream of service %q is known", q.poolID)
 	}
 	return nil
 }
 
-// readBody reads the body until the deadline of the request at the latest. No
-// upstream has got a request whose body did not come in time.
+// readBody reads the whole body until the deadline of the request. A request whose
+// body does not arrive in time is not sent to any upstream.
 func (q *request) readBody() error {
 	limit := q.table.Release.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	if q.r.ContentLength > limit {
-		return refusal.New(refusal.TooLarge, "the body has %d bytes, more than %d", q.r.ContentLength, limit)
+		return refusal.New(refusal.TooLarge, "request body has %d bytes, limit is %d", q.r.ContentLength, limit)
 	}
 	if q.r.ContentLength == 0 {
 		return nil
@@ -251,77 +258,79 @@
 		q.body, err = io.ReadAll(io.LimitReader(q.r.Body, limit+1))
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return refusal.Because(refusal.NoUpstream, err, "the body did not come in time")
+		return refusal.Because(refusal.NoUpstream, err, "request body not received before the deadline")
 	}
 	if err == nil && int64(len(q.body)) > limit {
-		// The deadline stays, because net/http reads on before it answers.
-		return refusal.New(refusal.TooLarge, "the body has more than %d bytes", limit)
+		// Keep the read deadline, because net/http goes on reading the body before it
+		// sends the response.
+		return refusal.New(refusal.TooLarge, "request body exceeds %d bytes", limit)
 	}
 	if err == nil {
 		err = control.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
-		return refusal.Because(refusal.BadRequest, err, "read the body")
+		return refusal.Because(refusal.BadRequest, err, "read request body")
 	}
 	return nil
 }
 
-// message is the request as it goes to an upstream.
-func (q *request) message(s gateway.Send) exchange.Request {
+// upstreamRequest builds the request for an upstream.
+func (q *request) upstreamRequest(s gateway.Send) exchange.Request {
 	header := q.r.Header.Clone()
-	dropHopHeaders(header)
+	removeHopByHopHeaders(header)
 	header.Del("Content-Length")
 	if q.account != nil {
 		s.Account = q.account.ID
 	}
-	s.Urgency = q.urgency()
-	decided := q.clock.Now()
+	s.Urgency = q.priority()
+	selected := q.clock.Now()
 	return exchange.Request{
 		Method: q.r.Method, URI: q.r.RequestURI, Host: q.r.Host, Header: header, Body: q.body,
-		ID:       q.call.ID,
-		AnswerID: func(h http.Header) fleet.RequestID { return q.dialect.ReadReply(http.StatusOK, h).ID },
-		Single:   q.sentTo(s.Upstream),
+		ID:       q.headers.ID,
+		AnswerID: func(h http.Header) fleet.RequestID { return q.codec.ReadReply(http.StatusOK, h).ID },
+		Single:   q.markTried(s.Upstream),
 		Prepare: func(h http.Header) error {
 			now := q.clock.Now()
 			s.Left = q.deadline.Sub(now)
-			q.dialect.WriteSend(h, s)
-			return q.mayStillSend(now.Sub(decided), s.Left)
+			q.codec.WriteSend(h, s)
+			return q.checkBeforeSend(now.Sub(selected), s.Left)
 		},
 	}
 }
 
-// mayStillSend checks again what allowed a send, some time after it was decided. The
-// process may have been paused in the meantime.
-func (q *request) mayStillSend(after, left time.Duration) error {
-	if left <= 0 {
-		return refusal.New(refusal.NoUpstream, "the time of the request is over")
+// checkBeforeSend repeats the checks that allowed an attempt, right before the request
+// is written. The process may have been paused since the upstream was selected.
+func (q *request) checkBeforeSend(sinceSelection, remaining time.Duration) error {
+	if remaining <= 0 {
+		return refusal.New(refusal.NoUpstream, "request deadline has passed")
 	}
-	if after > sendWithin {
-		return refusal.New(refusal.NoUpstream, "the upstream was chosen %s ago", after.Round(time.Millisecond))
+	if sinceSelection > maxSelectionAge {
+		return refusal.New(refusal.NoUpstream, "upstream was selected %s ago", sinceSelection.Round(time.Millisecond))
 	}
-	if q.account == nil || q.runs > 0 {
+	if q.account == nil || q.possibleRuns > 0 {
 		return nil
 	}
 	if !q.state.Leased() {
 		return refusal.New(refusal.NotReady, "the configuration was last confirmed %s ago", q.state.Age().Round(time.Millisecond))
 	}
 	t := q.state.Table()
-	if a, ok := t.Account(q.call.Key); len(t.Release.Accounts) > 0 && (!ok || a.ID != q.account.ID) {
-		return refusal.New(refusal.Unauthenticated, "the account key was taken away")
+	if a, ok := t.Account(q.headers.Key); len(t.Release.Accounts) > 0 && (!ok || a.ID != q.account.ID) {
+		return refusal.New(refusal.Unauthenticated, "account key was revoked")
 	}
 	return nil
 }
 
-// sentTo notes a send to an upstream and reports whether there was one before.
-func (q *request) sentTo(id fleet.UpstreamID) bool {
-	if slices.Contains(q.asked, id) {
+// markTried records an attempt at an upstream and reports whether there was an
+// earlier one.
+func (q *request) markTried(id fleet.UpstreamID) bool {
+	if slices.Contains(q.tried, id) {
 		return true
 	}
-	q.asked = append(q.asked, id)
+	q.tried = append(q.tried, id)
 	return false
 }
 
-func (q *request) urgency() int {
+func (q *request) priority() int {
 	n := q.route.Priority
 	if q.account != nil {
 		n = q.account.Priority
@@ -334,91 +343,95 @@
 	return q.route.Repeat == release.Idempotent || q.route.Repeat == release.Stream && q.route.Resumable
 }
 
-// maySend reports whether another send is within the limits of the route and the
-// shared retry budget.
-func (q *request) maySend(ctx context.Context) bool {
+// allowAttempt reports whether the limits of the route and the shared retry budget
+// allow another attempt. A retry is charged to the budget.
+func (q *request) allowAttempt(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	if q.sends == 0 {
+	if q.attempts == 0 {
 		return true
 	}
-	if !q.withinRoute(q.runs, q.sends) {
+	if !q.withinRouteLimits(q.possibleRuns, q.attempts) {
 		return false
 	}
-	// Sends that no upstream got are no load.
-	return !q.arrived || q.pay()
+	// Attempts that did not reach an upstream put no load on it and are free.
+	return !q.reachedUpstream || q.takeRetry()
 }
 
-// withinRoute reports whether the route allows another send after so many sends, of
-// which so many may have run the request.
-func (q *request) withinRoute(runs, sends int) bool {
-	if runs > 0 && !q.mayRepeat() {
+// withinRouteLimits reports whether the route allows another attempt after the given
+// number of attempts, of which possibleRuns may have run the request.
+func (q *request) withinRouteLimits(possibleRuns, attempts int) bool {
+	if possibleRuns > 0 && !q.mayRepeat() {
 		return false
 	}
-	most := q.attempts()
+	limit := q.maxUpstreams()
 	if q.route.Repeat == release.Stream {
-		// The route bounds the upstreams, and each run goes on where the last one ended.
-		most = max(most, maxStreamRuns)
+		// For streams MaxAttempts limits the number of upstreams. More runs are
+		// allowed, since each continues where the previous one ended.
+		limit = max(limit, maxStreamRuns)
 	}
-	return runs < most && sends < most+extraSends
+	return possibleRuns < limit && attempts < limit+extraAttempts
 }
 
-// pay takes one send from the retry budget, unless that was done ahead.
-func (q *request) pay() bool {
-	return q.paid.CompareAndSwap(true, false) || q.withdraw()
+// takeRetry charges the retry budget for one attempt, unless reserveRetry did so
+// before.
+func (q *request) takeRetry() bool {
+	return q.retryReserved.CompareAndSwap(true, false) || q.withdrawRetry()
 }
 
-func (q *request) prepay() bool {
-	if q.paid.Load() {
+// reserveRetry charges the retry budget for the next attempt in advance, at most
+// once.
+func (q *request) reserveRetry() bool {
+	if q.retryReserved.Load() {
 		return true
 	}
-	ok := q.withdraw()
-	q.paid.Store(ok)
+	ok := q.withdrawRetry()
+	q.retryReserved.Store(ok)
 	return ok
 }
 
-func (q *request) withdraw() bool {
+func (q *request) withdrawRetry() bool {
 	if q.pool.Budget.Withdraw() {
 		return true
 	}
-	if !q.denied.Swap(true) {
-		q.metrics.denied()
+	if !q.retryDenied.Swap(true) {
+		q.metrics.retryDenied()
 	}
 	return false
 }
 
-// attempts is the number of upstreams that the route allows for one request.
-func (q *request) attempts() int { return max(1, q.route.MaxAttempts) }
+// maxUpstreams returns the number of upstreams that may run the request.
+func (q *request) maxUpstreams() int { return max(1, q.route.MaxAttempts) }
 
-// ranEverywhere reports whether the request ran at as many upstreams as the route
-// allows.
-func (q *request) ranEverywhere() bool { return len(q.ran) >= q.attempts() }
+// reachedMaxUpstreams reports whether the request may have run at as many upstreams as
+// the route allows.
+func (q *request) reachedMaxUpstreams() bool { return len(q.ranAt) >= q.maxUpstreams() }
 
-// noteRun records that an upstream may have run the request.
-func (q *request) noteRun(id fleet.UpstreamID) {
-	if !slices.Contains(q.ran, id) {
-		q.ran = append(q.ran, id)
+// recordRun records that an upstream may have run the request.
+func (q *request) recordRun(id fleet.UpstreamID) {
+	if !slices.Contains(q.ranAt, id) {
+		q.ranAt = append(q.ranAt, id)
 	}
 }
 
-// fail answers a request that no upstream answered.
+// fail ends a request for which there is no upstream response to forward.
 func (q *request) fail(ctx context.Context) {
 	switch {
 	case q.r.Context().Err() != nil:
 		q.outcome = "clientGone"
-	case q.runs == 0 && ctx.Err() != nil:
-		q.refuse(refusal.Because(refusal.NoUpstream, q.lastErr, "no upstream took the request in time"))
-	case q.runs == 0:
-		q.refuse(refusal.Because(refusal.NoUpstream, q.lastErr, "no upstream took the request"))
+	case q.possibleRuns == 0 && ctx.Err() != nil:
+		q.refuse(refusal.Because(refusal.NoUpstream, q.lastErr, "no upstream accepted the request before the deadline"))
+	case q.possibleRuns == 0:
+		q.refuse(refusal.Because(refusal.NoUpstream, q.lastErr, "no upstream accepted the request"))
 	case ctx.Err() != nil:
-		q.refuse(refusal.Because(refusal.Deadline, q.lastErr, "no answer in time"))
+		q.refuse(refusal.Because(refusal.Deadline, q.lastErr, "no response before the deadline"))
 	default:
-		q.refuse(refusal.Because(refusal.UpstreamFailed, q.lastErr, "the upstream gave no answer"))
+		q.refuse(refusal.Because(refusal.UpstreamFailed, q.lastErr, "no upstream returned a valid response"))
 	}
 }
 
-// refuse answers with an error of the system.
+// refuse sends an error response of the gateway itself.
 func (q *request) refuse(err error) {
 	kind := refusal.KindOf(err)
 	a := kind.Answer()
@@ -434,20 +447,20 @@
 	body := `{"error":"` + a.Code + `"}`
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	q.writeHead(a.Status)
-	_, _ = io.WriteString(q.w, body) // the client may have gone
+	_, _ = io.WriteString(q.w, body) // the client may have disconnected
 }
 
-// retryAfter returns the time after which a refused client may come back.
+// retryAfter returns a random time after which a refused client may retry.
 func retryAfter(k refusal.Kind) time.Duration {
 	if k == refusal.Stopping {
-		return time.Duration(rand.Int64N(int64(stoppingSpread)))
+		return time.Duration(rand.Int64N(int64(maxStoppingRetryAfter)))
 	}
-	return retryLeast + time.Duration(rand.Int64N(int64(retrySpread)))
+	return minRetryAfter + time.Duration(rand.Int64N(int64(retryAfterJitter)))
 }
 
-// writeHead writes the head of the answer. Whether the client may use the connection
-// again is decided as late as this, since the gateway may have begun to drain since
-// the request came.
+// writeHead writes the status line and the headers of the response. Only here is it
+// decided whether the client may reuse the connection, because the gateway may have
+// started to drain after the request arrived.
 func (q *request) writeHead(status int) {
 	if !q.Ready() {
 		q.w.Header().Set("Connection", "close")
@@ -464,17 +477,17 @@
 	}
 	q.metrics.finished(q.outcome, took)
 	fields := []zap.Field{
-		zap.String("request", string(q.call.ID)), zap.String("route", route), zap.String("outcome", q.outcome),
-		zap.Int("status", q.status), zap.Duration("took", took), zap.Int("sends", q.sends), zap.Int("runs", q.runs), zap.Duration("waited", q.waited),
-		zap.String("upstream", q.last), zap.Uint64("version", uint64(q.state.Version())),
+		zap.String("request", string(q.headers.ID)), zap.String("route", route), zap.String("outcome", q.outcome),
+		zap.Int("status", q.status), zap.Duration("took", took), zap.Int("sends", q.attempts), zap.Int("runs", q.possibleRuns), zap.Duration("waited", q.waited),
+		zap.String("upstream", q.lastUpstream), zap.Uint64("version", uint64(q.state.Version())),
 		zap.Duration("confirmedAgo", q.state.Age()),
 	}
-	if q.denied.Load() {
+	if q.retryDenied.Load() {
 		fields = append(fields, zap.Bool("retryDenied", true))
 	}
-	if q.pace.events > 0 {
-		fields = append(fields, zap.Int("events", q.pace.events), zap.Duration("firstEvent", q.pace.first),
-			zap.Duration("longestGap", q.pace.longestGap), zap.Duration("longestGapAt", q.pace.longestGapAt))
+	if q.timing.events > 0 {
+		fields = append(fields, zap.Int("events", q.timing.events), zap.Duration("firstEvent", q.timing.first),
+			zap.Duration("longestGap", q.timing.longestGap), zap.Duration("longestGapAt", q.timing.longestGapAt))
 	}
 	if q.lastErr != nil {
 		fields = append(fields, zap.Error(q.lastErr))
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -36,17 +36,17 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// dialect is a minimal set of headers.
-type dialect struct{}
+// headerCodec implements gateway.HeaderCodec with a minimal set of headers.
+type headerCodec struct{}
 
-func (dialect) ReadCall(h http.Header) (gateway.Call, error) {
+func (headerCodec) ReadCall(h http.Header) (gateway.Call, error) {
 	c := gateway.Call{ID: fleet.RequestID(h.Get("Id")), Key: h.Get("Key")}
 	ms, _ := strconv.Atoi(h.Get("Budget"))
 	c.Budget = time.Duration(ms) * time.Millisecond
 	return c, nil
 }
 
-func (dialect) WriteSend(h http.Header, s gateway.Send) {
+func (headerCodec) WriteSend(h http.Header, s gateway.Send) {
 	h.Del("Key")
 	h.Set("Account", string(s.Account))
 	if s.HasLastEvent {
@@ -54,65 +54,70 @@
 	}
 }
 
-func (dialect) ReadReply(_ int, h http.Header) gateway.Reply {
+func (headerCodec) ReadReply(_ int, h http.Header) gateway.Reply {
 	return gateway.Reply{ID: fleet.RequestID(h.Get("Id")), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "", At: h.Get("At")}
 }
 
-// decoder returns the release that a test has set.
+// decoder ignores its input and returns the release that a test has set.
 type decoder struct {
-	release *atomic.Pointer[release.Release]
+	current *atomic.Pointer[release.Release]
 }
 
-func (d decoder) Decode([]byte) (*release.Release, error) { return d.release.Load(), nil }
+func (d decoder) Decode([]byte) (*release.Release, error) { return d.current.Load(), nil }
 
-// prober finds no stalled stream.
-type prober struct{ asked *atomic.Int64 }
+// prober returns reports without stalled streams and counts its calls.
+type prober struct{ calls *atomic.Int64 }
 
 func (p prober) Report(context.Context, fleet.UpstreamID, string) (placement.Report, error) {
-	p.asked.Add(1)
+	p.calls.Add(1)
 	return placement.Report{}, nil
 }
 
-// world is a gateway in front of upstreams that all run the same handler.
-type world struct {
-	gateway *httptest.Server
-	handler *forward.Handler
-	closes  bool               // whether the last answer closes its connection
-	servers []*httptest.Server // of the pools in turn
-	mu      sync.Mutex
-	seen    []http.Header
-	logs    *observer.ObservedLogs // of the gateway
-	asked   atomic.Int64           // reports of engines
-	tell    func(budget.Count)     // sums of retries of the pool "model"
-	receive func(feed.Update)      // an update of a controller
-	renew   func()                 // a heartbeat of each upstream
-	clock   *aged
-	decoded atomic.Pointer[release.Release]
-	// opening is called before each connection to an upstream is opened, unless nil.
-	opening atomic.Pointer[func()]
-}
-
-// pauseOnce stops the process once for a time while it opens a connection.
-func (w *world) pauseOnce(d time.Duration, then func()) {
+// testGateway is a gateway whose upstreams all run the same handler.
+type testGateway struct {
+	server           *httptest.Server
+	handler          *forward.Handler
+	connectionClosed bool               // whether the last response asked to close its connection
+	upstreams        []*httptest.Server // alternating between the pools
+	mu               sync.Mutex
+	received         []http.Header
+	logs             *observer.ObservedLogs // log lines of the gateway
+	probes           atomic.Int64           // requests for reports of engines
+	setRetryCounts   func(budget.Count)     // sets the sums of attempts and retries of the pool "model"
+	receive          func(feed.Update)      // delivers an update of a controller
+	heartbeat        func()                 // delivers a heartbeat of each upstream
+	clock            *offsetClock
+	current          atomic.Pointer[release.Release]
+	// beforeDial, if not nil, is called before each connection to an upstream is opened.
+	beforeDial atomic.Pointer[func()]
+}
+
+// pauseBeforeDial simulates one pause of the process while it opens a connection: the
+// clock advances by d, and then is called.
+func (w *testGateway) pauseBeforeDial(d time.Duration, then func()) {
 	var once sync.Once
 	f := func() {
 		once.Do(func() {
-			w.clock.age.Add(int64(d))
+			w.clock.offset.Add(int64(d))
 			then()
 		})
 	}
-	w.opening.Store(&f)
+	w.beforeDial.Store(&f)
 }
 
-// behave answers the n-th request to any upstream, counted from 1.
-type behave func(n int, w http.ResponseWriter, r *http.Request)
+// upstreamFunc handles the n-th request to any of the upstreams, counted from 1.
+type upstreamFunc func(n int, w http.ResponseWriter, r *http.Request)
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// lease is the time after a confirmation for which account keys are accepted.
-const lease = time.Hour
+// configLease is how long after a confirmation of the configuration account keys are
+// accepted.
+const configLease = time.Hour
 
-func sample() *release.Release {
+// testRelease returns a release with a route for each kind of request. Streams of the
+// routes "brisk" and "slow" are checked as early as possible, since their targets are
+// 1 ms. Those of "slow" and "single" are not resumable.
+func testRelease() *release.Release {
 	engine := &release.Engine{
 		Layers: 4, LayerMB: 1, UsualPrompt: 1, UsualAnswer: 1, TokenBytes: 1,
 		Cards: map[string]release.Card{"card": {MemoryMB: 100, Pace: 1, ReadFactor: 1}},
@@ -122,44 +127,45 @@
 	return &release.Release{
 		Version: 1,
 		Routes: []release.Route{
-			{Name: "once", Host: "h", Prefix: "/once/", Repeat: release.Once, Timeout: patience, Target: patience, Split: plain, MaxAttempts: 1},
-			{Name: "again", Host: "h", Prefix: "/again/", Repeat: release.Idempotent, Timeout: patience, Target: patience, Split: plain, MaxAttempts: 2},
-			{Name: "stream", Host: "h", Prefix: "/stream/", Repeat: release.Stream, Timeout: patience, Target: patience, MaxGap: patience, Split: model, MaxAttempts: 2, Resumable: true},
-			{Name: "brisk", Host: "h", Prefix: "/brisk/", Repeat: release.Stream, Timeout: patience, Target: time.Millisecond, MaxGap: time.Millisecond, Split: model, MaxAttempts: 2, Resumable: true},
-			{Name: "slow", Host: "h", Prefix: "/slow/", Repeat: release.Stream, Timeout: patience, Target: time.Millisecond, MaxGap: time.Millisecond, Split: model, MaxAttempts: 2},
-			{Name: "single", Host: "h", Prefix: "/single/", Repeat: release.Stream, Timeout: patience, Target: patience, MaxGap: patience, Split: model, MaxAttempts: 2},
+			{Name: "once", Host: "h", Prefix: "/once/", Repeat: release.Once, Timeout: testTimeout, Target: testTimeout, Split: plain, MaxAttempts: 1},
+			{Name: "again", Host: "h", Prefix: "/again/", Repeat: release.Idempotent, Timeout: testTimeout, Target: testTimeout, Split: plain, MaxAttempts: 2},
+			{Name: "stream", Host: "h", Prefix: "/stream/", Repeat: release.Stream, Timeout: testTimeout, Target: testTimeout, MaxGap: testTimeout, Split: model, MaxAttempts: 2, Resumable: true},
+			{Name: "brisk", Host: "h", Prefix: "/brisk/", Repeat: release.Stream, Timeout: testTimeout, Target: time.Millisecond, MaxGap: time.Millisecond, Split: model, MaxAttempts: 2, Resumable: true},
+			{Name: "slow", Host: "h", Prefix: "/slow/", Repeat: release.Stream, Timeout: testTimeout, Target: time.Millisecond, MaxGap: time.Millisecond, Split: model, MaxAttempts: 2},
+			{Name: "single", Host: "h", Prefix: "/single/", Repeat: release.Stream, Timeout: testTimeout, Target: testTimeout, MaxGap: testTimeout, Split: model, MaxAttempts: 2},
 		},
 		Services: []release.Service{{Pool: "plain"}, {Pool: "model", Engine: engine}},
 		Accounts: []release.Account{{ID: "acme", Keys: []string{"k1"}}},
 	}
 }
 
-// aged is a clock by which a gateway started long enough ago to have its full part
-// of the retries.
-type aged struct {
+// offsetClock is the system clock plus an offset. With it a gateway appears to have run
+// long enough to have its full share of the retry budget.
+type offsetClock struct {
 	systemclock.Clock
-	age atomic.Int64
+	offset atomic.Int64
 }
 
-func (a *aged) Now() time.Time { return a.Clock.Now().Add(time.Duration(a.age.Load())) }
+func (a *offsetClock) Now() time.Time { return a.Clock.Now().Add(time.Duration(a.offset.Load())) }
 
-func (a *aged) Boot() time.Duration { return a.Clock.Boot() + time.Duration(a.age.Load()) }
+func (a *offsetClock) Boot() time.Duration { return a.Clock.Boot() + time.Duration(a.offset.Load()) }
 
-func newWorld(t *testing.T, upstreams int, b behave) *world {
-	return newWorldWith(t, upstreams, b, budget.Limit{Share: 0.1, Extra: 40, Window: 10 * time.Second})
+func newTestGateway(t *testing.T, upstreams int, b upstreamFunc) *testGateway {
+	return newTestGatewayWithRetries(t, upstreams, b, budget.Limit{Share: 0.1, Extra: 40, Window: 10 * time.Second})
 }
 
-// newWorldWith bounds the retries.
-func newWorldWith(t *testing.T, upstreams int, b behave, retries budget.Limit) *world {
+// newTestGatewayWithRetries returns a testGateway with the given retry limits and the
+// given number of upstreams in each of the pools "plain" and "model".
+func newTestGatewayWithRetries(t *testing.T, upstreams int, b upstreamFunc, retries budget.Limit) *testGateway {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
-	w := &world{logs: logs}
+	w := &testGateway{logs: logs}
 	var entries []registry.Entry
 	for i := range upstreams {
 		for _, pool := range []fleet.PoolID{"plain", "model"} {
-			s := httptest.NewServer(w.upstream(b))
+			s := httptest.NewServer(w.upstreamHandler(b))
 			t.Cleanup(s.Close)
-			w.servers = append(w.servers, s)
+			w.upstreams = append(w.upstreams, s)
 			entries = append(entries, registry.Entry{
 				ID: fleet.UpstreamID(fmt.Sprintf("%s%d", pool, i)), Born: 1, Sequence: 1, Pool: pool, Slots: 10,
 				Address: s.Listener.Addr().String(), State: registry.Ready, Card: "card",
@@ -167,16 +173,16 @@
 			})
 		}
 	}
-	clock := &aged{}
+	clock := &offsetClock{}
 	w.clock = clock
-	w.decoded.Store(sample())
+	w.current.Store(testRelease())
 	client := exchange.New(clock, exchange.WithDial(func(ctx context.Context, address string) (net.Conn, error) {
-		if f := w.opening.Load(); f != nil {
+		if f := w.beforeDial.Load(); f != nil {
 			(*f)()
 		}
 		return exchange.DialTCP(ctx, address)
 	}))
-	st := state.New(clock, "dc1", decoder{&w.decoded}, state.Limits{Alive: time.Hour, Lease: lease, Fresh: time.Hour, Retries: retries}, client, zap.NewNop())
+	st := state.New(clock, "dc1", decoder{&w.current}, state.Limits{Alive: time.Hour, Lease: configLease, Fresh: time.Hour, Retries: retries}, client, zap.NewNop())
 	command, err := store.Command(1, nil)
 	is.NoErr(err)
 	log := store.New()
@@ -188,45 +194,46 @@
 	}
 	w.receive = func(u feed.Update) { is.NoErr(st.Receive(u)) }
 	w.receive(u)
-	clock.age.Store(int64(4 * time.Second))
-	w.renew = func() {
+	clock.offset.Store(int64(4 * time.Second))
+	w.heartbeat = func() {
 		for i := range u.Entries {
 			u.Entries[i].Sequence++
 			u.Entries[i].Heard = clock.Now()
 		}
 		w.receive(u)
 	}
-	w.renew()
-	h := forward.New(clock, st, client, dialect{}, prober{&w.asked}, forward.NewMetrics(prometheus.NewRegistry()), zap.New(core))
+	w.heartbeat()
+	h := forward.New(clock, st, client, headerCodec{}, prober{&w.probes}, forward.NewMetrics(prometheus.NewRegistry()), zap.New(core))
 	w.handler = h
-	w.tell = func(c budget.Count) {
+	w.setRetryCounts = func(c budget.Count) {
 		w.receive(feed.Update{Sums: &usage.Report{Gateways: 1, Sends: map[fleet.PoolID]budget.Count{"model": c}}})
 	}
-	w.gateway = httptest.NewServer(h)
-	t.Cleanup(w.gateway.Close)
+	w.server = httptest.NewServer(h)
+	t.Cleanup(w.server.Close)
 	return w
 }
 
-func (w *world) upstream(b behave) http.Handler {
+func (w *testGateway) upstreamHandler(b upstreamFunc) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
-		w.seen = append(w.seen, r.Header.Clone())
-		n := len(w.seen)
+		w.received = append(w.received, r.Header.Clone())
+		n := len(w.received)
 		w.mu.Unlock()
 		b(n, rw, r)
 	})
 }
 
-func (w *world) headers() []http.Header {
+func (w *testGateway) receivedHeaders() []http.Header {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.seen
+	return w.received
 }
 
-// call returns status, header and body, and whether the body is complete.
-func (w *world) call(t *testing.T, path, key string) (int, http.Header, string, bool) {
+// post sends a request and returns the status, header and body of the response, and
+// whether the body is complete.
+func (w *testGateway) post(t *testing.T, path, key string) (int, http.Header, string, bool) {
 	t.Helper()
-	r, err := http.NewRequest(http.MethodPost, w.gateway.URL+path, strings.NewReader("order"))
+	r, err := http.NewRequest(http.MethodPost, w.server.URL+path, strings.NewReader("order"))
 	is.New(t).NoErr(err)
 	r.Host = "h"
 	r.Header.Set("Id", "1")
@@ -238,12 +245,12 @@
 	p, err := http.DefaultClient.Do(r)
 	is.New(t).NoErr(err)
 	defer func() { _ = p.Body.Close() }()
-	w.closes = p.Close
+	w.connectionClosed = p.Close
 	b, err := io.ReadAll(p.Body)
 	return p.StatusCode, p.Header, string(b), err == nil
 }
 
-func ok(w http.ResponseWriter, body string) {
+func respond(w http.ResponseWriter, body string) {
 	w.Header().Set("Id", "1")
 	w.Header().Set("Seal", "s")
 	_, _ = io.WriteString(w, body)
@@ -251,82 +258,83 @@
 
 func abort() { panic(http.ErrAbortHandler) }
 
-// Guards against an order that runs twice, and against a refusal that says "not
-// run" of an order that may have run.
+// Guards against a non-repeatable request that is retried after a lost response and so
+// runs twice, and against status 503, which promises that the request did not run.
 func TestOrderWithLostAnswerIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(int, http.ResponseWriter, *http.Request) { abort() })
-	status, _, _, _ := w.call(t, "/once/", "k1")
+	w := newTestGateway(t, 2, func(int, http.ResponseWriter, *http.Request) { abort() })
+	status, _, _, _ := w.post(t, "/once/", "k1")
 	is.Equal(status, http.StatusBadGateway)
-	is.Equal(len(w.headers()), 1)
+	is.Equal(len(w.receivedHeaders()), 1)
 }
 
-// Guards against orders that are given up though no upstream ran them.
-func TestOrderThatDidNotRunGoesElsewhere(t *testing.T) {
+// Guards against requests that fail without a retry although no upstream ran them.
+func TestOrderThatDidNotRunIsSentElsewhere(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(n int, rw http.ResponseWriter, _ *http.Request) {
+	w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, _ *http.Request) {
 		if n == 1 {
 			rw.Header().Set("Not-Run", "1")
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		ok(rw, "done")
+		respond(rw, "done")
 	})
-	status, _, body, _ := w.call(t, "/once/", "k1")
+	status, _, body, _ := w.post(t, "/once/", "k1")
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "done")
-	is.Equal(w.headers()[1].Get("Account"), "acme")
-	is.Equal(w.headers()[1].Get("Key"), "")
+	is.Equal(w.receivedHeaders()[1].Get("Account"), "acme")
+	is.Equal(w.receivedHeaders()[1].Get("Key"), "")
 }
 
-// Guards against a refusal without a time to come back.
-func TestRefusalOfWhatDidNotRun(t *testing.T) {
+// Guards against a refusal without Retry-After.
+func TestRefusalHasRetryAfter(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	w := newTestGateway(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Not-Run", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	})
-	status, header, _, _ := w.call(t, "/once/", "k1")
+	status, header, _, _ := w.post(t, "/once/", "k1")
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.True(header.Get("Retry-After") != "")
-	is.Equal(len(w.headers()), 2)
+	is.Equal(len(w.receivedHeaders()), 2)
 }
 
-// Guards against a failure that a second attempt would have mended.
+// Guards against an idempotent request that fails although a second attempt would have
+// succeeded.
 func TestIdempotentRequestIsTriedAgain(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(n int, rw http.ResponseWriter, _ *http.Request) {
+	w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, _ *http.Request) {
 		if n == 1 {
 			rw.Header().Set("Id", "1")
 			rw.Header().Set("Seal", "s")
 			rw.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		ok(rw, "found")
+		respond(rw, "found")
 	})
-	status, _, body, _ := w.call(t, "/again/", "k1")
+	status, _, body, _ := w.post(t, "/again/", "k1")
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "found")
 }
 
-// Guards against an answer of another request, and against one that no upstream
-// vouches for.
+// Guards against a response that belongs to another request or bears no seal of an
+// upstream.
 func TestForeignAnswersAreNotForwarded(t *testing.T) {
 	for _, name := range []string{"Seal", "Id"} {
 		is := is.New(t)
-		w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) {
+		w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set("Id", "1")
 			rw.Header().Set("Seal", "s")
 			rw.Header().Del(name)
 			_, _ = io.WriteString(rw, "foreign")
 		})
-		status, _, body, _ := w.call(t, "/once/", "k1")
+		status, _, body, _ := w.post(t, "/once/", "k1")
 		is.Equal(status, http.StatusBadGateway)
 		is.True(!strings.Contains(body, "foreign"))
 	}
 }
 
-func events(rw http.ResponseWriter, from, to int) {
+func writeEvents(rw http.ResponseWriter, from, to int) {
 	rw.Header().Set("Id", "1")
 	rw.Header().Set("Seal", fmt.Sprintf("from%d", from))
 	for i := from; i <= to; i++ {
@@ -335,13 +343,13 @@
 	_ = http.NewResponseController(rw).Flush()
 }
 
-// Guards against events that are lost or repeated when an engine is lost in the
-// middle of one.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// Guards against events that are lost or repeated when an engine fails in the middle
+// of an event.
+func TestStreamFailsOver(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
+	w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n == 1 {
-			events(rw, 1, 2)
+			writeEvents(rw, 1, 2)
 			_, _ = io.WriteString(rw, "id: 3\nda")
 			_ = http.NewResponseController(rw).Flush()
 			abort()
@@ -349,137 +357,137 @@
 		if r.Header.Get("After") != "2" {
 			abort()
 		}
-		events(rw, 3, 4)
+		writeEvents(rw, 3, 4)
 	})
-	status, header, body, whole := w.call(t, "/stream/", "k1")
+	status, header, body, complete := w.post(t, "/stream/", "k1")
 	is.Equal(status, http.StatusOK)
-	is.True(whole)
+	is.True(complete)
 	is.Equal(header.Get("Seal"), "from1")
 	is.Equal(body, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\nid: 4\ndata: 4\n\n")
 }
 
-// Guards against streams that fail for want of retries though no upstream got them:
-// four of five engines do not listen, and no retry is allowed.
-func TestSendsThatDoNotArriveCostNoRetry(t *testing.T) {
+// Guards against streams that fail on an exhausted retry budget although no upstream
+// received them: four of five engines do not listen, and no retry is allowed.
+func TestUnsentAttemptsCostNoRetry(t *testing.T) {
 	is := is.New(t)
-	w := newWorldWith(t, 5, func(_ int, rw http.ResponseWriter, _ *http.Request) { events(rw, 1, 2) }, budget.Limit{Window: 10 * time.Second})
-	for _, s := range w.servers[:8] {
+	w := newTestGatewayWithRetries(t, 5, func(_ int, rw http.ResponseWriter, _ *http.Request) { writeEvents(rw, 1, 2) }, budget.Limit{Window: 10 * time.Second})
+	for _, s := range w.upstreams[:8] {
 		s.Close()
 	}
-	status, _, body, whole := w.call(t, "/stream/", "k1")
+	status, _, body, complete := w.post(t, "/stream/", "k1")
 	is.Equal(status, http.StatusOK)
-	is.True(whole)
+	is.True(complete)
 	is.Equal(body, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n")
 }
 
-// Guards against streams that end after two broken runs, and against runs at more
-// engines than the route allows.
-func TestStreamGoesOnAfterSeveralBreaks(t *testing.T) {
+// Guards against streams that are aborted after two broken runs, and against runs at
+// more engines than the route allows.
+func TestStreamSurvivesSeveralBreaks(t *testing.T) {
 	is := is.New(t)
 	ports := make(map[string]bool)
-	w := newWorld(t, 4, func(n int, rw http.ResponseWriter, r *http.Request) {
+	w := newTestGateway(t, 4, func(n int, rw http.ResponseWriter, r *http.Request) {
 		ports[r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()] = true
-		events(rw, n, n)
+		writeEvents(rw, n, n)
 		if n < 4 {
 			abort()
 		}
 	})
-	_, _, body, whole := w.call(t, "/stream/", "k1")
-	is.True(whole)
+	_, _, body, complete := w.post(t, "/stream/", "k1")
+	is.True(complete)
 	is.Equal(strings.Count(body, "data:"), 4)
 	is.Equal(len(ports), 2)
 }
 
-// TestBrokenStreamAwaitsRetry guards against a stream that is cut off although the
-// retry budget allows another run a moment later.
-func TestBrokenStreamAwaitsRetry(t *testing.T) {
+// Guards against a broken stream that is aborted although the retry budget allows
+// another run a moment later.
+func TestBrokenStreamWaitsForRetryBudget(t *testing.T) {
 	is := is.New(t)
-	w := newWorldWith(t, 2, func(n int, rw http.ResponseWriter, _ *http.Request) {
+	w := newTestGatewayWithRetries(t, 2, func(n int, rw http.ResponseWriter, _ *http.Request) {
 		if n == 1 {
-			ok(rw, "id: 1\ndata: 1\n\n")
+			respond(rw, "id: 1\ndata: 1\n\n")
 			_ = http.NewResponseController(rw).Flush()
 			abort()
 		}
-		ok(rw, "id: 2\ndata: 2\n\n")
+		respond(rw, "id: 2\ndata: 2\n\n")
 	}, budget.Limit{Extra: 1e6, Window: 10 * time.Second})
-	w.tell(budget.Count{Retries: 1e9})
+	w.setRetryCounts(budget.Count{Retries: 1e9})
 	go func() {
 		for len(w.logs.FilterMessage("A stream broke.").All()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		w.tell(budget.Count{})
+		w.setRetryCounts(budget.Count{})
 	}()
-	status, _, body, complete := w.call(t, "/stream/", "k1")
+	status, _, body, complete := w.post(t, "/stream/", "k1")
 	is.Equal(status, http.StatusOK)
 	is.True(complete)
 	is.Equal(body, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n")
-	is.Equal(len(w.headers()), 2)
+	is.Equal(len(w.receivedHeaders()), 2)
 }
 
-// TestSilentStreamIsNotCutOff guards against a stream that is cut off because its
-// engine is silent for a while, though the retry budget allows no other run.
+// Guards against a stream that is aborted because its engine is silent for a while,
+// although the retry budget allows no other run.
 func TestSilentStreamIsNotCutOff(t *testing.T) {
 	is := is.New(t)
-	var w *world
-	w = newWorldWith(t, 2, func(_ int, rw http.ResponseWriter, r *http.Request) {
-		ok(rw, "id: 1\ndata: 1\n\n")
+	var w *testGateway
+	w = newTestGatewayWithRetries(t, 2, func(_ int, rw http.ResponseWriter, r *http.Request) {
+		respond(rw, "id: 1\ndata: 1\n\n")
 		_ = http.NewResponseController(rw).Flush()
-		for w.asked.Load() < 5 && r.Context().Err() == nil {
+		for w.probes.Load() < 5 && r.Context().Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		_, _ = io.WriteString(rw, "id: 2\ndata: 2\n\n")
 	}, budget.Limit{Window: 10 * time.Second})
-	status, _, body, complete := w.call(t, "/brisk/", "k1")
+	status, _, body, complete := w.post(t, "/brisk/", "k1")
 	is.Equal(status, http.StatusOK)
 	is.True(complete)
 	is.Equal(body, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n")
-	is.Equal(len(w.headers()), 1)
+	is.Equal(len(w.receivedHeaders()), 1)
 }
 
 // Guards against a broken stream that looks complete.
 func TestBrokenStreamIsCutOff(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
-		events(rw, 1, 2)
+	w := newTestGateway(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
+		writeEvents(rw, 1, 2)
 		abort()
 	})
-	status, _, body, whole := w.call(t, "/single/", "k1")
+	status, _, body, complete := w.post(t, "/single/", "k1")
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n")
-	is.True(!whole)
-	is.Equal(len(w.headers()), 1)
+	is.True(!complete)
+	is.Equal(len(w.receivedHeaders()), 1)
 }
 
-// Guards against requests without a known key that reach an upstream.
-func TestKeys(t *testing.T) {
+// Guards against requests with an unknown account key that reach an upstream.
+func TestUnknownKeyIsRefused(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { ok(rw, "done") })
-	status, _, _, _ := w.call(t, "/once/", "k9")
+	w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { respond(rw, "done") })
+	status, _, _, _ := w.post(t, "/once/", "k9")
 	is.Equal(status, http.StatusUnauthorized)
-	is.Equal(len(w.headers()), 0)
+	is.Equal(len(w.receivedHeaders()), 0)
 }
 
-// Guards against keys that are accepted, or called unknown, while no majority has
-// confirmed the configuration.
-func TestNoKeysWithoutConfirmation(t *testing.T) {
+// Guards against account keys that are accepted, or refused as unknown, while no
+// majority has confirmed the configuration.
+func TestUnconfirmedConfigurationRefusesKeys(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 0, nil)
-	status, header, _, _ := w.call(t, "/once/", "")
+	w := newTestGateway(t, 0, nil)
+	status, header, _, _ := w.post(t, "/once/", "")
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.True(header.Get("Retry-After") != "")
 }
 
-// Guards against streams that keep engines busy after their client has left.
-func TestClientThatLeavesEndsTheStream(t *testing.T) {
+// Guards against streams that keep engines busy after their client has disconnected.
+func TestClientDisconnectEndsStream(t *testing.T) {
 	is := is.New(t)
-	left := make(chan struct{})
-	w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, r *http.Request) {
-		events(rw, 1, 1)
+	disconnected := make(chan struct{})
+	w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, r *http.Request) {
+		writeEvents(rw, 1, 1)
 		<-r.Context().Done()
-		close(left)
+		close(disconnected)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, w.gateway.URL+"/stream/", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, w.server.URL+"/stream/", nil)
 	is.NoErr(err)
 	r.Host = "h"
 	r.Header.Set("Id", "1")
@@ -491,29 +499,29 @@
 	cancel()
 	_, err = io.ReadAll(p.Body)
 	is.True(errors.Is(err, context.Canceled))
-	<-left
+	<-disconnected
 }
 
-// Guards against heads beyond the operator's limit, and against a limit that proper
-// ones meet.
-func TestHeadIsTooLarge(t *testing.T) {
+// Guards against request heads that exceed the configured limit, and against a limit
+// that also refuses smaller ones.
+func TestTooLargeHead(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { ok(rw, "done") })
-	r := sample()
+	w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) { respond(rw, "done") })
+	r := testRelease()
 	r.Version, r.Limits.HeaderBytes = 2, 400
-	w.put(t, r)
-	status, _, _, _ := w.call(t, "/once/", "k1")
+	w.applyRelease(t, r)
+	status, _, _, _ := w.post(t, "/once/", "k1")
 	is.Equal(status, http.StatusOK)
-	status, _, body, _ := w.call(t, "/once/"+strings.Repeat("x", 400), "k1")
+	status, _, body, _ := w.post(t, "/once/"+strings.Repeat("x", 400), "k1")
 	is.Equal(status, http.StatusRequestHeaderFieldsTooLarge)
 	is.Equal(body, `{"error":"headTooLarge"}`)
-	is.Equal(len(w.headers()), 1)
+	is.Equal(len(w.receivedHeaders()), 1)
 }
 
-// put puts a release in force.
-func (w *world) put(t *testing.T, r *release.Release) {
+// applyRelease makes a confirmed release the current one.
+func (w *testGateway) applyRelease(t *testing.T, r *release.Release) {
 	is := is.New(t)
-	w.decoded.Store(r)
+	w.current.Store(r)
 	command, err := store.Command(r.Version, nil)
 	is.NoErr(err)
 	log := store.New()
--- a/internal/gateway/forward/headers.go
+++ b/internal/gateway/forward/headers.go
@@ -5,37 +5,39 @@
 	"strings"
 )
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// dropHopHeaders removes the headers that must not be forwarded.
-func dropHopHeaders(h http.Header) {
+// removeHopByHopHeaders removes the hop-by-hop headers, including those that the
+// Connection header names.
+func removeHopByHopHeaders(h http.Header) {
 	for _, v := range h.Values("Connection") {
 		for _, name := range strings.Split(v, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
-// copyHeaders forwards the headers of an answer.
+// copyHeaders removes the hop-by-hop headers from the headers of an upstream response
+// and copies the others.
 func copyHeaders(to, from http.Header) {
-	dropHopHeaders(from)
+	removeHopByHopHeaders(from)
 	for name, values := range from {
 		to[name] = values
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		to["Content-Type"] = nil // net/http would guess one
+		to["Content-Type"] = nil // keeps net/http from guessing a type
 	}
 }
 
-// headBytes returns the size of the head of a request, without the spaces that
-// net/http has dropped.
+// headBytes returns the size of the request line and headers in bytes, without the
+// white space that net/http has dropped.
 func headBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + len("  \r\n") + len("Host: \r\n") + len(r.Host) + len("\r\n")
 	for name, values := range r.Header {
--- a/internal/gateway/forward/lost_test.go
+++ b/internal/gateway/forward/lost_test.go
@@ -10,33 +10,33 @@
 	"github.com/matryer/is"
 )
 
-// Guards against an order that runs again, or is said not to have run, after its answer
-// was lost at any byte.
+// Guards against a non-repeatable request that runs again, or is reported as not run,
+// after its response was cut off at any byte.
 func TestOrderWhoseAnswerIsLostAtAnyByte(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nId: 1\r\nSeal: s\r\nContent-Length: 4\r\n\r\ndone"
 	for _, reset := range []bool{false, true} {
 		for cut := range len(answer) + 1 {
 			t.Run(fmt.Sprintf("%d/%t", cut, reset), func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, 2, func(_ int, rw http.ResponseWriter, r *http.Request) { breakOff(rw, r, answer[:cut], reset) })
-				status, _, body, whole := w.call(t, "/once/", "k1")
-				is.True(whole)
-				is.Equal(len(w.headers()), 1)
+				w := newTestGateway(t, 2, func(_ int, rw http.ResponseWriter, r *http.Request) { writePartAndClose(rw, r, answer[:cut], reset) })
+				status, _, body, complete := w.post(t, "/once/", "k1")
+				is.True(complete)
+				is.Equal(len(w.receivedHeaders()), 1)
 				if status == http.StatusOK {
 					is.Equal(cut, len(answer))
 					is.Equal(body, "done")
 					return
 				}
-				is.Equal(status, http.StatusBadGateway) // promises nothing
+				is.Equal(status, http.StatusBadGateway) // leaves open whether the request ran
 				is.True(cut < len(answer) || reset)
 			})
 		}
 	}
 }
 
-// breakOff takes a request, writes a part of the answer and closes the connection, with
-// a reset or in the usual way.
-func breakOff(rw http.ResponseWriter, r *http.Request, part string, reset bool) {
+// writePartAndClose reads a request, writes a part of the response and closes the
+// connection, either with a TCP reset or normally.
+func writePartAndClose(rw http.ResponseWriter, r *http.Request, part string, reset bool) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	c, _, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
--- a/internal/gateway/forward/metrics.go
+++ b/internal/gateway/forward/metrics.go
@@ -6,13 +6,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics counts what became of requests.
+// Metrics holds the request metrics of a gateway.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	stalls   prometheus.Counter
-	denials  prometheus.Counter
+	requests      *prometheus.CounterVec
+	refusals      *prometheus.CounterVec
+	latency       *prometheus.HistogramVec
+	stalls        prometheus.Counter
+	retriesDenied prometheus.Counter
 }
 
 // NewMetrics registers the metrics of a gateway.
@@ -31,11 +31,11 @@
 		stalls: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "bilberryrock_gateway_stalls_total", Help: "Checks of streams that made no progress.",
 		}),
-		denials: prometheus.NewCounter(prometheus.CounterOpts{
+		retriesDenied: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "bilberryrock_gateway_retries_denied_total", Help: "Requests that the retry budget of all gateways did not allow a further send.",
 		}),
 	}
-	r.MustRegister(m.requests, m.refusals, m.latency, m.stalls, m.denials)
+	r.MustRegister(m.requests, m.refusals, m.latency, m.stalls, m.retriesDenied)
 	return m
 }
 
@@ -48,4 +48,4 @@
 
 func (m *Metrics) stalled() { m.stalls.Inc() }
 
-func (m *Metrics) denied() { m.denials.Inc() }
+func (m *Metrics) retryDenied() { m.retriesDenied.Inc() }
--- a/internal/gateway/forward/plain.go
+++ b/internal/gateway/forward/plain.go
@@ -15,76 +15,78 @@
 )
 
 const (
-	// bufferedBytes bounds the answers that are read whole before the first byte
-	// is forwarded, so that a broken answer can be replaced.
-	bufferedBytes = 1 << 20
-	// patienceNum and patienceDen give the time without an answer, as a part of the
-	// route's target, after which a request that may run again goes elsewhere.
-	patienceNum, patienceDen = 3, 2
+	// maxBufferedBytes is the size limit of responses that are read whole before the
+	// first byte is forwarded, so that a broken response can be replaced by that of
+	// another upstream.
+	maxBufferedBytes = 1 << 20
+	// An attempt of an idempotent request that may be retried is abandoned without a
+	// response after this multiple of the route's target.
+	earlyTimeoutNum, earlyTimeoutDen = 3, 2
 )
 
-// answer is a whole answer of an upstream.
-type answer struct {
+// response is a complete response of an upstream.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// result tells how one send ended.
+// result is the outcome of one attempt.
 type result int
 
 const (
-	// answered sends have an answer for the client.
+	// answered means that there is a response for the client.
 	answered result = iota
-	// failedRun sends have an answer that says that the upstream failed.
-	failedRun
-	// notRun sends certainly did not run.
+	// upstreamError means that the upstream responded with a server error.
+	upstreamError
+	// notRun means that the request certainly did not run.
 	notRun
-	// unknown sends may have run.
-	unknown
+	// unknownOutcome means that the request may have run.
+	unknownOutcome
 )
 
-// plain forwards a request whose answer is a single message.
-func (q *request) plain(ctx context.Context) {
-	var held *answer
-	for q.maySend(ctx) {
+// serveUnary forwards a request whose response is a single message.
+func (q *request) serveUnary(ctx context.Context) {
+	var buffered *response
+	for q.allowAttempt(ctx) {
 		lease, err := q.pool.Upstreams.Pick(pool.Ask{Avoid: q.avoid})
 		if err != nil {
 			q.lastErr = err
 			break
 		}
 		u := lease.Upstream()
-		q.sends++
+		q.attempts++
 		q.avoid = append(q.avoid, u.ID)
-		q.last = string(u.ID)
-		a, res, err := q.attempt(ctx, exchange.Target{ID: u.ID, Address: u.Address}, q.impatient())
-		q.arrived = q.arrived || !exchange.Unsent(err)
+		q.lastUpstream = string(u.ID)
+		a, res, err := q.attempt(ctx, exchange.Target{ID: u.ID, Address: u.Address}, q.mayTryAnother())
+		q.reachedUpstream = q.reachedUpstream || !exchange.Unsent(err)
 		lease.Done(leaseResult(res, err, q.r.Context()))
 		if err != nil {
 			q.lastErr = err
-			q.logger.Info("A send failed.", zap.String("request", string(q.call.ID)), zap.String("upstream", q.last),
+			q.logger.Info("A send failed.", zap.String("request", string(q.headers.ID)), zap.String("upstream", q.lastUpstream),
 				zap.Int("result", int(res)), zap.Duration("heardAgo", q.clock.Now().Sub(u.Confirmed)), zap.Error(err))
 		}
 		if res != notRun {
-			q.runs++
+			q.possibleRuns++
 		}
-		if res == answered || res == failedRun {
-			held = a
+		if res == answered || res == upstreamError {
+			buffered = a
 		}
-		if res == answered || res == failedRun && !q.mayRepeat() {
+		if res == answered || res == upstreamError && !q.mayRepeat() {
 			break
 		}
 	}
-	if held != nil && q.r.Context().Err() == nil {
-		q.deliver(held)
+	if buffered != nil && q.r.Context().Err() == nil {
+		q.deliver(buffered)
 		return
 	}
 	q.fail(ctx)
 }
 
-// impatient reports whether another upstream may be tried while there is time.
-func (q *request) impatient() bool {
-	return q.route.Repeat == release.Idempotent && q.runs+1 < q.route.MaxAttempts
+// mayTryAnother reports whether another upstream may be tried if the attempt in progress
+// takes too long.
+func (q *request) mayTryAnother() bool {
+	return q.route.Repeat == release.Idempotent && q.possibleRuns+1 < q.route.MaxAttempts
 }
 
 func leaseResult(res result, err error, client context.Context) pool.Result {
@@ -99,56 +101,57 @@
 	return pool.Failed
 }
 
-// attempt sends the request once and reads the whole answer.
-func (q *request) attempt(ctx context.Context, t exchange.Target, impatient bool) (*answer, result, error) {
-	if impatient {
+// attempt sends the request once and reads the whole response. earlyTimeout limits it to
+// earlyTimeoutNum/earlyTimeoutDen of the route's target.
+func (q *request) attempt(ctx context.Context, t exchange.Target, earlyTimeout bool) (*response, result, error) {
+	if earlyTimeout {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, q.route.Target*patienceNum/patienceDen)
+		ctx, cancel = context.WithTimeout(ctx, q.route.Target*earlyTimeoutNum/earlyTimeoutDen)
 		defer cancel()
 	}
-	x, err := q.client.Send(ctx, t, q.message(gateway.Send{Upstream: t.ID}))
+	x, err := q.client.Send(ctx, t, q.upstreamRequest(gateway.Send{Upstream: t.ID}))
 	if err != nil {
 		return nil, resultOf(err), err
 	}
 	defer x.Close()
-	reply := q.dialect.ReadReply(x.Response.StatusCode, x.Response.Header)
+	reply := q.codec.ReadReply(x.Response.StatusCode, x.Response.Header)
 	if reply.NotRun {
-		return nil, notRun, refusal.Because(refusal.NoUpstream, x.Drain(), "upstream %s answered %d without running the request",
+		return nil, notRun, refusal.Because(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request",
 			t.ID, x.Response.StatusCode)
 	}
-	body, err := x.ReadBody(bufferedBytes)
+	body, err := x.ReadBody(maxBufferedBytes)
 	if err != nil {
-		return nil, unknown, errors.Wrapf(err, "read the answer of upstream %s", t.ID)
+		return nil, unknownOutcome, errors.Wrapf(err, "read response of upstream %s", t.ID)
 	}
-	if err := q.checkOwn(reply, x.Response, t); err != nil {
-		return nil, unknown, err
+	if err := q.verifyResponse(reply, x.Response, t); err != nil {
+		return nil, unknownOutcome, err
 	}
 	x.Keep()
-	a := &answer{status: x.Response.StatusCode, header: x.Response.Header, body: body}
+	a := &response{status: x.Response.StatusCode, header: x.Response.Header, body: body}
 	if a.status >= http.StatusInternalServerError {
-		return a, failedRun, refusal.New(refusal.UpstreamFailed, "upstream %s answered %d", t.ID, a.status)
+		return a, upstreamError, refusal.New(refusal.UpstreamFailed, "upstream %s responded with status %d", t.ID, a.status)
 	}
 	return a, answered, nil
 }
 
-// checkOwn returns an error if an answer is that of another request, or none that
-// its upstream vouches for.
-func (q *request) checkOwn(r gateway.Reply, p *http.Response, t exchange.Target) error {
-	if r.Sealed && r.ID == q.call.ID && p.Header.Get("Content-Encoding") == "" {
+// verifyResponse returns an error if a response belongs to another request, bears no
+// seal of its upstream, or has a content encoding.
+func (q *request) verifyResponse(r gateway.Reply, p *http.Response, t exchange.Target) error {
+	if r.Sealed && r.ID == q.headers.ID && p.Header.Get("Content-Encoding") == "" {
 		return nil
 	}
-	return refusal.New(refusal.UpstreamFailed, "upstream %s sent an answer that is not its own", t.ID)
+	return refusal.New(refusal.UpstreamFailed, "upstream %s sent a response without a seal, with a content encoding, or for another request", t.ID)
 }
 
 func resultOf(err error) result {
 	if exchange.Unsent(err) {
 		return notRun
 	}
-	return unknown
+	return unknownOutcome
 }
 
-// deliver forwards a whole answer.
-func (q *request) deliver(a *answer) {
+// deliver forwards a complete response to the client.
+func (q *request) deliver(a *response) {
 	q.status, q.outcome = a.status, "answered"
 	copyHeaders(q.w.Header(), a.header)
 	q.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
--- a/internal/gateway/forward/slow_test.go
+++ b/internal/gateway/forward/slow_test.go
@@ -11,14 +11,14 @@
 	"github.com/matryer/is"
 )
 
-// pieces are what an engine sends that makes no progress.
-var pieces = map[string]string{
+// noProgressOutputs are outputs of an engine that must not count as progress.
+var noProgressOutputs = map[string]string{
 	"bytes": "x", "comments": ": alive\n\n", "blank lines": "\n", "repeated events": "id: 1\ndata: 1\n\n",
 }
 
-// trickle sends the first event and then a piece again and again.
+// trickle sends the first event and then repeats piece every 10 ms.
 func trickle(rw http.ResponseWriter, r *http.Request, piece string) {
-	events(rw, 1, 1)
+	writeEvents(rw, 1, 1)
 	for r.Context().Err() == nil {
 		_, _ = io.WriteString(rw, piece)
 		_ = http.NewResponseController(rw).Flush()
@@ -26,40 +26,40 @@
 	}
 }
 
-// Guards against streams that never end because their engine sends a byte now and
-// then. One that may be resumed goes on elsewhere.
+// Guards against streams that never end because their engine keeps sending bytes that
+// complete no new event. A resumable stream must fail over.
 func TestTrickleIsNoProgress(t *testing.T) {
-	for name, piece := range pieces {
+	for name, piece := range noProgressOutputs {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
+			w := newTestGateway(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
 				if n == 1 {
 					trickle(rw, r, piece)
 					return
 				}
-				events(rw, 2, 3)
+				writeEvents(rw, 2, 3)
 			})
-			status, _, body, whole := w.call(t, "/brisk/", "k1")
+			status, _, body, complete := w.post(t, "/brisk/", "k1")
 			is.Equal(status, http.StatusOK)
-			is.True(whole)
+			is.True(complete)
 			is.Equal(strings.Count(body, "data: 1"), 1)
 			is.True(strings.HasSuffix(body, "id: 2\ndata: 2\n\nid: 3\ndata: 3\n\n"))
 		})
 	}
 }
 
-// Guards against a stream that cannot go on elsewhere and is held beyond its deadline
-// by bytes, or that looks complete at it.
+// Guards against a stream that cannot fail over and is kept beyond its deadline by such
+// output, or that looks complete when the deadline ends it.
 func TestTrickleEndsAtTheDeadline(t *testing.T) {
-	for name, piece := range pieces {
+	for name, piece := range noProgressOutputs {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			left := make(chan struct{})
-			w := newWorld(t, 1, func(_ int, rw http.ResponseWriter, r *http.Request) {
-				defer close(left)
+			disconnected := make(chan struct{})
+			w := newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, r *http.Request) {
+				defer close(disconnected)
 				trickle(rw, r, piece)
 			})
-			r, err := http.NewRequest(http.MethodPost, w.gateway.URL+"/single/", strings.NewReader("order"))
+			r, err := http.NewRequest(http.MethodPost, w.server.URL+"/single/", strings.NewReader("order"))
 			is.NoErr(err)
 			r.Host = "h"
 			r.Header = http.Header{"Id": {"1"}, "Key": {"k1"}, "Budget": {strconv.Itoa(600)}}
@@ -67,50 +67,49 @@
 			is.NoErr(err)
 			defer func() { _ = p.Body.Close() }()
 			_, err = io.ReadAll(p.Body)
-			is.True(err != nil) // not complete
-			<-left
+			is.True(err != nil) // incomplete
+			<-disconnected
 		})
 	}
 }
 
-// Guards against a stream that is sound and slow, with pauses far beyond the longest
-// gap of its route, and is cut off or sent again though it may run once only.
+// Guards against a healthy but slow stream that is aborted or retried although it may
+// run only once. Its pauses are far longer than the MaxGap of its route.
 func TestSlowStreamIsNotCutOff(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	w := newTestGateway(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		for i := 1; i <= 3; i++ {
-			time.Sleep(2 * leastPatience)
-			events(rw, i, i)
+			time.Sleep(2 * minStallTimeout)
+			writeEvents(rw, i, i)
 		}
 	})
-	status, _, body, whole := w.call(t, "/slow/", "k1")
+	status, _, body, complete := w.post(t, "/slow/", "k1")
 	is.Equal(status, http.StatusOK)
-	is.True(whole)
+	is.True(complete)
 	is.Equal(body, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n")
-	is.Equal(len(w.headers()), 1)
+	is.Equal(len(w.receivedHeaders()), 1)
 }
 
-// Guards against a stream that may be resumed and goes on elsewhere because it was
-// silent a few times in all, though it made progress in between. It would be read again
-// there.
-func TestSlowStreamIsNotMoved(t *testing.T) {
+// Guards against a resumable stream that fails over because it was silent several times
+// in total, although it made progress in between. The other engine would have to read
+// its prompt again.
+func TestSlowStreamDoesNotFailOver(t *testing.T) {
 	is := is.New(t)
-	var w *world
-	w = newWorld(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	var w *testGateway
+	w = newTestGateway(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		for i := 1; i <= 4; i++ {
-			for before := w.asked.Load(); w.asked.Load() == before; { // the gateway looks into it
+			for before := w.probes.Load(); w.probes.Load() == before; { // until the gateway checks the stream
 				time.Sleep(time.Millisecond)
 			}
-			events(rw, i, i)
+			writeEvents(rw, i, i)
 		}
 	})
-	status, _, body, whole := w.call(t, "/brisk/", "k1")
+	status, _, body, complete := w.post(t, "/brisk/", "k1")
 	is.Equal(status, http.StatusOK)
-	is.True(whole)
+	is.True(complete)
 	is.Equal(strings.Count(body, "data:"), 4)
-	is.Equal(len(w.headers()), 1)
+	is.Equal(len(w.receivedHeaders()), 1)
 }
 
-// leastPatience is the least time without an event after which a gateway looks into a
-// stream.
-const leastPatience = 200 * time.Millisecond
+// minStallTimeout has the value of the constant of package forward.
+const minStallTimeout = 200 * time.Millisecond
--- a/internal/gateway/forward/stalls.go
+++ b/internal/gateway/forward/stalls.go
@@ -11,22 +11,24 @@
 )
 
 const (
-	// probeTimeout bounds the wait for the report of an engine. A healthy engine
-	// answers within milliseconds.
+	// probeTimeout limits the wait for the report of an engine. A healthy engine
+	// responds within milliseconds.
 	probeTimeout = 250 * time.Millisecond
-	// probeAge is how long a report serves further streams.
-	probeAge = 150 * time.Millisecond
+	// maxProbeAge is how long a report is reused for other streams.
+	maxProbeAge = 150 * time.Millisecond
 )
 
-// stalls asks engines for their stalled streams. Streams that stall together
-// share one report.
-type stalls struct {
-	clock   fleet.Clock
-	prober  Prober
-	mu      sync.Mutex
-	reports map[string]*probe
+// probeCache requests the reports of engines, which list their stalled streams. Streams
+// that stall at the same time share one report.
+type probeCache struct {
+	clock  fleet.Clock
+	prober Prober
+	mu     sync.Mutex
+	probes map[string]*probe
 }
 
+// probe is a request for the report of an engine. report and err may be read once done
+// is closed.
 type probe struct {
 	done   chan struct{}
 	ended  time.Time
@@ -34,14 +36,14 @@
 	err    error
 }
 
-// ask returns a report that is not older than probeAge.
-func (s *stalls) ask(ctx context.Context, t exchange.Target) (placement.Report, error) {
+// report returns a report of an engine that is at most maxProbeAge old.
+func (s *probeCache) report(ctx context.Context, t exchange.Target) (placement.Report, error) {
 	s.mu.Lock()
-	p := s.reports[t.Address]
-	if p == nil || !p.ended.IsZero() && s.clock.Now().Sub(p.ended) > probeAge {
+	p := s.probes[t.Address]
+	if p == nil || !p.ended.IsZero() && s.clock.Now().Sub(p.ended) > maxProbeAge {
 		p = &probe{done: make(chan struct{})}
-		s.reports[t.Address] = p
-		go s.run(t, p)
+		s.probes[t.Address] = p
+		go s.runProbe(t, p)
 	}
 	s.mu.Unlock()
 	select {
@@ -52,7 +54,7 @@
 	}
 }
 
-func (s *stalls) run(t exchange.Target, p *probe) {
+func (s *probeCache) runProbe(t exchange.Target, p *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	p.report, p.err = s.prober.Report(ctx, t.ID, t.Address)
--- a/internal/gateway/forward/stream.go
+++ b/internal/gateway/forward/stream.go
@@ -20,140 +20,147 @@
 )
 
 const (
-	// firstNum and firstDen give the time before the first event, as a part of the
-	// route's target, after which the first engine is asked what the stream waits for.
-	// Its report is up to 200 ms old, and the rest of the target is enough for another
-	// path.
-	firstNum, firstDen = 3, 5
-	// gapPatience is the time without a further event, as a multiple of the route's
-	// longest gap.
-	gapPatience = 2
-	// leastPatience is used where a route sets no target or gap.
-	leastPatience = 200 * time.Millisecond
-	// silentChecks is the number of checks without a finding after which a stream
-	// goes on elsewhere, once, since its connection may have gone silent. Clients
-	// leave a stream without events after about two seconds.
-	silentChecks = 3
-	// noteEvery is the time between two notes of progress of one stream.
-	noteEvery = 500 * time.Millisecond
-	// atOnce bounds the time in which an engine that is alive refuses a request.
-	atOnce = 700 * time.Millisecond
-	// pathWait and pathPoll bound the wait for a path, from the arrival of the
-	// request or from the end of the path before, while engines are full or lost or
-	// have not been heard since the start. A client that is told to come back does so
-	// once.
-	pathWait = 1500 * time.Millisecond
-	pathPoll = 40 * time.Millisecond
-	// refusalRest is the wait after the second refusal in a row. Each further one adds
-	// as much.
-	refusalRest = 60 * time.Millisecond
+	// Without any event, the first engine of the path is checked after this fraction
+	// of the route's target. Its report is up to 200 ms old, and the rest of the target
+	// is enough for another path.
+	firstCheckNum, firstCheckDen = 3, 5
+	// gapFactor is the time without a further event after which a stream is checked,
+	// as a multiple of the route's MaxGap.
+	gapFactor = 2
+	// minStallTimeout is the shortest time before a check. It also applies to routes
+	// without a target or MaxGap.
+	minStallTimeout = 200 * time.Millisecond
+	// checksBeforeFailover is the number of checks without a finding after which a
+	// stream fails over, once only, since its connection may be dead. Clients abandon
+	// a stream without events after about 2 s.
+	checksBeforeFailover = 3
+	// progressInterval is the shortest time between two progress reports of a stream
+	// to the planner.
+	progressInterval = 500 * time.Millisecond
+	// maxRefusalDelay is the longest time in which an engine that is alive refuses a
+	// request. A later refusal counts as a failure of the engine.
+	maxRefusalDelay = 700 * time.Millisecond
+	// A stream waits up to pathTimeout for a usable path, from the arrival of the
+	// request or from the end of the previous path, and checks every
+	// pathPollInterval. Engines may be full, lost, or not heard from since the start
+	// of the gateway. A refused client retries only once.
+	pathTimeout      = 1500 * time.Millisecond
+	pathPollInterval = 40 * time.Millisecond
+	// refusalBackoff is the backoff after the second refusal in a row. Each further
+	// refusal adds the same amount.
+	refusalBackoff = 60 * time.Millisecond
 )
 
-// stream forwards a request whose answer is a series of events.
-func (q *request) stream(ctx context.Context) {
-	s := &relay{request: q, last: q.call.LastEvent, resumed: q.call.HasLastEvent}
-	for s.rest(ctx); s.awaitSend(ctx); s.rest(ctx) {
-		if s.run(ctx) {
+// serveStream forwards a request whose response is an event stream.
+func (q *request) serveStream(ctx context.Context) {
+	s := &relay{request: q, lastEvent: q.headers.LastEvent, resume: q.headers.HasLastEvent}
+	for s.backOff(ctx); s.awaitAttempt(ctx); s.backOff(ctx) {
+		if s.runAttempt(ctx) {
 			return
 		}
 	}
 	s.giveUp(ctx)
 }
 
-// rest waits before a stream that several paths refused goes to a further one, so
-// that the refusals of engines get round before the retries are spent.
-func (s *relay) rest(ctx context.Context) {
+// backOff waits before the next attempt if several paths in a row refused the stream,
+// so that the state of full engines spreads before the retries are used up.
+func (s *relay) backOff(ctx context.Context) {
 	if s.refusals < 2 {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-s.clock.After(time.Duration(s.refusals-1) * refusalRest):
+	case <-s.clock.After(time.Duration(s.refusals-1) * refusalBackoff):
 	}
 }
 
-// awaitSend reports whether another send is allowed. A stream that the client has in
-// part waits a while for the retry budget, since its client cannot begin anew.
-func (s *relay) awaitSend(ctx context.Context) bool {
+// awaitAttempt reports whether another attempt is allowed. If the client already has a
+// part of the stream, it waits up to pathTimeout for the retry budget, since that
+// client cannot start over.
+func (s *relay) awaitAttempt(ctx context.Context) bool {
 	for start := s.clock.Now(); ; {
-		if s.maySend(ctx) {
+		if s.allowAttempt(ctx) {
 			return true
 		}
-		if !s.begun || !s.withinRoute(s.runs, s.sends) || s.clock.Now().Sub(start) >= pathWait {
+		if !s.headSent || !s.withinRouteLimits(s.possibleRuns, s.attempts) || s.clock.Now().Sub(start) >= pathTimeout {
 			return false
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-s.clock.After(pathPoll):
+		case <-s.clock.After(pathPollInterval):
 		}
 	}
 }
 
-// relay forwards one stream, possibly from several engines in turn.
+// relay forwards one stream, possibly from several paths one after another.
 type relay struct {
 	*request
-	// last is the number of the newest event that the client has.
-	last uint64
-	// resumed tells that the next send asks for the events after last.
-	resumed bool
-	// begun tells that the head of the answer was sent to the client.
-	begun  bool
-	failed *answer
-	// moved tells that the stream went on elsewhere without a finding. It does so
-	// only once, because moving adds to the load that makes streams slow.
-	moved bool
-	// refusals are the paths in a row that an engine without free memory refused.
-	refusals int
-	noted    time.Time // when progress was last told to the planner
+	// lastEvent is the ID of the latest event that the client has.
+	lastEvent uint64
+	// resume reports whether the next attempt asks for the events after lastEvent.
+	resume bool
+	// headSent reports whether the status line and headers were sent to the client.
+	headSent bool
+	// failedResponse is the latest error response of an upstream.
+	failedResponse *response
+	// failedOver reports whether the stream failed over after checks without a
+	// finding. It does so only once, because a failover adds to the load that makes
+	// streams slow.
+	failedOver bool
+	// refusals is the number of consecutive paths that were refused by an engine
+	// without free memory.
+	refusals     int
+	lastProgress time.Time // when progress was last reported to the planner
 }
 
-// route is where one send goes.
-type route struct {
+// destination is the path or the upstream of one attempt.
+type destination struct {
 	hops   []path.Hop
 	target exchange.Target
 	done   func(ok bool, refused bool)
 }
 
-// await waits for a path for a while.
-func (s *relay) await(ctx context.Context) (route, error) {
+// awaitDestination waits up to pathTimeout for a destination.
+func (s *relay) awaitDestination(ctx context.Context) (destination, error) {
 	start := s.arrival
-	if s.begun {
+	if s.headSent {
 		start = s.clock.Now()
 	}
 	for {
-		t, err := s.choose()
-		if err == nil || s.clock.Now().Sub(start) >= pathWait {
+		t, err := s.chooseDestination()
+		if err == nil || s.clock.Now().Sub(start) >= pathTimeout {
 			return t, err
 		}
 		select {
 		case <-ctx.Done():
-			return route{}, err
-		case <-s.clock.After(pathPoll):
-			s.waited += pathPoll
+			return destination{}, err
+		case <-s.clock.After(pathPollInterval):
+			s.waited += pathPollInterval
 		}
 	}
 }
 
-// choose picks a path of engines, or one upstream of a plain service.
-func (s *relay) choose() (route, error) {
+// chooseDestination selects a path of engines, or an upstream of a service without
+// engines.
+func (s *relay) chooseDestination() (destination, error) {
 	if p := s.pool.Paths; p != nil {
 		hops, err := s.choosePath(p)
 		if err != nil {
-			return route{}, err
+			return destination{}, err
 		}
-		return route{
+		return destination{
 			hops: hops, target: exchange.Target{ID: hops[0].ID, Address: hops[0].Address},
 			done: func(ok, _ bool) { p.Done(hops, ok) },
 		}, nil
 	}
-	lease, err := s.pick()
+	lease, err := s.pickUpstream()
 	if err != nil {
-		return route{}, err
+		return destination{}, err
 	}
 	u := lease.Upstream()
 	s.avoid = append(s.avoid, u.ID)
-	return route{
+	return destination{
 		target: exchange.Target{ID: u.ID, Address: u.Address},
 		done: func(ok, refused bool) {
 			switch {
@@ -170,13 +177,14 @@
 	}, nil
 }
 
-// choosePath begins elsewhere after a first engine broke off, and at an engine that
-// the stream ran at once the route allows no further one. Those that are lost don't
+// choosePath selects a path without the first engine of a path that broke. Once the
+// stream ran at as many first engines as the route allows, the path begins at one of
+// these. If there is no such path, any path is allowed, since lost engines do not
 // count.
 func (s *relay) choosePath(p *path.Planner) ([]path.Hop, error) {
 	l := path.Limits{Avoid: s.avoid}
-	if s.ranEverywhere() {
-		l = path.Limits{First: s.ran}
+	if s.reachedMaxUpstreams() {
+		l = path.Limits{First: s.ranAt}
 	}
 	hops, err := p.Choose(l)
 	if err != nil {
@@ -185,31 +193,31 @@
 	return hops, nil
 }
 
-// pick chooses an upstream of a plain service in the same way.
-func (s *relay) pick() (pool.Lease, error) {
-	if s.ranEverywhere() {
-		return s.pool.Upstreams.Pick(pool.Ask{Only: s.ran})
+// pickUpstream selects an upstream of a service without engines under the same limits.
+func (s *relay) pickUpstream() (pool.Lease, error) {
+	if s.reachedMaxUpstreams() {
+		return s.pool.Upstreams.Pick(pool.Ask{Only: s.ranAt})
 	}
 	return s.pool.Upstreams.Pick(pool.Ask{Avoid: s.avoid})
 }
 
-// run makes one send and reports whether the request is finished.
-func (s *relay) run(ctx context.Context) bool {
-	t, err := s.await(ctx)
+// runAttempt makes one attempt and reports whether the request is finished.
+func (s *relay) runAttempt(ctx context.Context) bool {
+	t, err := s.awaitDestination(ctx)
 	if err != nil {
 		s.lastErr = err
 		s.giveUp(ctx)
 		return true
 	}
-	s.sends++
-	s.request.last = string(t.target.ID)
+	s.attempts++
+	s.request.lastUpstream = string(t.target.ID)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	w := s.watch(ctx, cancel, t)
 	defer w.stop()
 	finished, res, err := s.forward(ctx, t, w)
 	refused := exchange.Refused(err)
-	s.arrived = s.arrived || !exchange.Unsent(err)
+	s.reachedUpstream = s.reachedUpstream || !exchange.Unsent(err)
 	t.done(err == nil && res == answered, refused)
 	if err == nil {
 		return finished
@@ -218,199 +226,205 @@
 		err = errors.Wrap(cause, err.Error())
 	}
 	if res != notRun {
-		s.runs++
-		s.noteRun(t.target.ID)
+		s.possibleRuns++
+		s.recordRun(t.target.ID)
 	}
-	if res == unknown && t.hops != nil && context.Cause(ctx) == nil {
+	if res == unknownOutcome && t.hops != nil && context.Cause(ctx) == nil {
 		s.avoid = []fleet.UpstreamID{t.target.ID}
 	}
 	if refused {
-		s.blame(t.target.Address)
+		s.markFailed(t.target.Address)
 	}
 	s.lastErr = err
-	s.logger.Info("A stream broke.", zap.String("request", string(s.call.ID)), zap.String("upstream", string(t.target.ID)),
-		zap.Uint64("lastEvent", s.last), zap.Int("result", int(res)), zap.Any("path", t.hops), zap.Error(err))
+	s.logger.Info("A stream broke.", zap.String("request", string(s.headers.ID)), zap.String("upstream", string(t.target.ID)),
+		zap.Uint64("lastEvent", s.lastEvent), zap.Int("result", int(res)), zap.Any("path", t.hops), zap.Error(err))
 	return finished
 }
 
-// forward sends the request and relays the events of its answer.
-func (s *relay) forward(ctx context.Context, t route, w *watcher) (bool, result, error) {
+// forward sends the request and relays the events of its response.
+func (s *relay) forward(ctx context.Context, t destination, w *watcher) (bool, result, error) {
 	sent := s.clock.Now()
-	x, err := s.client.Send(ctx, t.target, s.message(gateway.Send{
-		Upstream: t.target.ID, Path: t.hops, LastEvent: s.last, HasLastEvent: s.resumed,
+	x, err := s.client.Send(ctx, t.target, s.upstreamRequest(gateway.Send{
+		Upstream: t.target.ID, Path: t.hops, LastEvent: s.lastEvent, HasLastEvent: s.resume,
 	}))
 	if err != nil {
 		return false, resultOf(err), err
 	}
 	defer x.Close()
-	reply := s.dialect.ReadReply(x.Response.StatusCode, x.Response.Header)
+	reply := s.codec.ReadReply(x.Response.StatusCode, x.Response.Header)
 	if reply.NotRun {
-		s.noteRefusal(reply, x.Response.StatusCode, s.clock.Now().Sub(sent))
-		return false, notRun, refusal.Because(refusal.NoUpstream, x.Drain(), "upstream %s answered %d without running the request, because of %.64q",
+		s.recordRefusal(reply, x.Response.StatusCode, s.clock.Now().Sub(sent))
+		return false, notRun, refusal.Because(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request, engine at fault: %.64q",
 			t.target.ID, x.Response.StatusCode, reply.At)
 	}
-	if err := s.checkOwn(reply, x.Response, t.target); err != nil {
-		return false, unknown, err
+	if err := s.verifyResponse(reply, x.Response, t.target); err != nil {
+		return false, unknownOutcome, err
 	}
 	if x.Response.StatusCode != http.StatusOK {
-		return s.failure(x, t)
+		return s.handleErrorResponse(x, t)
 	}
-	return s.events(x, w)
+	return s.relayEvents(x, w)
 }
 
-// noteRefusal passes over the engine that did not do its part. An engine that
-// refuses at once has no free memory, or is giving its layers up. One that is dead
-// shows only after a time.
-func (s *relay) noteRefusal(r gateway.Reply, status int, took time.Duration) {
+// recordRefusal tells the planner which engine could not do its part. A refusal within
+// maxRefusalDelay means that the engine has no free memory or is releasing its layers.
+// A dead engine is noticed only after a timeout.
+func (s *relay) recordRefusal(r gateway.Reply, status int, took time.Duration) {
 	if r.At == "" || s.pool.Paths == nil {
 		return
 	}
-	if status == http.StatusServiceUnavailable && took < atOnce {
+	if status == http.StatusServiceUnavailable && took < maxRefusalDelay {
 		s.refusals++
 		s.pool.Paths.Full(r.At)
 		return
 	}
-	s.blame(r.At)
+	s.markFailed(r.At)
 }
 
-// failure keeps the answer of an upstream that failed. It is forwarded unless
-// another send has an answer.
-func (s *relay) failure(x *exchange.Exchange, t route) (bool, result, error) {
-	body, err := x.ReadBody(bufferedBytes)
+// handleErrorResponse handles a response with another status than 200. A status below
+// 500 is forwarded at once if nothing was sent yet. Any other response is kept and
+// forwarded unless another attempt succeeds.
+func (s *relay) handleErrorResponse(x *exchange.Exchange, t destination) (bool, result, error) {
+	body, err := x.ReadBody(maxBufferedBytes)
 	if err != nil {
-		return false, unknown, errors.Wrapf(err, "read the answer of upstream %s", t.target.ID)
+		return false, unknownOutcome, errors.Wrapf(err, "read response of upstream %s", t.target.ID)
 	}
 	x.Keep()
-	a := &answer{status: x.Response.StatusCode, header: x.Response.Header, body: body}
-	if a.status < http.StatusInternalServerError && !s.begun {
+	a := &response{status: x.Response.StatusCode, header: x.Response.Header, body: body}
+	if a.status < http.StatusInternalServerError && !s.headSent {
 		s.deliver(a)
 		return true, answered, nil
 	}
-	s.failed = a
-	return false, failedRun, refusal.New(refusal.UpstreamFailed, "upstream %s answered %d", t.target.ID, a.status)
+	s.failedResponse = a
+	return false, upstreamError, refusal.New(refusal.UpstreamFailed, "upstream %s responded with status %d", t.target.ID, a.status)
 }
 
-// events relays whole events, so that a stream that breaks within an event can go
-// on elsewhere.
-func (s *relay) events(x *exchange.Exchange, w *watcher) (bool, result, error) {
-	in := events{reader: bufio.NewReaderSize(x.Response.Body, 2<<10)}
-	flush := http.NewResponseController(s.w)
+// relayEvents forwards whole events, so that a stream that breaks within an event can
+// fail over.
+func (s *relay) relayEvents(x *exchange.Exchange, w *watcher) (bool, result, error) {
+	reader := eventReader{source: bufio.NewReaderSize(x.Response.Body, 2<<10)}
+	controller := http.NewResponseController(s.w)
 	for {
-		e, err := in.next()
+		e, err := reader.next()
 		if errors.Is(err, io.EOF) {
-			s.begin(x.Response)
+			s.sendHead(x.Response)
 			s.outcome = "answered"
 			x.Keep()
 			return true, answered, nil
 		}
 		if err != nil {
-			return false, unknown, errors.Wrap(err, "read the stream")
+			return false, unknownOutcome, errors.Wrap(err, "read event stream")
 		}
 		s.refusals = 0
-		if e.id > 0 && e.id <= s.last {
-			continue // the client has it, and it may come without end
+		if e.id > 0 && e.id <= s.lastEvent {
+			continue // the client has it already, and the engine may repeat it forever
 		}
 		if !e.comment {
 			w.progress()
-			s.noteProgress(w.route)
+			s.reportProgress(w.dest)
 		}
-		s.begin(x.Response)
+		s.sendHead(x.Response)
 		if e.id > 0 {
-			s.last, s.resumed = e.id, true
+			s.lastEvent, s.resume = e.id, true
 		}
 		_, err = s.w.Write(e.raw)
 		if err == nil {
-			err = flush.Flush()
+			err = controller.Flush()
 		}
 		if err != nil {
 			s.outcome = "clientGone"
-			return true, answered, errors.Wrap(err, "write to the client")
+			return true, answered, errors.Wrap(err, "write to client")
 		}
-		s.pace.note(s.clock.Now().Sub(s.arrival))
+		s.timing.record(s.clock.Now().Sub(s.arrival))
 	}
 }
 
-// noteProgress tells the planner now and then that the engines of a path work.
-func (s *relay) noteProgress(t route) {
+// reportProgress tells the planner, at most once per progressInterval, that the engines
+// of a path are working.
+func (s *relay) reportProgress(t destination) {
 	now := s.clock.Now()
-	if s.pool.Paths == nil || now.Sub(s.noted) < noteEvery {
+	if s.pool.Paths == nil || now.Sub(s.lastProgress) < progressInterval {
 		return
 	}
-	s.noted = now
+	s.lastProgress = now
 	s.pool.Paths.Served(t.hops)
 }
 
-// begin sends the head of the answer once. Later engines go on under it.
-func (s *relay) begin(p *http.Response) {
-	if s.begun {
+// sendHead sends the status line and headers to the client, once per stream. Events of
+// later paths follow under the same headers.
+func (s *relay) sendHead(p *http.Response) {
+	if s.headSent {
 		return
 	}
-	s.begun = true
+	s.headSent = true
 	s.status = p.StatusCode
 	copyHeaders(s.w.Header(), p.Header)
 	s.w.Header().Del("Content-Length")
 	s.writeHead(p.StatusCode)
 }
 
-// giveUp ends a stream that no engine completes. A stream that has begun is cut
-// off, so that it doesn't look complete.
+// giveUp ends a stream that no path completed. If the client already has a part, the
+// connection is aborted, so that the stream does not look complete.
 func (s *relay) giveUp(ctx context.Context) {
-	if s.begun {
+	if s.headSent {
 		s.outcome = "broken"
 		if s.r.Context().Err() != nil {
 			s.outcome = "clientGone"
 		}
 		panic(http.ErrAbortHandler)
 	}
-	if s.failed != nil && s.r.Context().Err() == nil {
-		s.deliver(s.failed)
+	if s.failedResponse != nil && s.r.Context().Err() == nil {
+		s.deliver(s.failedResponse)
 		return
 	}
 	s.fail(ctx)
 }
 
-// blame passes over the engine at an address for a while.
-func (s *relay) blame(address string) {
+// markFailed makes the planner avoid the engine at an address for a while.
+func (s *relay) markFailed(address string) {
 	if s.pool.Paths != nil {
 		s.pool.Paths.Fail(address)
 	}
 }
 
-// watcher notices that a stream makes no progress and finds out why.
+// watcher detects that a stream makes no progress and looks for the cause.
 type watcher struct {
 	relay  *relay
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	route  route
+	dest   destination
 	timer  *time.Timer
-	// checking tells that a check is in progress. The others of its time are left out.
+	// checking reports whether a check is in progress. Further checks are skipped
+	// until it ends.
 	checking atomic.Bool
-	// events counts the events so far.
+	// events is the number of events of this attempt so far.
 	events atomic.Int64
-	// checks are those since the last event, which was the one with the number seen.
-	// Both belong to the check in progress.
-	checks int
-	seen   int64
-	// runs and sends are those of the request once the send in progress has ended.
-	runs, sends int
+	// checks is the number of checks since the last event, and checkedEvents the value
+	// of events at the latest check. Only the check in progress uses them.
+	checks        int
+	checkedEvents int64
+	// possibleRuns and attempts are the counts of the request as they will be after
+	// the attempt in progress.
+	possibleRuns, attempts int
 }
 
-func (s *relay) watch(ctx context.Context, cancel context.CancelCauseFunc, t route) *watcher {
-	w := &watcher{relay: s, ctx: ctx, cancel: cancel, route: t, runs: s.runs + 1, sends: s.sends}
-	w.timer = time.AfterFunc(patience(s.request.route.Target*firstNum/firstDen), w.check)
+func (s *relay) watch(ctx context.Context, cancel context.CancelCauseFunc, t destination) *watcher {
+	w := &watcher{relay: s, ctx: ctx, cancel: cancel, dest: t, possibleRuns: s.possibleRuns + 1, attempts: s.attempts}
+	w.timer = time.AfterFunc(stallTimeout(s.request.route.Target*firstCheckNum/firstCheckDen), w.check)
 	return w
 }
 
-func patience(d time.Duration) time.Duration { return max(leastPatience, d) }
+// stallTimeout returns d, or minStallTimeout if d is shorter.
+func stallTimeout(d time.Duration) time.Duration { return max(minStallTimeout, d) }
 
 func (w *watcher) progress() {
 	w.events.Add(1)
-	w.timer.Reset(patience(w.relay.request.route.MaxGap * gapPatience))
+	w.timer.Reset(stallTimeout(w.relay.request.route.MaxGap * gapFactor))
 }
 
 func (w *watcher) stop() { w.timer.Stop() }
 
-// check asks the first engine which part of the path it waits for.
+// check asks the first engine which engine of the path the stream waits for.
 func (w *watcher) check() {
 	if w.ctx.Err() != nil || !w.checking.CompareAndSwap(false, true) {
 		return
@@ -418,72 +432,73 @@
 	defer w.checking.Store(false)
 	s := w.relay
 	s.metrics.stalled()
-	if n := w.events.Load(); n != w.seen {
-		w.seen, w.checks = n, 0
+	if n := w.events.Load(); n != w.checkedEvents {
+		w.checkedEvents, w.checks = n, 0
 	}
 	w.checks++
-	first := w.route.target.Address
-	r, err := s.stalls.ask(w.ctx, w.route.target)
+	first := w.dest.target.Address
+	r, err := s.probes.report(w.ctx, w.dest.target)
 	if w.ctx.Err() != nil {
 		return
 	}
-	if w.events.Load() != w.seen {
-		// The engines went on in the meantime.
-		w.timer.Reset(patience(s.request.route.MaxGap * gapPatience))
+	if w.events.Load() != w.checkedEvents {
+		// The stream made progress during the check.
+		w.timer.Reset(stallTimeout(s.request.route.MaxGap * gapFactor))
 		return
 	}
 	if err != nil {
-		s.blame(first)
-		if w.mayMove() {
-			w.cancel(errors.Wrapf(err, "engine at %s does not answer", first))
+		s.markFailed(first)
+		if w.allowFailover() {
+			w.cancel(errors.Wrapf(err, "engine at %s did not report its state", first))
 			return
 		}
 	}
 	for _, k := range r.Stalled {
-		if k.Request == s.call.ID || w.passes(k.Address) {
-			s.blame(k.Address)
-			w.cancel(errors.Errorf("the stream waits for the engine at %s", k.Address))
+		if k.Request == s.headers.ID || w.onPath(k.Address) {
+			s.markFailed(k.Address)
+			w.cancel(errors.Errorf("stream is stalled on the engine at %s", k.Address))
 			return
 		}
 	}
 	if w.checks == 1 {
-		w.findSlow()
+		w.probePaces()
 	}
-	// Silence alone is no reason to cut off a stream that cannot go on elsewhere.
-	if w.checks >= silentChecks && !s.moved && w.mayMove() {
-		s.moved = true
-		w.cancel(errors.New("the stream made no progress"))
+	// Silence alone is no reason to abort a stream that cannot fail over.
+	if w.checks >= checksBeforeFailover && !s.failedOver && w.allowFailover() {
+		s.failedOver = true
+		w.cancel(errors.New("stream made no progress"))
 		return
 	}
-	w.timer.Reset(patience(s.request.route.MaxGap * gapPatience))
+	w.timer.Reset(stallTimeout(s.request.route.MaxGap * gapFactor))
 }
 
-// mayMove reports whether the stream may go on elsewhere, and pays for it.
-func (w *watcher) mayMove() bool {
-	return w.relay.withinRoute(w.runs, w.sends) && w.relay.prepay()
+// allowFailover reports whether the stream may fail over, and charges the retry budget
+// for it.
+func (w *watcher) allowFailover() bool {
+	return w.relay.withinRouteLimits(w.possibleRuns, w.attempts) && w.relay.reserveRetry()
 }
 
-// findSlow asks the other engines of the path for their pace, so that further
-// streams pass over slow ones.
-func (w *watcher) findSlow() {
+// probePaces asks engines of the path whose pace was not requested lately for it, so
+// that further streams avoid slow engines.
+func (w *watcher) probePaces() {
 	p := w.relay.pool.Paths
 	if p == nil {
 		return
 	}
-	var wait sync.WaitGroup
-	for _, h := range p.Unpaced(w.route.hops) {
-		wait.Go(func() {
-			r, err := w.relay.stalls.ask(w.ctx, exchange.Target{ID: h.ID, Address: h.Address})
+	var wg sync.WaitGroup
+	for _, h := range p.Unpaced(w.dest.hops) {
+		wg.Go(func() {
+			r, err := w.relay.probes.report(w.ctx, exchange.Target{ID: h.ID, Address: h.Address})
 			if err == nil {
 				p.SetPace(h.ID, r.Pace)
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-func (w *watcher) passes(address string) bool {
-	for _, h := range w.route.hops {
+func (w *watcher) onPath(address string) bool {
+	for _, h := range w.dest.hops {
 		if h.Address == address {
 			return true
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,8 @@
-// Package gateway holds the types of the HTTP entry that forwards requests of
-// clients to upstreams, and the interface to the headers of a platform.
+// Package gateway holds the types of the HTTP gateway that forwards requests of
+// clients to upstreams, and the interface to the header format of a platform.
 //
-// Package forward decides what happens to a request, package exchange speaks
-// HTTP/1.1 to upstreams, and package path chooses the engines of a stream.
+// Package forward handles the requests, package exchange implements HTTP/1.1 to
+// upstreams, and package path selects the engines of a stream.
 package gateway
 
 import (
@@ -13,52 +13,57 @@
 	"github.com/bilberryrock/bilberryrock/internal/gateway/path"
 )
 
-// Call is what the headers of a request say.
+// Call holds the decoded headers of a client request.
 type Call struct {
 	ID fleet.RequestID
-	// Budget is how long the client waits, or 0 if it does not say.
+	// Budget is how long the client waits for the response, or 0 if not given.
 	Budget time.Duration
-	// Key is the account key, or empty.
+	// Key is the account key, or empty if not given.
 	Key string
-	// LastEvent is the number of the last event that the client has of the stream.
+	// LastEvent is the ID of the last event of the stream that the client has.
 	// HasLastEvent is false for a new stream.
 	LastEvent    uint64
 	HasLastEvent bool
 }
 
-// Send is what the gateway adds to a request for an upstream.
+// Send holds the values of the headers that the gateway sets in a request
+// to an upstream.
 type Send struct {
-	// Upstream is the incarnation that must answer.
+	// Upstream is the incarnation that must handle the request.
 	Upstream fleet.UpstreamID
 	Account  fleet.AccountID
 	// Left is the time until the deadline of the request.
 	Left time.Duration
 	Path []path.Hop
-	// LastEvent is the number of the event after which a stream goes on.
+	// LastEvent is the ID of the event after which the stream continues, if
+	// HasLastEvent is set.
 	LastEvent    uint64
 	HasLastEvent bool
-	// Urgency is 0 for the most urgent requests and at most 9.
+	// Urgency ranges from 0 for the most urgent requests to 9.
 	Urgency int
 }
 
-// Reply is what the headers of an answer say.
+// Reply holds the decoded headers of an upstream response.
 type Reply struct {
 	ID fleet.RequestID
-	// Sealed tells that the answer is that of an upstream which ran the request.
+	// Sealed reports whether the response bears the seal of an upstream that ran the
+	// request.
 	Sealed bool
-	// NotRun tells that the upstream did not and will not run the request.
+	// NotRun reports whether the upstream did not run the request and will not run it.
 	NotRun bool
-	// At is the address of the engine that could not do its part, or empty.
+	// At is the address of the engine of the path that could not serve the
+	// request, or empty.
 	At string
 }
 
-// Dialect translates between the headers of a platform and these types.
+// Dialect converts between the headers of a platform and these types.
 type Dialect interface {
-	// ReadCall decodes the headers of a client. The error has the kind
+	// ReadCall decodes the headers of a client request. Errors have the kind
 	// refusal.BadRequest.
 	ReadCall(h http.Header) (Call, error)
-	// WriteSend replaces the headers that the gateway is responsible for. h holds
-	// the headers of the client.
+	// WriteSend replaces the headers that the gateway sets. h holds the headers of
+	// the client request.
 	WriteSend(h http.Header, s Send)
+	// ReadReply decodes the status and headers of an upstream response.
 	ReadReply(status int, h http.Header) Reply
 }
