--- a/internal/upstream/cache.go
+++ b/internal/upstream/cache.go
@@ -8,30 +8,31 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// BlockPositions is the number of positions in one block of a prefix cache.
+// BlockSize is the number of token positions in one block of a prefix cache.
 const BlockPositions = 16
 
-// Block identifies the content of a block and of all blocks before it.
+// BlockHash is a chained hash of the content of a block and of all blocks before it.
 type Block uint64
 
-// CacheEvent tells that an engine stored or evicted a block of its prefix cache.
+// CacheEvent reports that an engine stored or evicted a block of its prefix cache.
 type CacheEvent struct {
-	// Sequence numbers the events of one incarnation, starting at 1. A missing
-	// number is an event that was lost.
+	// Sequence numbers the events of one incarnation, starting at 1. A gap in the
+	// numbers means that events were lost.
 	Sequence uint64 `json:"sequence"`
 	Evicted  bool   `json:"evicted,omitempty"`
 	Block    Block  `json:"block"`
 }
 
-// CacheEvents is an answer to a question for cache events.
+// CacheEvents is the response to a query for cache events.
 type CacheEvents struct {
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Events      []CacheEvent      `json:"events"`
-	// Next is the sequence number to ask after next time.
+	// Next is the sequence number after which the next query should ask for events.
 	Next uint64 `json:"next"`
 }
 
-// Blocks returns the identities of the full blocks of a prompt in order.
+// BlockHashes returns the hashes of the full blocks of a prompt in order. An
+// incomplete last block is left out.
 func Blocks(prompt []uint64) []Block {
 	blocks := make([]Block, 0, len(prompt)/BlockPositions)
 	var b [8 * (BlockPositions + 1)]byte
