--- a/internal/upstream/engine/call.go
+++ b/internal/upstream/engine/call.go
@@ -17,8 +17,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// send sends one request and returns the whole answer, of at most limit bytes. The
-// transport never repeats a request that may have been written.
+// send sends one request and returns the status, header and body of the response,
+// with a body of at most limit bytes. The transport never retries a request that may
+// have been written.
 func (p *pool) send(ctx context.Context, method, path string, header http.Header, body []byte, limit int64) (int, http.Header, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialer.callTimeout)
 	defer cancel()
@@ -27,46 +28,46 @@
 		GotConn: func(i httptrace.GotConnInfo) { connected, reused = true, i.Reused },
 	})
 	id := string(fleet.NewRequestID())
-	request, err := p.request(ctx, method, path, header, body, id)
+	request, err := p.newRequest(ctx, method, path, header, body, id)
 	if err != nil {
 		return 0, nil, nil, err
 	}
 	response, err := p.transport.RoundTrip(request)
 	if err != nil {
-		return 0, nil, nil, p.failure(ctx, err, connected)
+		return 0, nil, nil, p.transportError(ctx, err, connected)
 	}
 	defer response.Body.Close()
-	if err := p.checkOwn(response, id, reused); err != nil {
+	if err := p.checkCallID(response, id, reused); err != nil {
 		return 0, nil, nil, err
 	}
-	answer, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
-		return 0, nil, nil, p.failure(ctx, err, true)
+		return 0, nil, nil, p.transportError(ctx, err, true)
 	}
-	if int64(len(answer)) > limit {
+	if int64(len(data)) > limit {
 		return 0, nil, nil, refusal.New(refusal.UpstreamFailed, "answer of upstream at %s is larger than %d bytes", p.address, limit)
 	}
-	return response.StatusCode, response.Header, answer, nil
+	return response.StatusCode, response.Header, data, nil
 }
 
-// checkOwn returns an error if the answer is not the one to the call with an id. Its
-// connection is closed then, since the body is not read.
-func (p *pool) checkOwn(r *http.Response, id string, reused bool) error {
+// checkCallID returns an error if the response does not belong to the call with the
+// given id. Its connection is closed in that case, because the body is not read.
+func (p *pool) checkCallID(r *http.Response, id string, reused bool) error {
 	got := r.Header.Get(upstream.CallHeader)
 	r.Header.Del(upstream.CallHeader)
 	if got == id || got == "" && !reused {
-		p.echoes.Store(got == id)
+		p.echoesCallID.Store(got == id)
 		return nil
 	}
-	p.echoes.Store(false)
+	p.echoesCallID.Store(false)
 	p.transport.CloseIdleConnections()
 	return refusal.New(refusal.UpstreamFailed, "upstream at %s sent an answer to another call", p.address)
 }
 
-// request builds the request. The transport would repeat a request with a method
-// or an Idempotency-Key header that marks it as idempotent after a lost
-// connection, so the body is given without a way to read it again.
-func (p *pool) request(ctx context.Context, method, path string, header http.Header, body []byte, id string) (*http.Request, error) {
+// newRequest builds the request. After a lost connection the transport would retry a
+// request whose method or Idempotency-Key header marks it as idempotent, so the body
+// is passed without a way to read it again.
+func (p *pool) newRequest(ctx context.Context, method, path string, header http.Header, body []byte, id string) (*http.Request, error) {
 	target, err := url.ParseRequestURI(path)
 	if err != nil {
 		return nil, refusal.Because(refusal.BadRequest, err, "path %q of a call", path)
@@ -81,13 +82,14 @@
 		request.Header = header.Clone()
 	}
 	request.Header.Set(upstream.CallHeader, id)
-	request.Close = !p.echoes.Load()
+	request.Close = !p.echoesCallID.Load()
 	request.ContentLength = int64(len(body))
 	return request, nil
 }
 
-// failure gives err its kind. Without a connection nothing was sent.
-func (p *pool) failure(ctx context.Context, err error, connected bool) error {
+// transportError adds the kind to an error of the transport. If no connection was
+// obtained, nothing was sent.
+func (p *pool) transportError(ctx context.Context, err error, connected bool) error {
 	err = excerpt.Error(err)
 	if !connected {
 		return refusal.Because(refusal.NoUpstream, err, "connect to upstream at %s", p.address)
@@ -98,9 +100,9 @@
 	return refusal.Because(refusal.UpstreamFailed, err, "call of upstream at %s", p.address)
 }
 
-// exchange sends in as JSON and decodes the answer into out. Either may be nil. The
-// answer has at most limit bytes.
-func (p *pool) exchange(ctx context.Context, method, path string, in, out any, limit int64) error {
+// callJSON sends in as JSON and decodes the response into out. Either may be nil. The
+// response body has at most limit bytes.
+func (p *pool) callJSON(ctx context.Context, method, path string, in, out any, limit int64) error {
 	var body []byte
 	if in != nil {
 		encoded, err := json.Marshal(in)
@@ -109,17 +111,17 @@
 		}
 		body = encoded
 	}
-	status, _, answer, err := p.send(ctx, method, path, jsonHeader, body, min(limit, p.dialer.maxAnswer))
+	status, _, data, err := p.send(ctx, method, path, jsonHeader, body, min(limit, p.dialer.maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return p.refused(status, answer)
+		return p.responseError(status, data)
 	}
 	if out == nil {
 		return nil
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
+	if err := json.Unmarshal(data, out); err != nil {
 		return refusal.Because(refusal.UpstreamFailed, excerpt.Error(err), "answer of engine at %s", p.address)
 	}
 	return nil
@@ -127,7 +129,7 @@
 
 var jsonHeader = http.Header{"Content-Type": {"application/json"}}
 
-// errorBody is the body of an answer other than 200 of an engine.
+// errorBody is the body of an engine's response with a status other than 200.
 type errorBody struct {
 	Error struct {
 		Code    string `json:"code"`
@@ -135,16 +137,16 @@
 	} `json:"error"`
 }
 
-// refused gives an answer other than 200 its kind.
-func (p *pool) refused(status int, answer []byte) error {
+// responseError returns the error for a response with a status other than 200.
+func (p *pool) responseError(status int, data []byte) error {
 	var body errorBody
-	// An answer that is not the error body of the protocol has an empty code.
-	_ = json.Unmarshal(answer, &body)
-	return refusal.New(kindOf(status, body.Error.Code), "engine at %s answered %d %s: %s",
+	// If the body is not an error body of the protocol, the code is empty.
+	_ = json.Unmarshal(data, &body)
+	return refusal.New(errorKind(status, body.Error.Code), "engine at %s answered %d %s: %s",
 		p.address, status, excerpt.Text(body.Error.Code), excerpt.Text(body.Error.Message))
 }
 
-func kindOf(status int, code string) refusal.Kind {
+func errorKind(status int, code string) refusal.Kind {
 	switch {
 	case status == http.StatusBadRequest:
 		return refusal.BadRequest
--- a/internal/upstream/engine/client.go
+++ b/internal/upstream/engine/client.go
@@ -13,27 +13,31 @@
 )
 
 const (
-	// shortAnswer bounds in bytes the answers of engines that hold no list: they have
-	// less than 1 KiB. Many calls are in progress at once, and each may read as much.
-	shortAnswer = 64 << 10
-	// outputBytes is an output of a step in JSON: 20 digits, a comma, and space for
-	// answers that are indented.
-	outputBytes = 32
+	// maxShortResponseBytes bounds the responses of engines that contain no list;
+	// they are smaller than 1 KiB. Many calls are in progress at once, and each may
+	// read this much.
+	maxShortResponseBytes = 64 << 10
+	// maxOutputBytes is the size of one output of a step in JSON: 20 digits, a comma,
+	// and space for indentation.
+	maxOutputBytes = 32
 )
 
-// stepAnswer bounds the answer to a step, which has one output for each position.
-func stepAnswer(s upstream.Step) int64 { return shortAnswer + outputBytes*int64(len(s.Input)) }
+// maxStepResponseBytes bounds the response to a step, which has one output for each
+// position.
+func maxStepResponseBytes(s upstream.Step) int64 {
+	return maxShortResponseBytes + maxOutputBytes*int64(len(s.Input))
+}
 
 // Client is the client of one model engine.
 type Client struct {
 	pool *pool
 }
 
-// Step runs the layers of s. An answer to another step is dropped with an error
+// Step runs the layers of s. A response to another step is discarded with an error
 // of kind refusal.UpstreamFailed, after which the same step may be sent again.
 func (c *Client) Step(ctx context.Context, s upstream.Step) (upstream.StepResult, error) {
 	var result upstream.StepResult
-	if err := c.pool.exchange(ctx, http.MethodPost, "/v1/steps", s, &result, stepAnswer(s)); err != nil {
+	if err := c.pool.callJSON(ctx, http.MethodPost, "/v1/steps", s, &result, maxStepResponseBytes(s)); err != nil {
 		return upstream.StepResult{}, err
 	}
 	if result.Request != s.Request || result.Epoch != s.Epoch || result.Position != s.Position {
@@ -48,21 +52,21 @@
 	return result, nil
 }
 
-// Cancel ends a request and frees its memory.
+// Cancel cancels a request and frees its memory.
 func (c *Client) Cancel(ctx context.Context, r fleet.RequestID) error {
-	return c.pool.exchange(ctx, http.MethodPost, requestPath(r)+"/cancel", nil, nil, shortAnswer)
+	return c.pool.callJSON(ctx, http.MethodPost, requestPath(r)+"/cancel", nil, nil, maxShortResponseBytes)
 }
 
 // CancelEpoch implements upstream.EpochCanceller.
 func (c *Client) CancelEpoch(ctx context.Context, r fleet.RequestID, e fleet.Epoch) error {
 	path := requestPath(r) + "/cancel?epoch=" + strconv.FormatUint(uint64(e), 10)
-	return c.pool.exchange(ctx, http.MethodPost, path, nil, nil, shortAnswer)
+	return c.pool.callJSON(ctx, http.MethodPost, path, nil, nil, maxShortResponseBytes)
 }
 
 // Export returns the KV cache of a request.
 func (c *Client) Export(ctx context.Context, r fleet.RequestID) (upstream.KV, error) {
 	var kv upstream.KV
-	if err := c.pool.exchange(ctx, http.MethodGet, requestPath(r)+"/kv", nil, &kv, c.pool.dialer.maxAnswer); err != nil {
+	if err := c.pool.callJSON(ctx, http.MethodGet, requestPath(r)+"/kv", nil, &kv, c.pool.dialer.maxResponseBytes); err != nil {
 		return upstream.KV{}, err
 	}
 	if kv.Request != r {
@@ -72,21 +76,21 @@
 	return kv, nil
 }
 
-// Import takes over a KV cache under epoch e.
+// Import loads a KV cache under epoch e.
 func (c *Client) Import(ctx context.Context, e fleet.Epoch, kv upstream.KV) error {
 	path := requestPath(kv.Request) + "/kv?epoch=" + strconv.FormatUint(uint64(e), 10)
-	return c.pool.exchange(ctx, http.MethodPut, path, kv, nil, shortAnswer)
+	return c.pool.callJSON(ctx, http.MethodPut, path, kv, nil, maxShortResponseBytes)
 }
 
-// Command hands over a command.
+// Command sends a command to the engine.
 func (c *Client) Command(ctx context.Context, command upstream.Command) error {
-	return c.pool.exchange(ctx, http.MethodPost, "/v1/commands", command, nil, shortAnswer)
+	return c.pool.callJSON(ctx, http.MethodPost, "/v1/commands", command, nil, maxShortResponseBytes)
 }
 
-// Describe returns what the engine says of itself now.
+// Describe returns the current description of the engine.
 func (c *Client) Describe(ctx context.Context) (upstream.Announcement, error) {
 	var a upstream.Announcement
-	err := c.pool.exchange(ctx, http.MethodGet, "/v1/description", nil, &a, shortAnswer)
+	err := c.pool.callJSON(ctx, http.MethodGet, "/v1/description", nil, &a, maxShortResponseBytes)
 	return a, err
 }
 
@@ -94,7 +98,7 @@
 func (c *Client) CacheEvents(ctx context.Context, after uint64) (upstream.CacheEvents, error) {
 	var events upstream.CacheEvents
 	path := "/v1/cache-events?after=" + strconv.FormatUint(after, 10)
-	err := c.pool.exchange(ctx, http.MethodGet, path, nil, &events, c.pool.dialer.maxAnswer)
+	err := c.pool.callJSON(ctx, http.MethodGet, path, nil, &events, c.pool.dialer.maxResponseBytes)
 	return events, err
 }
 
@@ -107,9 +111,9 @@
 	pool *pool
 }
 
-// Call sends c once and returns the whole answer, whatever its status.
+// Call sends c once and returns the whole response, whatever its status.
 func (s *serviceClient) Call(ctx context.Context, c upstream.Call) (upstream.Answer, error) {
-	status, header, body, err := s.pool.send(ctx, c.Method, c.Path, c.Header, c.Body, s.pool.dialer.maxAnswer)
+	status, header, body, err := s.pool.send(ctx, c.Method, c.Path, c.Header, c.Body, s.pool.dialer.maxResponseBytes)
 	if err != nil {
 		return upstream.Answer{}, err
 	}
--- a/internal/upstream/engine/copies_test.go
+++ b/internal/upstream/engine/copies_test.go
@@ -16,51 +16,51 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/engine"
 )
 
-func named(id, body string) string {
+func responseWithID(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Call-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func unnamed(body string) string {
+func responseWithoutID(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// copier answers each call with its path. Once the next call on the connection has
-// come, it sends the answer before again, ahead of the right one.
-type copier struct {
-	mu   sync.Mutex
-	last map[net.Conn]string
-	// answer returns an answer to a call with an id.
-	answer func(id, body string) string
+// duplicatingServer responds to each call with its path. When the next call arrives on
+// the same connection, it first sends the previous response again.
+type duplicatingServer struct {
+	mu           sync.Mutex
+	lastResponse map[net.Conn]string
+	// respond returns the raw response to a call with the given id.
+	respond func(id, body string) string
 }
 
-func (k *copier) serve(c net.Conn, r *http.Request) bool {
+func (k *duplicatingServer) serve(c net.Conn, r *http.Request) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	text := k.answer(r.Header.Get("X-Call-Id"), r.URL.Path)
-	_, _ = fmt.Fprint(c, k.last[c]+text)
-	k.last[c] = text
+	text := k.respond(r.Header.Get("X-Call-Id"), r.URL.Path)
+	_, _ = fmt.Fprint(c, k.lastResponse[c]+text)
+	k.lastResponse[c] = text
 	return true
 }
 
-// Guards against a second copy of an answer that comes late, on a connection that is in
-// use again, and goes to the next caller.
-func TestLateCopyIsNoAnswerToNextCall(t *testing.T) {
-	answers := map[string]func(id, body string) string{
-		"named":   named,
-		"unnamed": func(_, body string) string { return unnamed(body) },
+// Guards against a duplicate of a response that arrives after its connection was reused
+// and is returned to the next caller.
+func TestLateDuplicateIsNotResponseToNextCall(t *testing.T) {
+	responders := map[string]func(id, body string) string{
+		"with call id":    responseWithID,
+		"without call id": func(_, body string) string { return responseWithoutID(body) },
 	}
-	for name, answer := range answers {
+	for name, respond := range responders {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			k := &copier{last: make(map[net.Conn]string), answer: answer}
+			k := &duplicatingServer{lastResponse: make(map[net.Conn]string), respond: respond}
 			d := engine.NewDialer()
 			defer d.Close()
-			s := d.Service(at(serveRaw(t, k.serve)))
+			s := d.Service(upstreamAt(serveRaw(t, k.serve)))
 			for i := range 4 {
 				call := upstream.Call{Method: http.MethodPost, Path: fmt.Sprint("/orders/", i)}
 				a, err := s.Call(context.Background(), call)
 				if err != nil {
-					// The order may have run, and nobody learns of its answer.
+					// The call may have run, but its response is lost.
 					is.Equal(refusal.KindOf(err), refusal.UpstreamFailed)
 					continue
 				}
@@ -71,54 +71,55 @@
 	}
 }
 
-// Guards against a copy of the answer to one call that counts as the acceptance of a
-// command.
-func TestLateCopyIsNoAcceptance(t *testing.T) {
+// Guards against a duplicate of the response to an earlier call that is taken as the
+// acceptance of a command.
+func TestLateDuplicateDoesNotAcceptCommand(t *testing.T) {
 	is := is.New(t)
 	var calls atomic.Int32
 	address := serveRaw(t, func(c net.Conn, r *http.Request) bool {
 		id := r.Header.Get("X-Call-Id")
 		if calls.Add(1) == 1 {
-			_, _ = fmt.Fprint(c, named(id, "{}"))
+			_, _ = fmt.Fprint(c, responseWithID(id, "{}"))
 			return true
 		}
-		_, _ = fmt.Fprint(c, named("of the first call", "{}"))
+		_, _ = fmt.Fprint(c, responseWithID("of the first call", "{}"))
 		return true
 	})
 	d := engine.NewDialer()
 	defer d.Close()
-	e := d.Engine(at(address))
+	e := d.Engine(upstreamAt(address))
 	is.NoErr(e.Cancel(context.Background(), "r"))
 	err := e.Command(context.Background(), upstream.Command{ID: "c1", Fence: 1, Kind: upstream.LoadModel})
 	is.Equal(refusal.KindOf(err), refusal.UpstreamFailed)
 	is.Equal(calls.Load(), int32(2))
 }
 
-// Guards against a connection for each call to upstreams that name the call in their
-// answers, and against kept ones to others.
-func TestConnectionsAreKeptForNamedAnswers(t *testing.T) {
+// Guards against a new connection for each call to upstreams that echo the call id, and
+// against reused connections to upstreams that don't.
+func TestConnectionsAreReusedForResponsesWithCallID(t *testing.T) {
 	is := is.New(t)
-	for _, kept := range []bool{true, false} {
+	for _, reused := range []bool{true, false} {
 		var conns sync.Map
 		address := serveRaw(t, func(c net.Conn, r *http.Request) bool {
 			conns.Store(c, true)
-			if kept {
-				_, _ = fmt.Fprint(c, named(r.Header.Get("X-Call-Id"), ""))
+			if reused {
+				_, _ = fmt.Fprint(c, responseWithID(r.Header.Get("X-Call-Id"), ""))
 				return true
 			}
-			_, _ = fmt.Fprint(c, unnamed(""))
+			_, _ = fmt.Fprint(c, responseWithoutID(""))
 			return true
 		})
 		d := engine.NewDialer()
-		s := d.Service(at(address))
+		s := d.Service(upstreamAt(address))
 		for range 4 {
 			_, err := s.Call(context.Background(), upstream.Call{Method: http.MethodGet, Path: "/"})
 			is.NoErr(err)
 		}
 		d.Close()
-		// The first call finds out whether the upstream names calls.
+		// The first call finds out whether the upstream echoes call ids, and its
+		// connection is not reused.
 		n := 0
 		conns.Range(func(any, any) bool { n++; return true })
-		is.Equal(n, map[bool]int{true: 2, false: 4}[kept])
+		is.Equal(n, map[bool]int{true: 2, false: 4}[reused])
 	}
 }
--- a/internal/upstream/engine/endless_test.go
+++ b/internal/upstream/engine/endless_test.go
@@ -18,20 +18,20 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/engine"
 )
 
-// endlessBytes is more than the socket buffers of a connection hold, so an upstream
-// that has written as much was read without a bound.
+// endlessBytes is more than the socket buffers of a connection hold. If an upstream could
+// write this much, the client read its response without a limit.
 const endlessBytes = 64 << 20
 
-// Guards against a daemon that runs out of memory, or waits for its deadline, while
-// an upstream sends bytes without end. The call was sent, so it may have run.
-func TestEndlessAnswer(t *testing.T) {
+// Guards against a daemon that runs out of memory, or waits until its deadline, while an
+// upstream sends an endless response. The call was sent, so it may have run.
+func TestEndlessResponse(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, c := range []struct{ name, start, more string }{
 		{"status line", "HTTP/1.1 200 ", "OK"},
 		{"no status line", "", "x"},
 		{"header line", "HTTP/1.1 200 OK\r\nA: ", "a"},
 		{"header lines", "HTTP/1.1 200 OK\r\n", "A: a\r\n"},
-		{"interim answers", "", "HTTP/1.1 102 Processing\r\n\r\n"},
+		{"interim responses", "", "HTTP/1.1 102 Processing\r\n\r\n"},
 		{"body", "HTTP/1.1 200 OK\r\n\r\n", "x"},
 		{"chunks", chunked, "1\r\nx\r\n"},
 		{"chunk extension", chunked + "1;", "x"},
@@ -39,28 +39,28 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			cut := make(chan bool, 1)
+			writeFailed := make(chan bool, 1)
 			address := serveRaw(t, func(k net.Conn, _ *http.Request) bool {
 				block := strings.Repeat(c.more, 1+(64<<10)/len(c.more))
 				_, err := io.WriteString(k, c.start)
 				for n := 0; n < endlessBytes && err == nil; n += len(block) {
 					_, err = io.WriteString(k, block)
 				}
-				cut <- err != nil
+				writeFailed <- err != nil
 				return false
 			})
-			d := engine.NewDialer(engine.WithMaxAnswer(1000))
+			d := engine.NewDialer(engine.WithMaxResponseBytes(1000))
 			defer d.Close()
-			_, err := d.Service(at(address)).Call(context.Background(), upstream.Call{Method: "POST", Path: "/orders"})
+			_, err := d.Service(upstreamAt(address)).Call(context.Background(), upstream.Call{Method: "POST", Path: "/orders"})
 			is.Equal(refusal.KindOf(err), refusal.UpstreamFailed)
 			is.True(len(err.Error()) < 512)
-			is.True(<-cut)
+			is.True(<-writeFailed)
 		})
 	}
 }
 
-// Guards against calls that each take megabytes for the head of an answer.
-func TestLongHead(t *testing.T) {
+// Guards against calls that each use megabytes of memory for a response header.
+func TestLargeResponseHeader(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("A", strings.Repeat("a", 128<<10))
@@ -68,13 +68,13 @@
 	defer server.Close()
 	d := engine.NewDialer()
 	defer d.Close()
-	_, err := d.Service(at(server.Listener.Addr().String())).Call(context.Background(), upstream.Call{Method: "GET", Path: "/"})
+	_, err := d.Service(upstreamAt(server.Listener.Addr().String())).Call(context.Background(), upstream.Call{Method: "GET", Path: "/"})
 	is.Equal(refusal.KindOf(err), refusal.UpstreamFailed)
 }
 
-// Guards against log lines and decision records that are as long as what an engine
-// sent instead of an answer.
-func TestErrorsQuoteLittle(t *testing.T) {
+// Guards against log lines and decision records that contain the whole of an oversized
+// error or malformed response.
+func TestErrorExcerptsAreShort(t *testing.T) {
 	long := strings.Repeat("7", 20<<10)
 	for _, c := range []struct {
 		status int
@@ -93,15 +93,15 @@
 		d := engine.NewDialer()
 		defer d.Close()
 		s := upstream.Step{Request: "r", Epoch: 2, Position: 3, Input: []uint64{1}}
-		_, err := d.Engine(at(server.Listener.Addr().String())).Step(context.Background(), s)
+		_, err := d.Engine(upstreamAt(server.Listener.Addr().String())).Step(context.Background(), s)
 		is.True(err != nil)
 		is.True(len(err.Error()) < 1024)
 	}
 }
 
-// Guards against steps and commands that each take up to 64 MiB for an answer that
-// has a few bytes, and against a bound that a long prompt exceeds.
-func TestAnswersAreBoundedByTheCall(t *testing.T) {
+// Guards against steps and commands that each read up to 64 MiB although a valid response
+// has a few bytes, and against a limit that the response to a long prompt exceeds.
+func TestResponseLimitDependsOnCall(t *testing.T) {
 	is := is.New(t)
 	text := strings.Repeat("x", 128<<10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -118,7 +118,7 @@
 	defer server.Close()
 	d := engine.NewDialer()
 	defer d.Close()
-	c := d.Client(at(server.Listener.Addr().String()))
+	c := d.Client(upstreamAt(server.Listener.Addr().String()))
 	_, err := c.Step(context.Background(), upstream.Step{Request: "r", Input: []uint64{1}})
 	is.Equal(refusal.KindOf(err), refusal.UpstreamFailed)
 	_, err = c.Describe(context.Background())
--- a/internal/upstream/engine/engine.go
+++ b/internal/upstream/engine/engine.go
@@ -1,16 +1,16 @@
-// Package engine holds the clients of model engines and plain services over
+// Package engine implements the clients of model engines and plain services over
 // HTTP, as specified in docs/api.md.
 //
-// A Dialer keeps one connection pool for each upstream that returns the id of a call
-// in its answer, and opens a connection for each call to others:
+// A Dialer keeps idle connections to upstreams that echo the id of a call in their
+// response, and opens a new connection for each call to other upstreams:
 //
 //	dialer := engine.NewDialer()
 //	defer dialer.Close()
 //	result, err := dialer.Engine(u).Step(ctx, step)
 //
 // Every error has a kind of package refusal. An error is of kind
-// refusal.NoUpstream only when no connection to the upstream was obtained, so
-// that not one byte of the call was sent.
+// refusal.NoUpstream only if no connection to the upstream was obtained, so that no
+// byte of the call was sent.
 package engine
 
 import (
@@ -28,68 +28,70 @@
 
 // Defaults of a Dialer.
 const (
-	DefaultDialTimeout = time.Second
-	DefaultCallTimeout = time.Minute
-	DefaultMaxAnswer   = 64 << 20 // bytes
-	defaultMaxIdle     = 256      // connections kept for each upstream
-	// maxHead bounds the head of an answer in bytes. The default of net/http is
-	// 10 MiB, and each call may read as much. Callers may send 64 KiB, too.
-	maxHead = 64 << 10
+	DefaultDialTimeout      = time.Second
+	DefaultCallTimeout      = time.Minute
+	DefaultMaxResponseBytes = 64 << 20 // bytes
+	maxIdleConns            = 256      // for each upstream
+	// maxHeaderBytes bounds the header of a response. The default of net/http is
+	// 10 MiB, and each call may read that much. Callers may also send headers of up
+	// to 64 KiB.
+	maxHeaderBytes = 64 << 10
 	// idleTimeout is shorter than the usual idle timeout of servers, so that a
-	// call rarely meets a connection that the server is about to close.
+	// call is rarely sent on a connection that the server is about to close.
 	idleTimeout = 20 * time.Second
-	// retention is the time after which the pool of an unused upstream is closed.
-	retention = 10 * time.Minute
+	// poolRetention is the time after which the connection pool of an unused upstream
+	// is closed.
+	poolRetention = 10 * time.Minute
 )
 
-// Dialer gives clients for upstreams. It is safe for concurrent use.
+// Dialer returns clients of upstreams. It is safe for concurrent use.
 type Dialer struct {
-	dialTimeout time.Duration
-	callTimeout time.Duration
-	maxAnswer   int64
+	dialTimeout      time.Duration
+	callTimeout      time.Duration
+	maxResponseBytes int64
 
 	pools board.Shards[fleet.UpstreamID, *pool]
 
-	mu    sync.Mutex
-	swept time.Time
+	mu        sync.Mutex
+	lastSweep time.Time
 }
 
-// pool is the connections of one upstream at one address.
+// pool is the connection pool of one upstream at one address.
 type pool struct {
 	address   string
 	transport *http.Transport
 	dialer    *Dialer
-	used      time.Time
-	// echoes tells that the upstream returns the ids of calls, so that connections can
-	// be kept.
-	echoes atomic.Bool
+	lastUsed  time.Time
+	// echoesCallID tells that the upstream echoes the ids of calls, so that its
+	// connections can be reused.
+	echoesCallID atomic.Bool
 }
 
 // Option changes a Dialer.
 type Option func(*Dialer)
 
-// WithDialTimeout bounds the time to connect.
+// WithDialTimeout sets the timeout for connecting.
 func WithDialTimeout(d time.Duration) Option {
 	return func(x *Dialer) { x.dialTimeout = d }
 }
 
-// WithCallTimeout bounds the time of one call, connecting included.
+// WithCallTimeout sets the timeout of one call, including connecting.
 func WithCallTimeout(d time.Duration) Option {
 	return func(x *Dialer) { x.callTimeout = d }
 }
 
-// WithMaxAnswer bounds the body of one answer in bytes.
-func WithMaxAnswer(n int64) Option {
-	return func(x *Dialer) { x.maxAnswer = n }
+// WithMaxResponseBytes sets the maximum size of a response body in bytes.
+func WithMaxResponseBytes(n int64) Option {
+	return func(x *Dialer) { x.maxResponseBytes = n }
 }
 
 // NewDialer returns a Dialer with the given options.
 func NewDialer(options ...Option) *Dialer {
 	d := &Dialer{
-		dialTimeout: DefaultDialTimeout,
-		callTimeout: DefaultCallTimeout,
-		maxAnswer:   DefaultMaxAnswer,
-		swept:       time.Now(),
+		dialTimeout:      DefaultDialTimeout,
+		callTimeout:      DefaultCallTimeout,
+		maxResponseBytes: DefaultMaxResponseBytes,
+		lastSweep:        time.Now(),
 	}
 	for _, o := range options {
 		o(d)
@@ -102,7 +104,7 @@
 	return d.Client(u)
 }
 
-// Client returns the client of a model engine with the calls that
+// Client returns the client of a model engine, including the calls that
 // upstream.EngineClient does not have.
 func (d *Dialer) Client(u upstream.Upstream) *Client {
 	return &Client{pool: d.pool(u)}
@@ -121,8 +123,8 @@
 	})
 }
 
-// pool returns the pool of u. An upstream that moved to another address gets a
-// new pool.
+// pool returns the connection pool of u. An upstream that moved to another address
+// gets a new pool.
 func (d *Dialer) pool(u upstream.Upstream) *pool {
 	now := time.Now()
 	var current, old *pool
@@ -130,7 +132,7 @@
 		if !ok || p.address != u.Address {
 			old, p = p, d.newPool(u.Address)
 		}
-		p.used = now
+		p.lastUsed = now
 		current = p
 		return p, true
 	})
@@ -150,37 +152,36 @@
 			DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
 				return dialer.DialContext(ctx, network, address)
 			},
-			MaxIdleConns:        defaultMaxIdle,
-			MaxIdleConnsPerHost: defaultMaxIdle,
+			MaxIdleConns:        maxIdleConns,
+			MaxIdleConnsPerHost: maxIdleConns,
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 
-			MaxResponseHeaderBytes: maxHead,
+			MaxResponseHeaderBytes: maxHeaderBytes,
 		},
 	}
 }
 
-// sweep closes the pools of upstreams that were not used for the retention
-// time.
+// sweep closes the pools of upstreams that have not been used for poolRetention.
 func (d *Dialer) sweep(now time.Time) {
 	if !d.mu.TryLock() {
 		return
 	}
 	defer d.mu.Unlock()
-	if now.Sub(d.swept) < retention {
+	if now.Sub(d.lastSweep) < poolRetention {
 		return
 	}
-	d.swept = now
+	d.lastSweep = now
 	var unused []fleet.UpstreamID
 	d.pools.Range(func(id fleet.UpstreamID, p *pool) bool {
-		if now.Sub(p.used) > retention {
+		if now.Sub(p.lastUsed) > poolRetention {
 			unused = append(unused, id)
 		}
 		return true
 	})
 	for _, id := range unused {
 		d.pools.Update(id, func(p *pool, ok bool) (*pool, bool) {
-			if ok && now.Sub(p.used) > retention {
+			if ok && now.Sub(p.lastUsed) > poolRetention {
 				p.transport.CloseIdleConnections()
 				return nil, false
 			}
--- a/internal/upstream/engine/engine_test.go
+++ b/internal/upstream/engine/engine_test.go
@@ -20,24 +20,24 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/engine"
 )
 
-func at(address string) upstream.Upstream {
+func upstreamAt(address string) upstream.Upstream {
 	return upstream.Upstream{Announcement: upstream.Announcement{ID: fleet.UpstreamID(address), Address: address}}
 }
 
-// TestStepAnswers guards against an answer to another step that is taken for
-// the right one, and against an error with a wrong kind.
-func TestStepAnswers(t *testing.T) {
+// TestStepResponses guards against a response to another step that is accepted, and
+// against an error with a wrong kind.
+func TestStepResponses(t *testing.T) {
 	cases := []struct {
 		name, body string
 		status     int
 		kind       refusal.Kind
 	}{
 		{"right", `{"request":"r","epoch":2,"position":3,"output":[9]}`, 200, -1},
-		{"foreign request", `{"request":"x","epoch":2,"position":3,"output":[9]}`, 200, refusal.UpstreamFailed},
+		{"other request", `{"request":"x","epoch":2,"position":3,"output":[9]}`, 200, refusal.UpstreamFailed},
 		{"old epoch", `{"request":"r","epoch":1,"position":3,"output":[9]}`, 200, refusal.UpstreamFailed},
 		{"other position", `{"request":"r","epoch":2,"position":2,"output":[9]}`, 200, refusal.UpstreamFailed},
 		{"too few outputs", `{"request":"r","epoch":2,"position":3,"output":[]}`, 200, refusal.UpstreamFailed},
-		{"cut off", `{"request":"r","epoch":2`, 200, refusal.UpstreamFailed},
+		{"truncated", `{"request":"r","epoch":2`, 200, refusal.UpstreamFailed},
 		{"too large", strings.Repeat(" ", 1001), 200, refusal.UpstreamFailed},
 		{"stale", `{"error":{"code":"staleEpoch"}}`, 409, refusal.Conflict},
 		{"overloaded", `{"error":{"code":"overloaded"}}`, 503, refusal.Overloaded},
@@ -55,10 +55,10 @@
 				_, _ = w.Write([]byte(c.body))
 			}))
 			defer server.Close()
-			d := engine.NewDialer(engine.WithMaxAnswer(1000))
+			d := engine.NewDialer(engine.WithMaxResponseBytes(1000))
 			defer d.Close()
 			s := upstream.Step{Request: "r", Epoch: 2, Position: 3, Input: []uint64{1}}
-			_, err := d.Engine(at(server.Listener.Addr().String())).Step(context.Background(), s)
+			_, err := d.Engine(upstreamAt(server.Listener.Addr().String())).Step(context.Background(), s)
 			if c.kind < 0 {
 				is.NoErr(err)
 				return
@@ -69,19 +69,19 @@
 	}
 }
 
-// TestSentOnce guards against a call that is sent again after its connection
-// was lost, and against a call that may have run but is reported as not run.
+// TestSentOnce guards against a call that is sent again after its connection was lost,
+// and against a call that may have run but is reported as not run.
 func TestSentOnce(t *testing.T) {
 	for _, method := range []string{"GET", "POST", "PUT", "DELETE"} {
 		for _, body := range []string{"", "kit"} {
 			t.Run(method+body, func(t *testing.T) {
 				is := is.New(t)
 				var calls atomic.Int32
-				// The second call on a kept connection reaches the server, which
-				// closes the connection without an answer.
+				// The second call on a reused connection reaches the server, which
+				// closes the connection without a response.
 				address := serveRaw(t, func(c net.Conn, r *http.Request) bool {
 					if calls.Add(1) == 1 {
-						// Connections are kept only with the id of the call.
+						// Connections are reused only if the response has the call id.
 						fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Call-Id: %s\r\nContent-Length: 0\r\n\r\n", r.Header.Get("X-Call-Id"))
 						return true
 					}
@@ -89,7 +89,7 @@
 				})
 				d := engine.NewDialer()
 				defer d.Close()
-				s := d.Service(at(address))
+				s := d.Service(upstreamAt(address))
 				call := upstream.Call{Method: method, Path: "/orders", Body: []byte(body), Header: http.Header{"Idempotency-Key": {"k"}}}
 				_, err := s.Call(context.Background(), call)
 				is.NoErr(err)
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestNotSent guards against a missing upstream that is reported as a call with
-// an unknown outcome.
+// TestNotSent guards against a failed connection that is reported as a call with an
+// unknown outcome.
 func TestNotSent(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,12 +110,12 @@
 	address := listener.Addr().String()
 	is.NoErr(listener.Close())
 	d := engine.NewDialer()
-	_, err = d.Service(at(address)).Call(context.Background(), upstream.Call{Method: "POST", Path: "/orders"})
+	_, err = d.Service(upstreamAt(address)).Call(context.Background(), upstream.Call{Method: "POST", Path: "/orders"})
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
-	is.Equal(refusal.KindOf(d.Engine(at(address)).Cancel(context.Background(), "r")), refusal.NoUpstream)
+	is.Equal(refusal.KindOf(d.Engine(upstreamAt(address)).Cancel(context.Background(), "r")), refusal.NoUpstream)
 }
 
-// TestCallTimeout guards against a call of a frozen upstream that never ends.
+// TestCallTimeout guards against a call to an unresponsive upstream that never returns.
 func TestCallTimeout(t *testing.T) {
 	is := is.New(t)
 	frozen := make(chan struct{})
@@ -126,13 +126,14 @@
 	defer close(frozen)
 	d := engine.NewDialer(engine.WithCallTimeout(20 * time.Millisecond))
 	defer d.Close()
-	_, err := d.Engine(at(address)).Describe(context.Background())
+	_, err := d.Engine(upstreamAt(address)).Describe(context.Background())
 	is.Equal(refusal.KindOf(err), refusal.Deadline)
 }
 
-// serveRaw serves HTTP/1.1 by hand; answer returns whether to keep the
-// connection.
-func serveRaw(t *testing.T, answer func(net.Conn, *http.Request) bool) string {
+// serveRaw parses HTTP/1.1 requests and passes them to respond, which writes the raw
+// response and returns whether to keep the connection open. It returns the address of
+// the server.
+func serveRaw(t *testing.T, respond func(net.Conn, *http.Request) bool) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +155,7 @@
 					}
 					body := make([]byte, max(r.ContentLength, 0))
 					_, _ = r.Body.Read(body)
-					if !answer(c, r) {
+					if !respond(c, r) {
 						return
 					}
 				}
