--- a/internal/upstream/fencing/commander.go
+++ b/internal/upstream/fencing/commander.go
@@ -10,8 +10,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// Commander sends commands to engines under leases. It is safe for concurrent
-// use and sends one command at a time to an engine.
+// Commander sends commands to engines under leases. It sends one command at a time to
+// each engine. It is safe for concurrent use.
 type Commander struct {
 	holder *Holder
 	dialer upstream.Dialer
@@ -20,25 +20,25 @@
 	queues map[fleet.UpstreamID]*queue
 }
 
-// maxQueues is the number of queues from which on idle ones are looked for.
-const maxQueues = 256
+// sweepThreshold is the number of queues at which idle ones are removed.
+const sweepThreshold = 256
 
-// queue orders the commands to one engine.
+// queue serializes the commands to one engine.
 type queue struct {
-	// turn is held by the command that is under way.
-	turn chan struct{}
-	// clear is the time from which on no earlier command of unknown outcome can
-	// reach the engine.
-	clear time.Time
-	users int
+	// sem is held by the command in progress.
+	sem chan struct{}
+	// blockedUntil is the time after which an earlier command with an unknown outcome
+	// can no longer reach the engine.
+	blockedUntil time.Time
+	refs         int // callers that hold or wait for sem
 }
 
-// Report tells what came of a command.
-type Report struct {
-	// Announcement is what the engine said of itself after the command.
+// Result is the result of a command.
+type Result struct {
+	// Announcement is the description of the engine after the command.
 	Announcement upstream.Announcement
-	// Applied tells that the engine says that it is in the wanted state. A load
-	// that takes long is not applied at first.
+	// Applied tells that the engine reports the requested state. It is false while
+	// the engine is still loading a model.
 	Applied bool
 }
 
@@ -47,21 +47,21 @@
 	return &Commander{holder: h, dialer: d, queues: make(map[fleet.UpstreamID]*queue)}
 }
 
-// Send hands c to an engine with the token of the lease and reads back what the
-// engine says of itself. The error has kind refusal.OutcomeUnknown when the
-// engine may act on the command and does not show it, refusal.Conflict when
-// another instance has the lease or the engine refused the token, and
-// refusal.Overloaded when an earlier command may still be under way. With these
-// two kinds and with refusal.NoUpstream the engine does not act on the command.
-func (m *Commander) Send(ctx context.Context, u upstream.Upstream, c upstream.Command) (Report, error) {
-	l, err := m.enter(ctx, u.ID)
+// Send sends c to an engine with the fencing token of the lease and reads back the
+// description of the engine. The error has kind refusal.OutcomeUnknown if the engine
+// may execute the command but its description does not show it, refusal.Conflict if
+// another instance holds the lease or the engine rejected the token, and
+// refusal.Overloaded if an earlier command may still be in progress. With the last
+// two kinds and with refusal.NoUpstream the engine does not execute the command.
+func (m *Commander) Send(ctx context.Context, u upstream.Upstream, c upstream.Command) (Result, error) {
+	q, err := m.lock(ctx, u.ID)
 	if err != nil {
-		return Report{}, err
+		return Result{}, err
 	}
-	defer m.leave(u.ID, l)
+	defer m.unlock(u.ID, q)
 	lease, err := m.holder.Ensure(ctx, u.ID, u.Fencing)
 	if err != nil {
-		return Report{}, err
+		return Result{}, err
 	}
 	c.Fence = lease.Fence
 	engine := m.dialer.Engine(u)
@@ -70,12 +70,12 @@
 	case err == nil:
 		return m.readBack(ctx, engine, c)
 	case !sent || refusal.KindOf(err) == refusal.NoUpstream:
-		return Report{}, err
+		return Result{}, err
 	case refusal.KindOf(err) == refusal.Conflict:
-		m.holder.forget(lease)
-		return Report{}, err
+		m.holder.discard(lease)
+		return Result{}, err
 	}
-	l.clear = m.holder.clock.Now().Add(m.holder.terms.UnderWay + m.holder.terms.ClockError)
+	q.blockedUntil = m.holder.clock.Now().Add(m.holder.timing.CommandTimeout + m.holder.timing.MaxClockDrift)
 	r, readErr := m.readBack(ctx, engine, c)
 	if readErr == nil && r.Applied {
 		return r, nil
@@ -83,99 +83,101 @@
 	return r, refusal.Because(refusal.OutcomeUnknown, err, "command %q may still reach the engine", c.ID)
 }
 
-// Release gives up the lease on an engine once no command can be under way.
+// Release gives up the lease on an engine once no command can be in progress.
 func (m *Commander) Release(ctx context.Context, id fleet.UpstreamID) error {
-	l, err := m.enter(ctx, id)
+	q, err := m.lock(ctx, id)
 	if err != nil {
 		return err
 	}
-	defer m.leave(id, l)
+	defer m.unlock(id, q)
 	return m.holder.Release(ctx, id)
 }
 
-// command sends c when the lease holds at this moment. The first result tells
-// whether something may have been sent.
+// command sends c if the lease is valid now. The first result tells whether anything
+// may have been sent.
 func (m *Commander) command(ctx context.Context, e upstream.EngineClient, l Lease, c upstream.Command) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	late := m.holder.clock.After(m.holder.terms.UnderWay)
+	timeout := m.holder.clock.After(m.holder.timing.CommandTimeout)
 	go func() {
 		select {
-		case <-late:
+		case <-timeout:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	if !m.holder.Valid(l) {
-		return false, refusal.New(refusal.Conflict, "lease on %q has ended", l.Upstream)
+		return false, refusal.New(refusal.Conflict, "lease on %q has expired", l.Upstream)
 	}
 	return true, e.Command(ctx, c)
 }
 
-func (m *Commander) readBack(ctx context.Context, e upstream.EngineClient, c upstream.Command) (Report, error) {
+func (m *Commander) readBack(ctx context.Context, e upstream.EngineClient, c upstream.Command) (Result, error) {
 	a, err := e.Describe(ctx)
 	if err != nil {
-		return Report{}, refusal.Because(refusal.OutcomeUnknown, err, "engine does not describe itself after command %q", c.ID)
+		return Result{}, refusal.Because(refusal.OutcomeUnknown, err, "read description of the engine after command %q", c.ID)
 	}
-	return Report{Announcement: a, Applied: shows(a, c)}, nil
+	return Result{Announcement: a, Applied: matches(a, c)}, nil
 }
 
-// shows reports whether an engine is in the state that c asks for.
-func shows(a upstream.Announcement, c upstream.Command) bool {
+// matches reports whether an engine is in the state that c requests.
+func matches(a upstream.Announcement, c upstream.Command) bool {
 	return a.Model == c.Model && a.Version == c.Version && a.Adapter == c.Adapter && a.Layers == c.Layers
 }
 
-// enter waits for its turn on an engine.
-func (m *Commander) enter(ctx context.Context, id fleet.UpstreamID) (*queue, error) {
+// lock waits until no other command to the engine is in progress and returns the queue
+// of the engine. It fails if an earlier command may still reach the engine.
+func (m *Commander) lock(ctx context.Context, id fleet.UpstreamID) (*queue, error) {
 	m.mu.Lock()
-	l, ok := m.queues[id]
+	q, ok := m.queues[id]
 	if !ok {
 		m.sweep()
-		l = &queue{turn: make(chan struct{}, 1)}
-		m.queues[id] = l
+		q = &queue{sem: make(chan struct{}, 1)}
+		m.queues[id] = q
 	}
-	l.users++
+	q.refs++
 	m.mu.Unlock()
 	select {
-	case l.turn <- struct{}{}:
+	case q.sem <- struct{}{}:
 	case <-ctx.Done():
-		m.drop(id, l)
-		return nil, refusal.Because(refusal.Overloaded, ctx.Err(), "another command to %q is under way", id)
+		m.unref(id, q)
+		return nil, refusal.Because(refusal.Overloaded, ctx.Err(), "another command to %q is in progress", id)
 	}
-	if wait := l.clear.Sub(m.holder.clock.Now()); wait > 0 {
-		m.leave(id, l)
-		return nil, refusal.New(refusal.Overloaded, "an earlier command to %q may be under way", id).After(wait)
+	if wait := q.blockedUntil.Sub(m.holder.clock.Now()); wait > 0 {
+		m.unlock(id, q)
+		return nil, refusal.New(refusal.Overloaded, "an earlier command to %q may still be in progress", id).After(wait)
 	}
-	return l, nil
+	return q, nil
 }
 
-func (m *Commander) leave(id fleet.UpstreamID, l *queue) {
-	<-l.turn
-	m.drop(id, l)
+func (m *Commander) unlock(id fleet.UpstreamID, q *queue) {
+	<-q.sem
+	m.unref(id, q)
 }
 
-// drop removes a queue that holds nothing to remember.
-func (m *Commander) drop(id fleet.UpstreamID, l *queue) {
+// unref drops a reference to a queue and removes the queue if it is idle.
+func (m *Commander) unref(id fleet.UpstreamID, q *queue) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l.users--
-	if m.idle(l) {
+	q.refs--
+	if m.idle(q) {
 		delete(m.queues, id)
 	}
 }
 
-// sweep drops the queues of engines that are gone when there are many.
+// sweep removes idle queues if there are many, such as those of engines that are gone.
 func (m *Commander) sweep() {
-	if len(m.queues) < maxQueues {
+	if len(m.queues) < sweepThreshold {
 		return
 	}
-	for id, l := range m.queues {
-		if m.idle(l) {
+	for id, q := range m.queues {
+		if m.idle(q) {
 			delete(m.queues, id)
 		}
 	}
 }
 
-func (m *Commander) idle(l *queue) bool {
-	return l.users == 0 && !l.clear.After(m.holder.clock.Now())
+// idle reports whether a queue is unused and no earlier command can reach the engine.
+func (m *Commander) idle(q *queue) bool {
+	return q.refs == 0 && !q.blockedUntil.After(m.holder.clock.Now())
 }
--- a/internal/upstream/fencing/fencing_test.go
+++ b/internal/upstream/fencing/fencing_test.go
@@ -16,204 +16,209 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// world is one engine, the config group and several instances with their own
-// clocks. Its random source sets the faults; calm turns them off.
-type world struct {
-	now     time.Duration
-	random  *rand.Rand
-	calm    bool
-	policy  upstream.FencePolicy
-	machine *Machine
-	late    [][]byte
-	// next is the fault of the proposals of one command of a script.
-	next string
-
-	// delay keeps the next command under way.
+// simulation simulates one engine, the config group and several instances with their own
+// clocks. Faults are injected at random unless noRandomFaults is set.
+type simulation struct {
+	now            time.Duration
+	random         *rand.Rand
+	noRandomFaults bool
+	policy         upstream.FencePolicy
+	machine        *Machine
+	lateProposals  [][]byte
+	// nextFault is the fault of the proposals during one script command. It applies
+	// only if noRandomFaults is set.
+	nextFault string
+
+	// delay is the transit time of the next command.
 	delay time.Duration
 
-	flying  []flight
-	last    upstream.Command
-	arrived int
-	broken  string
-	nodes   []*node
+	inFlight    []delivery // commands that have not reached the engine
+	lastCommand upstream.Command
+	executed    int    // commands that the engine has executed
+	violation   string // latest violation of an invariant
+	instances   []*instance
 }
 
-// flight is a command on its way to the engine.
-type flight struct {
+// delivery is a command in transit and the time at which it reaches the engine.
+type delivery struct {
 	at time.Duration
 	c  upstream.Command
 }
 
-// node is one instance. Its clock runs at its own rate.
-type node struct {
-	*world
+// instance is a simulated instance. Its clock has its own offset and rate.
+type instance struct {
+	*simulation
 	offset time.Duration
 	rate   float64
 	holder *Holder
 	*Commander
-	sent int
-	// cut tells that the instance does not reach the config group. Engines may
-	// still be within its reach.
-	cut bool
-	// busy tells that the instance waits for a reply or is frozen.
-	busy bool
+	commandsSent int
+	// partitioned tells that the instance can't reach the config group. It may still
+	// reach the engine.
+	partitioned bool
+	// blocked tells that the instance waits for a reply or is suspended.
+	blocked bool
 }
 
-// newWorld returns a world whose clocks run up to drift too fast or too slow.
-func newWorld(seed int64, policy upstream.FencePolicy, drift float64) *world {
-	w := &world{random: rand.New(rand.NewSource(seed)), machine: NewMachine(), policy: policy}
+// newSimulation returns a simulation whose clock rates deviate by up to drift, a
+// fraction.
+func newSimulation(seed int64, policy upstream.FencePolicy, drift float64) *simulation {
+	s := &simulation{random: rand.New(rand.NewSource(seed)), machine: NewMachine(), policy: policy}
 	for i := range 3 {
-		n := &node{world: w, offset: time.Duration(i) * time.Hour, rate: 1 + float64(i-1)*drift}
-		n.restart(i)
-		w.nodes = append(w.nodes, n)
+		inst := &instance{simulation: s, offset: time.Duration(i) * time.Hour, rate: 1 + float64(i-1)*drift}
+		inst.restart(i)
+		s.instances = append(s.instances, inst)
 	}
-	return w
+	return s
 }
 
-func (n *node) restart(i int) {
-	n.holder = NewHolder(n, quorum.ConfigGroup, n, fleet.InstanceID(fmt.Sprint("i", i)), DefaultTerms)
-	n.Commander = NewCommander(n.holder, n)
+func (inst *instance) restart(i int) {
+	inst.holder = NewHolder(inst, quorum.ConfigGroup, inst, fleet.InstanceID(fmt.Sprint("i", i)), DefaultTerms)
+	inst.Commander = NewCommander(inst.holder, inst)
 }
 
-func (n *node) Now() time.Time {
-	return fakeclock.Start.Add(n.offset + time.Duration(float64(n.now)*n.rate))
+func (inst *instance) Now() time.Time {
+	return fakeclock.Start.Add(inst.offset + time.Duration(float64(inst.now)*inst.rate))
 }
 
-func (n *node) After(time.Duration) <-chan time.Time { return nil }
+func (inst *instance) After(time.Duration) <-chan time.Time { return nil }
 
-func (n *node) Propose(_ context.Context, _ quorum.GroupID, c []byte) ([]byte, error) {
-	w := n.world
-	fault := w.fault()
-	if n.cut {
+func (inst *instance) Propose(_ context.Context, _ quorum.GroupID, c []byte) ([]byte, error) {
+	s := inst.simulation
+	fault := s.fault()
+	if inst.partitioned {
 		fault = "unavailable"
 	}
 	switch fault {
 	case "lost":
-		w.machine.Apply(0, c)
+		s.machine.Apply(0, c)
 		return nil, refusal.New(refusal.OutcomeUnknown, "reply lost")
 	case "late":
-		w.late = append(w.late, c)
+		s.lateProposals = append(s.lateProposals, c)
 		return nil, refusal.New(refusal.OutcomeUnknown, "leader lost")
 	case "unavailable":
 		return nil, refusal.New(refusal.NotReady, "no leader")
 	case "twice":
-		w.machine.Apply(0, c)
+		s.machine.Apply(0, c)
 	}
-	reply := w.machine.Apply(0, c)
+	reply := s.machine.Apply(0, c)
 	if fault == "slow" {
-		n.pause()
+		inst.pause()
 	}
 	return reply, nil
 }
 
-// pause lets the other instances act while this one waits or is frozen.
-func (n *node) pause() {
-	n.busy = true
-	for range n.random.Intn(12) {
-		n.step()
+// pause lets the other instances act while this one waits or is suspended.
+func (inst *instance) pause() {
+	inst.blocked = true
+	for range inst.random.Intn(12) {
+		inst.step()
 	}
-	n.busy = false
+	inst.blocked = false
 }
 
-// step lets one instance act and time pass.
-func (w *world) step() {
-	i := w.random.Intn(len(w.nodes))
-	n := w.nodes[i]
-	if !n.busy {
-		n.act(i)
+// step lets a random instance act and advances the time.
+func (s *simulation) step() {
+	i := s.random.Intn(len(s.instances))
+	inst := s.instances[i]
+	if !inst.blocked {
+		inst.act(i)
 	}
-	d := time.Duration(w.random.Intn(700))
-	if w.random.Intn(12) == 0 {
+	d := time.Duration(s.random.Intn(700))
+	if s.random.Intn(12) == 0 {
 		d *= 20
 	}
-	w.move(d * time.Millisecond)
+	s.advance(d * time.Millisecond)
 }
 
-func (n *node) act(i int) {
-	switch n.random.Intn(24) {
+// act restarts the machine or the instance, toggles a partition, or sends or releases,
+// at random.
+func (inst *instance) act(i int) {
+	switch inst.random.Intn(24) {
 	case 0, 1:
-		_ = n.Release(context.Background(), "e")
+		_ = inst.Release(context.Background(), "e")
 	case 2:
-		n.restart(i)
+		inst.restart(i)
 	case 3:
 		restored := NewMachine()
-		data, _ := n.machine.Snapshot()
+		data, _ := inst.machine.Snapshot()
 		if err := restored.Restore(data); err != nil {
-			n.broken = err.Error()
+			inst.violation = err.Error()
 		}
-		n.machine = restored
+		inst.machine = restored
 	case 4, 5:
-		n.cut = !n.cut
+		inst.partitioned = !inst.partitioned
 	default:
-		_, _ = n.command()
+		_, _ = inst.command()
 	}
 }
 
-func (w *world) fault() string {
-	if w.calm {
-		return w.next
+// fault returns the fault of the next proposal.
+func (s *simulation) fault() string {
+	if s.noRandomFaults {
+		return s.nextFault
 	}
-	w.settle(4)
-	return []string{"lost", "late", "unavailable", "twice", "slow", "", "", "", ""}[w.random.Intn(9)]
+	s.applyLate(4)
+	return []string{"lost", "late", "unavailable", "twice", "slow", "", "", "", ""}[s.random.Intn(9)]
 }
 
-func (n *node) Read(_ context.Context, _ quorum.GroupID, q []byte) ([]byte, error) {
-	return n.machine.Query(q), nil
+func (inst *instance) Read(_ context.Context, _ quorum.GroupID, q []byte) ([]byte, error) {
+	return inst.machine.Query(q), nil
 }
 
-// settle applies each late proposal with a chance of one in n.
-func (w *world) settle(n int) {
-	kept := w.late[:0]
-	for _, c := range w.late {
-		if w.random.Intn(n) > 0 {
+// applyLate applies each late proposal with a probability of 1/n.
+func (s *simulation) applyLate(n int) {
+	kept := s.lateProposals[:0]
+	for _, c := range s.lateProposals {
+		if s.random.Intn(n) > 0 {
 			kept = append(kept, c)
 			continue
 		}
-		w.machine.Apply(0, c)
+		s.machine.Apply(0, c)
 	}
-	w.late = kept
+	s.lateProposals = kept
 }
 
-// move lets time pass and commands arrive.
-func (w *world) move(d time.Duration) {
-	end := w.now + d
-	sort.SliceStable(w.flying, func(i, j int) bool { return w.flying[i].at < w.flying[j].at })
-	for len(w.flying) > 0 && w.flying[0].at <= end {
-		w.now = w.flying[0].at
-		_ = w.arrive(w.flying[0].c)
-		w.flying = w.flying[1:]
+// advance advances the time and delivers the commands that are due.
+func (s *simulation) advance(d time.Duration) {
+	end := s.now + d
+	sort.SliceStable(s.inFlight, func(i, j int) bool { return s.inFlight[i].at < s.inFlight[j].at })
+	for len(s.inFlight) > 0 && s.inFlight[0].at <= end {
+		s.now = s.inFlight[0].at
+		_ = s.execute(s.inFlight[0].c)
+		s.inFlight = s.inFlight[1:]
 	}
-	w.now = end
+	s.now = end
 }
 
-// arrive lets the engine act on a command. An engine that ignores tokens must
-// never see one that is older than one before.
-func (w *world) arrive(c upstream.Command) error {
-	if c.Fence < w.last.Fence && w.policy == upstream.RefusesOld {
+// execute executes a command on the engine. An engine that ignores tokens must never
+// receive a token that is older than an earlier one.
+func (s *simulation) execute(c upstream.Command) error {
+	if c.Fence < s.lastCommand.Fence && s.policy == upstream.RefusesOld {
 		return refusal.New(refusal.Conflict, "old token")
 	}
-	if c.Fence < w.last.Fence || c.Fence == w.last.Fence && c.ID < w.last.ID {
-		w.broken = fmt.Sprintf("command %s with token %d came after %s with token %d", c.ID, c.Fence, w.last.ID, w.last.Fence)
+	if c.Fence < s.lastCommand.Fence || c.Fence == s.lastCommand.Fence && c.ID < s.lastCommand.ID {
+		s.violation = fmt.Sprintf("command %s with token %d came after %s with token %d", c.ID, c.Fence, s.lastCommand.ID, s.lastCommand.Fence)
 	}
-	w.last = c
-	w.arrived++
+	s.lastCommand = c
+	s.executed++
 	return nil
 }
 
-// Engine may freeze the instance between the lease and the command.
-func (n *node) Engine(upstream.Upstream) upstream.EngineClient {
-	if !n.calm && n.random.Intn(20) == 0 {
-		n.pause()
+// Engine may suspend the instance between acquiring the lease and sending the command.
+func (inst *instance) Engine(upstream.Upstream) upstream.EngineClient {
+	if !inst.noRandomFaults && inst.random.Intn(20) == 0 {
+		inst.pause()
 	}
-	return engine{world: n.world}
+	return engine{simulation: inst.simulation}
 }
 
-func (n *node) Service(upstream.Upstream) upstream.ServiceClient { return nil }
+func (inst *instance) Service(upstream.Upstream) upstream.ServiceClient { return nil }
 
-// engine is the client of the only engine. It has no methods for requests.
+// engine is the client of the only engine. It implements only Command and Describe.
 type engine struct {
 	upstream.EngineClient
-	*world
+	*simulation
 }
 
 func (e engine) Command(_ context.Context, c upstream.Command) error {
@@ -222,100 +227,101 @@
 	e.delay = 0
 	switch {
 	case delay > 0:
-		e.flying = append(e.flying, flight{at: e.now + delay, c: c})
+		e.inFlight = append(e.inFlight, delivery{at: e.now + delay, c: c})
 		return refusal.New(refusal.UpstreamFailed, "no answer")
-	case !e.calm && fault == 0:
+	case !e.noRandomFaults && fault == 0:
 		return refusal.New(refusal.NoUpstream, "connection refused")
-	case !e.calm && fault < 3:
-		delay = time.Duration(e.random.Int63n(int64(DefaultTerms.UnderWay)))
-		e.flying = append(e.flying, flight{at: e.now + delay, c: c})
+	case !e.noRandomFaults && fault < 3:
+		delay = time.Duration(e.random.Int63n(int64(DefaultTerms.CommandTimeout)))
+		e.inFlight = append(e.inFlight, delivery{at: e.now + delay, c: c})
 		return refusal.New(refusal.UpstreamFailed, "no answer")
-	case !e.calm && fault == 3:
-		_ = e.arrive(c)
+	case !e.noRandomFaults && fault == 3:
+		_ = e.execute(c)
 		return refusal.New(refusal.UpstreamFailed, "answer lost")
 	}
-	return e.arrive(c)
+	return e.execute(c)
 }
 
 func (e engine) Describe(context.Context) (upstream.Announcement, error) {
-	c := e.last
+	c := e.lastCommand
 	return upstream.Announcement{Model: c.Model, Version: c.Version, Layers: c.Layers}, nil
 }
 
-// command sends the next command of a node.
-func (n *node) command() (Report, error) {
-	n.sent++
-	u := upstream.Upstream{Announcement: upstream.Announcement{ID: "e", Fencing: n.policy}}
-	return n.Send(context.Background(), u, upstream.Command{ID: fmt.Sprintf("%06d", n.sent), Version: fmt.Sprint(n.offset, n.sent)})
+// command sends the next command of the instance.
+func (inst *instance) command() (Result, error) {
+	inst.commandsSent++
+	u := upstream.Upstream{Announcement: upstream.Announcement{ID: "e", Fencing: inst.policy}}
+	return inst.Send(context.Background(), u, upstream.Command{ID: fmt.Sprintf("%06d", inst.commandsSent), Version: fmt.Sprint(inst.offset, inst.commandsSent)})
 }
 
-// TestSchedules guards against a command that reaches an engine after the command
-// of a successor or after a later command of the same holder.
+// TestSchedules guards against a command that reaches an engine after a command of a
+// successor or after a later command of the same holder. It runs random schedules with
+// faults.
 func TestSchedules(t *testing.T) {
 	for seed := range int64(300) {
 		policy := upstream.FencePolicy(seed % 2)
-		w := newWorld(seed, policy, 0.04)
+		s := newSimulation(seed, policy, 0.04)
 		for range 300 {
-			w.step()
-			if w.broken != "" {
-				t.Fatalf("seed %d, policy %v: %s", seed, policy, w.broken)
+			s.step()
+			if s.violation != "" {
+				t.Fatalf("seed %d, policy %v: %s", seed, policy, s.violation)
 			}
 		}
-		w.checkProgress(t, seed)
+		s.checkProgress(t, seed)
 	}
 }
 
-// TestClockError guards against a successor with a fast clock whose command
-// overtakes the last command of a holder with a slow clock.
-func TestClockError(t *testing.T) {
-	w := newWorld(1, upstream.IgnoresFence, 0.04)
-	w.calm = true
-	slow, fast := w.nodes[0], w.nodes[2]
-	lease, _ := slow.holder.Ensure(context.Background(), "e", w.policy)
+// TestClockDrift guards against a successor with a fast clock whose command overtakes
+// the last command of a holder with a slow clock.
+func TestClockDrift(t *testing.T) {
+	s := newSimulation(1, upstream.IgnoresFence, 0.04)
+	s.noRandomFaults = true
+	slow, fast := s.instances[0], s.instances[2]
+	lease, _ := slow.holder.Ensure(context.Background(), "e", s.policy)
 	_, _ = fast.command()
-	slow.cut = true
+	slow.partitioned = true
 	for slow.holder.Valid(lease) {
-		w.move(time.Millisecond)
+		s.advance(time.Millisecond)
 	}
-	w.now -= time.Millisecond
-	w.delay = DefaultTerms.UnderWay
+	s.now -= time.Millisecond
+	s.delay = DefaultTerms.CommandTimeout
 	_, err := slow.command()
 	if refusal.KindOf(err) != refusal.OutcomeUnknown {
 		t.Fatalf("command at the end of the lease: %v", err)
 	}
-	for len(w.flying) > 0 || w.arrived < 2 {
-		w.move(10 * time.Millisecond)
+	for len(s.inFlight) > 0 || s.executed < 2 {
+		s.advance(10 * time.Millisecond)
 		_, _ = fast.command()
 	}
-	if w.broken != "" {
-		t.Fatal(w.broken)
+	if s.violation != "" {
+		t.Fatal(s.violation)
 	}
 }
 
-// TestStaleLeases guards against leases of engines that are gone and that keep
-// new ones from being granted, and against a lease in use that is dropped.
+// TestStaleLeases guards against leases of removed engines that prevent new leases from
+// being granted, and against a lease in use that is dropped.
 func TestStaleLeases(t *testing.T) {
-	w := newWorld(1, upstream.IgnoresFence, 0)
-	w.calm = true
+	s := newSimulation(1, upstream.IgnoresFence, 0)
+	s.noRandomFaults = true
 	for i := range MaxLeases {
 		id := fleet.UpstreamID(fmt.Sprint(i))
-		w.machine.leases[id] = granted{Lease: Lease{Upstream: id, Session: "old"}, Used: fakeclock.Start}
+		s.machine.leases[id] = grant{Lease: Lease{Upstream: id, Session: "old"}, LastUsed: fakeclock.Start}
 	}
-	_, err := w.nodes[0].command()
+	_, err := s.instances[0].command()
 	if err == nil {
-		t.Error("lease above the bound")
+		t.Error("lease granted above MaxLeases")
 	}
-	w.machine.leases["1"] = granted{Lease: Lease{Upstream: "1", Session: "old"}, Used: fakeclock.Start.Add(time.Hour)}
-	w.now = StaleAfter
-	if _, err := w.nodes[1].command(); err == nil {
-		t.Error("one clock alone makes leases stale")
+	s.machine.leases["1"] = grant{Lease: Lease{Upstream: "1", Session: "old"}, LastUsed: fakeclock.Start.Add(time.Hour)}
+	s.now = StaleAfter
+	if _, err := s.instances[1].command(); err == nil {
+		t.Error("the clock of a single instance made leases stale")
 	}
-	if _, err := w.nodes[0].holder.Ensure(context.Background(), "new", w.policy); err != nil || len(w.machine.leases) != 2 {
-		t.Errorf("%d leases after the old ones are stale: %v", len(w.machine.leases), err)
+	if _, err := s.instances[0].holder.Ensure(context.Background(), "new", s.policy); err != nil || len(s.machine.leases) != 2 {
+		t.Errorf("%d leases after stale ones were dropped, want 2: %v", len(s.machine.leases), err)
 	}
 }
 
-// FuzzApply guards against a command that stops a voter.
+// FuzzApply guards against a malformed command that crashes a voter.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{"version":1,"kind":"acquire","lease":{"upstream":"u","session":"s","duration":-1},"over":{}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -332,65 +338,64 @@
 	})
 }
 
-// checkProgress checks that an instance can send commands after all faults end.
-func (w *world) checkProgress(t *testing.T, seed int64) {
-	w.settle(1)
-	w.calm = true
-	n := w.nodes[0]
-	n.cut = false
+// checkProgress checks that an instance can send commands after all faults have ended.
+func (s *simulation) checkProgress(t *testing.T, seed int64) {
+	s.applyLate(1)
+	s.noRandomFaults = true
+	inst := s.instances[0]
+	inst.partitioned = false
 	for range 4 {
-		if r, err := n.command(); err == nil && r.Applied {
+		if r, err := inst.command(); err == nil && r.Applied {
 			return
 		}
-		w.move(DefaultTerms.Duration + DefaultTerms.UnderWay + 2*DefaultTerms.ClockError)
+		s.advance(DefaultTerms.Duration + DefaultTerms.CommandTimeout + 2*DefaultTerms.MaxClockDrift)
 	}
 	t.Fatalf("seed %d: no command succeeds after the faults", seed)
 }
 
-// TestScripts guards against a lease that is granted too early or counted too
-// long.
+// TestScripts guards against a lease that is granted too early or used after its expiry.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var w *world
+		var s *simulation
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			i, by, fault, policy := 0, "0s", "", "ignores"
-			d.MaybeScanArgs(t, "node", &i)
+			d.MaybeScanArgs(t, "instance", &i)
 			d.MaybeScanArgs(t, "by", &by)
 			d.MaybeScanArgs(t, "fault", &fault)
 			d.MaybeScanArgs(t, "policy", &policy)
 			if d.Cmd == "new" {
 				var p upstream.FencePolicy
 				_ = p.UnmarshalText([]byte(policy))
-				w = newWorld(1, p, 0)
-				w.calm = true
+				s = newSimulation(1, p, 0)
+				s.noRandomFaults = true
 				return ""
 			}
-			n := w.nodes[i]
-			w.next = fault
+			inst := s.instances[i]
+			s.nextFault = fault
 			switch d.Cmd {
 			case "ensure":
-				l, err := n.holder.Ensure(context.Background(), "e", w.policy)
+				l, err := inst.holder.Ensure(context.Background(), "e", s.policy)
 				if err != nil {
-					return failure(err)
+					return errorText(err)
 				}
 				return fmt.Sprintf("token %d renewals %d\n", l.Fence, l.Renewals)
 			case "send":
-				r, err := n.command()
+				r, err := inst.command()
 				if err != nil {
-					return failure(err)
+					return errorText(err)
 				}
-				return fmt.Sprintf("applied %v with token %d\n", r.Applied, w.last.Fence)
+				return fmt.Sprintf("applied %v with token %d\n", r.Applied, s.lastCommand.Fence)
 			case "release":
-				if err := n.Release(context.Background(), "e"); err != nil {
-					return failure(err)
+				if err := inst.Release(context.Background(), "e"); err != nil {
+					return errorText(err)
 				}
 				return "ok\n"
 			case "wait":
 				d, _ := time.ParseDuration(by)
-				w.move(d)
+				s.advance(d)
 				return ""
-			case "settle":
-				w.settle(1)
+			case "apply-late":
+				s.applyLate(1)
 				return ""
 			}
 			return "unknown command"
@@ -398,7 +403,7 @@
 	})
 }
 
-func failure(err error) string {
+func errorText(err error) string {
 	out := refusal.KindOf(err).Answer().Code
 	if e, ok := err.(*refusal.Error); ok && e.RetryAfter > 0 {
 		out += fmt.Sprintf(" retry after %v", e.RetryAfter.Round(100*time.Millisecond))
--- a/internal/upstream/fencing/holder.go
+++ b/internal/upstream/fencing/holder.go
@@ -12,111 +12,112 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// Terms are the times that leases rest on.
-type Terms struct {
-	// Duration is the time for which a lease holds after it was requested.
+// Timing holds the durations that the safety of leases depends on.
+type Timing struct {
+	// Duration is the validity of a lease, counted from the request.
 	Duration time.Duration
-	// UnderWay is the longest time between the check of a lease and the moment
-	// at which an engine has acted on the command.
-	UnderWay time.Duration
-	// ClockError bounds the difference between two clocks over Duration and
-	// UnderWay together.
-	ClockError time.Duration
+	// CommandTimeout is the maximum time from the check of a lease until the engine
+	// has executed the command.
+	CommandTimeout time.Duration
+	// MaxClockDrift bounds the difference that two clocks accumulate over Duration
+	// and CommandTimeout together.
+	MaxClockDrift time.Duration
 }
 
-// DefaultTerms let a successor send commands about 11 s after the last renewal.
-var DefaultTerms = Terms{
-	Duration:   5 * time.Second,
-	UnderWay:   5 * time.Second,
-	ClockError: time.Second,
+// DefaultTiming lets a successor send commands about 11 s after the last renewal.
+var DefaultTerms = Timing{
+	Duration:       5 * time.Second,
+	CommandTimeout: 5 * time.Second,
+	MaxClockDrift:  time.Second,
 }
 
-// Holder holds the leases of one instance. It is safe for concurrent use.
+// Holder acquires and renews the leases of one instance. It is safe for concurrent
+// use.
 type Holder struct {
 	proposer quorum.Proposer
 	group    quorum.GroupID
 	clock    fleet.Clock
 	instance fleet.InstanceID
 	session  Session
-	terms    Terms
+	timing   Timing
 
-	mu    sync.Mutex
-	held  map[fleet.UpstreamID]heldLease
-	other map[fleet.UpstreamID]observation
+	mu       sync.Mutex
+	held     map[fleet.UpstreamID]heldLease
+	observed map[fleet.UpstreamID]observation
 }
 
-// heldLease is a lease of this holder and its end by the clock of the holder.
+// heldLease is a lease of this holder and its expiry on the clock of the holder.
 type heldLease struct {
-	lease Lease
-	end   time.Time
+	lease   Lease
+	expires time.Time
 }
 
-// observation is a lease of another session and when it was seen first in this
-// state.
+// observation is a lease of another session and the time at which it was first seen
+// in this state.
 type observation struct {
-	lease Lease
-	since time.Time
+	lease     Lease
+	firstSeen time.Time
 }
 
-// maxObservations bounds the leases of others that a holder remembers.
+// maxObservations bounds the leases of other sessions that a holder remembers.
 const maxObservations = 4096
 
 // NewHolder returns a Holder of an instance with a new Session.
-func NewHolder(p quorum.Proposer, g quorum.GroupID, c fleet.Clock, i fleet.InstanceID, t Terms) *Holder {
+func NewHolder(p quorum.Proposer, g quorum.GroupID, c fleet.Clock, i fleet.InstanceID, t Timing) *Holder {
 	return &Holder{
 		proposer: p,
 		group:    g,
 		clock:    c,
 		instance: i,
 		session:  Session(string(i) + "/" + string(fleet.NewRequestID())),
-		terms:    t,
+		timing:   t,
 		held:     make(map[fleet.UpstreamID]heldLease),
-		other:    make(map[fleet.UpstreamID]observation),
+		observed: make(map[fleet.UpstreamID]observation),
 	}
 }
 
-// Ensure returns a lease on an engine that is valid now, and acquires or renews
-// it when less than half of it is left. When another session holds the lease, the
-// error has kind refusal.Conflict and says when to try again.
+// Ensure returns a valid lease on an engine, and acquires or renews it if less than
+// half of its duration remains. If another session holds the lease, the error has kind
+// refusal.Conflict and carries the time after which to retry.
 func (h *Holder) Ensure(ctx context.Context, id fleet.UpstreamID, p upstream.FencePolicy) (Lease, error) {
 	h.mu.Lock()
-	t, ok := h.held[id]
+	current, ok := h.held[id]
 	h.mu.Unlock()
-	if ok && t.lease.Policy == p {
-		if left(t.end, h.clock.Now()) > h.terms.Duration/2 {
-			return t.lease, nil
+	if ok && current.lease.Policy == p {
+		if remaining(current.expires, h.clock.Now()) > h.timing.Duration/2 {
+			return current.lease, nil
 		}
-		if l, ok := h.renew(ctx, t.lease); ok || h.Valid(t.lease) {
+		if l, ok := h.renew(ctx, current.lease); ok || h.Valid(current.lease) {
 			return l, nil
 		}
 	}
 	return h.acquire(ctx, id, p)
 }
 
-// Valid reports whether l is a lease of this holder that holds at this moment.
+// Valid reports whether l is a lease of this holder that is valid now.
 func (h *Holder) Valid(l Lease) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	t, ok := h.held[l.Upstream]
-	return ok && t.lease.Fence == l.Fence && left(t.end, h.clock.Now()) > 0
+	current, ok := h.held[l.Upstream]
+	return ok && current.lease.Fence == l.Fence && remaining(current.expires, h.clock.Now()) > 0
 }
 
-// Release gives up the lease on an engine. The caller makes sure that no command
-// is under way.
+// Release gives up the lease on an engine. The caller must make sure that no command
+// is in progress.
 func (h *Holder) Release(ctx context.Context, id fleet.UpstreamID) error {
 	h.mu.Lock()
-	t, ok := h.held[id]
+	current, ok := h.held[id]
 	delete(h.held, id)
 	h.mu.Unlock()
 	if !ok {
 		return nil
 	}
-	_, err := h.propose(ctx, command{Kind: releaseKind, Lease: t.lease})
+	_, err := h.propose(ctx, command{Kind: releaseKind, Lease: current.lease})
 	return err
 }
 
-// forget drops a lease that an engine or the group refused.
-func (h *Holder) forget(l Lease) {
+// discard drops a lease that an engine or the quorum group rejected.
+func (h *Holder) discard(l Lease) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.held[l.Upstream].lease.Fence == l.Fence {
@@ -124,128 +125,130 @@
 	}
 }
 
-// renew reports whether the lease was renewed. A lease that was lost is dropped,
-// and one whose renewal has an unknown outcome holds until its end.
+// renew reports whether the lease was renewed. A lost lease is dropped. A lease whose
+// renewal has an unknown outcome stays valid until its expiry.
 func (h *Holder) renew(ctx context.Context, l Lease) (Lease, bool) {
 	sent := h.clock.Now()
-	p, err := h.propose(ctx, command{Kind: renewKind, Lease: l})
+	r, err := h.propose(ctx, command{Kind: renewKind, Lease: l})
 	if err != nil {
 		return l, false
 	}
-	if !p.Granted || p.Lease == nil {
-		h.forget(l)
+	if !r.Granted || r.Lease == nil {
+		h.discard(l)
 		return l, false
 	}
-	return *p.Lease, h.keep(*p.Lease, sent)
+	return *r.Lease, h.recordGrant(*r.Lease, sent)
 }
 
 func (h *Holder) acquire(ctx context.Context, id fleet.UpstreamID, policy upstream.FencePolicy) (Lease, error) {
-	c := command{Kind: acquireKind, Over: h.waitedFor(id), Lease: Lease{
-		Upstream: id,
-		Session:  h.session,
-		Duration: h.terms.Duration,
-		UnderWay: h.terms.UnderWay,
-		Policy:   policy,
+	c := command{Kind: acquireKind, Replaces: h.replaceableLease(id), Lease: Lease{
+		Upstream:       id,
+		Session:        h.session,
+		Duration:       h.timing.Duration,
+		CommandTimeout: h.timing.CommandTimeout,
+		Policy:         policy,
 	}}
 	sent := h.clock.Now()
-	p, err := h.propose(ctx, c)
+	r, err := h.propose(ctx, c)
 	if err != nil {
 		return Lease{}, err
 	}
-	if p.Lease == nil {
-		return Lease{}, refusal.New(refusal.Internal, "reply of the leases has no lease")
+	if r.Lease == nil {
+		return Lease{}, refusal.New(refusal.Internal, "lease reply contains no lease")
 	}
-	if !p.Granted {
-		return Lease{}, h.observe(*p.Lease)
+	if !r.Granted {
+		return Lease{}, h.observe(*r.Lease)
 	}
-	if !h.keep(*p.Lease, sent) {
-		return Lease{}, refusal.New(refusal.NotReady, "lease on %q ended before it arrived", id)
+	if !h.recordGrant(*r.Lease, sent) {
+		return Lease{}, refusal.New(refusal.NotReady, "lease on %q expired before its grant arrived", id)
 	}
-	return *p.Lease, nil
+	return *r.Lease, nil
 }
 
-// keep notes a granted lease that was requested at sent, and reports whether it
-// still holds.
-func (h *Holder) keep(l Lease, sent time.Time) bool {
+// recordGrant stores a granted lease that was requested at sent, and reports whether
+// it is still valid.
+func (h *Holder) recordGrant(l Lease, sent time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.other, l.Upstream)
-	t := h.held[l.Upstream]
-	end := sent.Add(l.Duration)
-	if t.lease.Fence > l.Fence || t.lease.Fence == l.Fence && !end.After(t.end) {
-		return t.lease.Fence == l.Fence && left(t.end, h.clock.Now()) > 0
+	delete(h.observed, l.Upstream)
+	current := h.held[l.Upstream]
+	expires := sent.Add(l.Duration)
+	if current.lease.Fence > l.Fence || current.lease.Fence == l.Fence && !expires.After(current.expires) {
+		return current.lease.Fence == l.Fence && remaining(current.expires, h.clock.Now()) > 0
 	}
-	h.held[l.Upstream] = heldLease{lease: l, end: end}
-	return left(end, h.clock.Now()) > 0
+	h.held[l.Upstream] = heldLease{lease: l, expires: expires}
+	return remaining(expires, h.clock.Now()) > 0
 }
 
-// observe notes the lease of another session and returns the error for the caller.
+// observe records the lease of another session and returns the error for the caller.
 func (h *Holder) observe(l Lease) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.held, l.Upstream)
 	now := h.clock.Now()
-	s, ok := h.other[l.Upstream]
-	if !ok || s.lease != l {
-		s = observation{lease: l, since: now}
-		h.makeRoom()
-		h.other[l.Upstream] = s
+	o, ok := h.observed[l.Upstream]
+	if !ok || o.lease != l {
+		o = observation{lease: l, firstSeen: now}
+		h.evictObservation()
+		h.observed[l.Upstream] = o
 	}
-	wait := h.wait(l) - now.Sub(s.since)
-	return refusal.New(refusal.Conflict, "another instance has the lease on %q", l.Upstream).After(max(wait, 0))
+	wait := h.takeoverDelay(l) - now.Sub(o.firstSeen)
+	return refusal.New(refusal.Conflict, "another instance holds the lease on %q", l.Upstream).After(max(wait, 0))
 }
 
-// makeRoom drops any one observation when there are too many. Its wait starts again.
-func (h *Holder) makeRoom() {
-	if len(h.other) < maxObservations {
+// evictObservation drops an arbitrary observation if there are too many. If that lease
+// is seen again, its takeover delay starts over.
+func (h *Holder) evictObservation() {
+	if len(h.observed) < maxObservations {
 		return
 	}
-	for id := range h.other {
-		delete(h.other, id)
+	for id := range h.observed {
+		delete(h.observed, id)
 		return
 	}
 }
 
-// waitedFor returns the lease of another session when its holder can no longer
-// have a command under way.
-func (h *Holder) waitedFor(id fleet.UpstreamID) *Lease {
+// replaceableLease returns the observed lease of another session if its holder can no
+// longer have a command in progress, and otherwise nil.
+func (h *Holder) replaceableLease(id fleet.UpstreamID) *Lease {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s, ok := h.other[id]
-	if !ok || h.clock.Now().Sub(s.since) < h.wait(s.lease) {
+	o, ok := h.observed[id]
+	if !ok || h.clock.Now().Sub(o.firstSeen) < h.takeoverDelay(o.lease) {
 		return nil
 	}
-	return &s.lease
+	return &o.lease
 }
 
-// wait returns the time between the observation of a lease and the earliest command
-// of a successor.
-func (h *Holder) wait(l Lease) time.Duration {
-	return l.Duration + l.UnderWay + h.terms.ClockError
+// takeoverDelay returns the minimum time between the first observation of a lease and
+// the first command of a successor.
+func (h *Holder) takeoverDelay(l Lease) time.Duration {
+	return l.Duration + l.CommandTimeout + h.timing.MaxClockDrift
 }
 
 func (h *Holder) propose(ctx context.Context, c command) (reply, error) {
 	c.Version, c.Instance, c.At = version, h.instance, h.clock.Now().UTC()
 	data, err := json.Marshal(c)
 	if err != nil {
-		return reply{}, refusal.Because(refusal.Internal, err, "encode command of the leases")
+		return reply{}, refusal.Because(refusal.Internal, err, "encode lease command")
 	}
-	answer, err := h.proposer.Propose(ctx, h.group, data)
+	response, err := h.proposer.Propose(ctx, h.group, data)
 	if err != nil {
-		return reply{}, refusal.Because(refusal.NotReady, err, "leases can't be reached")
+		return reply{}, refusal.Because(refusal.NotReady, err, "propose lease command to the quorum group")
 	}
-	var p reply
-	if err := json.Unmarshal(answer, &p); err != nil {
-		return reply{}, refusal.Because(refusal.Internal, err, "decode reply of the leases")
+	var r reply
+	if err := json.Unmarshal(response, &r); err != nil {
+		return reply{}, refusal.Because(refusal.Internal, err, "decode lease reply")
 	}
-	if p.Error != "" {
-		return reply{}, refusal.New(refusal.Internal, "leases: %s", p.Error)
+	if r.Error != "" {
+		return reply{}, refusal.New(refusal.Internal, "lease command rejected: %s", r.Error)
 	}
-	return p, nil
+	return r, nil
 }
 
-// left returns the time from now to the end of a lease. The wall clock counts
-// too, because the monotonic clock stands still while a machine is suspended.
-func left(end, now time.Time) time.Duration {
-	return min(end.Sub(now), end.Round(0).Sub(now.Round(0)))
+// remaining returns the time from now to the expiry of a lease. It takes the smaller
+// value of the monotonic clock and the wall clock, because the monotonic clock stops
+// while a machine is suspended.
+func remaining(expires, now time.Time) time.Duration {
+	return min(expires.Sub(now), expires.Round(0).Sub(now.Round(0)))
 }
--- a/internal/upstream/fencing/machine.go
+++ b/internal/upstream/fencing/machine.go
@@ -1,18 +1,19 @@
-// Package fencing keeps commands of different instances to one engine apart.
+// Package fencing prevents commands of different instances to one engine from
+// overlapping.
 //
 // The Machine is part of the config group. It grants a lease on an engine to one
-// Holder at a time, each with a higher fencing token than every lease before. A
+// Holder at a time, each with a higher fencing token than all leases before. A
 // Commander sends a command to an engine only under a valid lease and with its
 // token:
 //
-//	holder := fencing.NewHolder(proposer, quorum.ConfigGroup, clock, instance, fencing.DefaultTerms)
-//	report, err := fencing.NewCommander(holder, dialer).Send(ctx, upstream, command)
+//	holder := fencing.NewHolder(proposer, quorum.ConfigGroup, clock, instance, fencing.DefaultTiming)
+//	result, err := fencing.NewCommander(holder, dialer).Send(ctx, upstream, command)
 //
-// The Machine decides without a clock. A holder counts its lease from the time before it
-// sent the request. A successor first sees the lease of the holder, waits for its
-// whole duration, the time that a command may be under way and the clock error
-// bound, and takes the lease over only if it was not renewed meanwhile. Engines
-// that refuse old tokens need no wait.
+// The Machine decides without a clock. A holder counts the duration of its lease from
+// the time before it sent the request. A successor first observes the lease of the
+// holder, waits for its whole duration, the command timeout and the maximum clock
+// drift, and takes the lease over only if it was not renewed in the meantime. For
+// engines that reject stale tokens no wait is needed.
 package fencing
 
 import (
@@ -29,16 +30,17 @@
 
 const (
 	version = 1
-	// MaxLeases bounds the leases that are kept. When it is reached, those that
-	// were not used for StaleAfter are dropped: their engines are gone.
+	// MaxLeases bounds the number of stored leases. When it is reached, leases that
+	// have not been used for StaleAfter are dropped, because their engines are gone.
 	MaxLeases = 50_000
-	// StaleAfter is far longer than any lease with its wait.
+	// StaleAfter is far longer than the duration of any lease plus its takeover delay.
 	StaleAfter = 24 * time.Hour
 
-	maxName = 256 // bytes of a holder or an upstream id
+	maxIDBytes = 256 // upstream id and session together
 )
 
-// Session names one life of a Holder. A restarted instance has another Session.
+// Session identifies one incarnation of a Holder. A restarted instance has a new
+// Session.
 type Session string
 
 // Lease is the right to send commands to one engine.
@@ -48,34 +50,36 @@
 	Fence    fleet.Fence      `json:"fence"`
 	// Renewals counts the renewals under this Fence.
 	Renewals uint64 `json:"renewals"`
-	// Duration is the time for which the lease holds after it was requested,
-	// UnderWay the time that a command may need after it was sent.
-	Duration time.Duration `json:"duration"`
-	UnderWay time.Duration `json:"underWay"`
-	// Policy is what the holder assumes about the engine.
+	// Duration is the validity of the lease, counted from the request.
+	// CommandTimeout is the maximum time from the check of the lease until the engine
+	// has executed a command.
+	Duration       time.Duration `json:"duration"`
+	CommandTimeout time.Duration `json:"underWay"`
+	// Policy is the fencing policy that the holder assumes for the engine.
 	Policy upstream.FencePolicy `json:"policy"`
 }
 
-// Machine is the state machine of the leases. It is safe for concurrent use.
+// Machine is the replicated state machine of the leases. It is safe for concurrent
+// use.
 type Machine struct {
-	mu     sync.RWMutex
-	last   fleet.Fence
-	time   timeline.Timeline
-	leases map[fleet.UpstreamID]granted
+	mu        sync.RWMutex
+	lastFence fleet.Fence
+	time      timeline.Timeline
+	leases    map[fleet.UpstreamID]grant
 }
 
-// granted is a lease and the time of its last grant or renewal. The time decides
-// only whether the lease is stale.
-type granted struct {
+// grant is a lease and the time of its last grant or renewal. The time is used only to
+// find stale leases.
+type grant struct {
 	Lease
-	Used time.Time `json:"used"`
+	LastUsed time.Time `json:"used"`
 }
 
 var _ quorum.Reader = (*Machine)(nil)
 
 // NewMachine returns a Machine without leases.
 func NewMachine() *Machine {
-	return &Machine{leases: make(map[fleet.UpstreamID]granted)}
+	return &Machine{leases: make(map[fleet.UpstreamID]grant)}
 }
 
 type kind string
@@ -86,22 +90,23 @@
 	releaseKind kind = "release"
 )
 
-// command asks for a change of one lease.
+// command requests a change of one lease.
 type command struct {
 	Version int  `json:"version"`
 	Kind    kind `json:"kind"`
-	// Lease holds the wanted terms. Its Fence is that of the lease to renew or
+	// Lease holds the requested values. Its Fence is that of the lease to renew or
 	// release.
 	Lease Lease `json:"lease"`
-	// Over is a lease of another session that the sender has waited for. An
-	// acquire takes it over when it is still the same.
-	Over *Lease `json:"over,omitempty"`
-	// Instance and At are the sender and its time.
+	// Replaces is a lease of another session whose takeover delay has passed for the
+	// sender. An acquire replaces the current lease if it still equals Replaces.
+	Replaces *Lease `json:"over,omitempty"`
+	// Instance is the sender, and At the time on its clock.
 	Instance fleet.InstanceID `json:"instance"`
 	At       time.Time        `json:"at"`
 }
 
-// reply answers a command and, with Lease only, a query for an upstream.
+// reply is the reply to a command. The reply to a query for an upstream has only
+// Lease.
 type reply struct {
 	Version int    `json:"version"`
 	Error   string `json:"error,omitempty"`
@@ -110,7 +115,7 @@
 	Lease *Lease `json:"lease,omitempty"`
 }
 
-// Apply runs one command.
+// Apply applies one command.
 func (m *Machine) Apply(_ quorum.Index, data []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,7 +124,7 @@
 		return encode(reply{Error: "command does not decode"})
 	}
 	l := c.Lease
-	if c.Version != version || l.Upstream == "" || l.Session == "" || len(l.Upstream)+len(l.Session) > maxName {
+	if c.Version != version || l.Upstream == "" || l.Session == "" || len(l.Upstream)+len(l.Session) > maxIDBytes {
 		return encode(reply{Error: "command is not valid"})
 	}
 	m.time.Observe(c.Instance, c.At)
@@ -134,11 +139,11 @@
 	return encode(reply{Error: "unknown kind of command"})
 }
 
-// acquire grants the lease with a new token. A session that acquires again gets
-// a new token too, so that a late release of the old one has no effect.
+// acquire grants the lease with a new token. A session that acquires its own lease
+// again also gets a new token, so that a delayed release of the old one has no effect.
 func (m *Machine) acquire(c command) reply {
 	old, taken := m.leases[c.Lease.Upstream]
-	if taken && !mayTake(old.Lease, c) {
+	if taken && !mayReplace(old.Lease, c) {
 		return reply{Lease: &old.Lease}
 	}
 	if !taken && len(m.leases) >= MaxLeases {
@@ -147,33 +152,33 @@
 	if !taken && len(m.leases) >= MaxLeases {
 		return reply{Error: "too many leases"}
 	}
-	m.last++
+	m.lastFence++
 	l := c.Lease
-	l.Fence, l.Renewals = m.last, 0
-	m.leases[l.Upstream] = granted{Lease: l, Used: m.time.From(c.At)}
+	l.Fence, l.Renewals = m.lastFence, 0
+	m.leases[l.Upstream] = grant{Lease: l, LastUsed: m.time.From(c.At)}
 	return reply{Granted: true, Lease: &l}
 }
 
-// sweep drops the leases that were not used for StaleAfter.
+// sweep drops the leases that have not been used for StaleAfter.
 func (m *Machine) sweep() {
 	for id, g := range m.leases {
-		if !g.Used.Add(StaleAfter).After(m.time.Now()) {
+		if !g.LastUsed.Add(StaleAfter).After(m.time.Now()) {
 			delete(m.leases, id)
 		}
 	}
 }
 
-// mayTake reports whether c may replace the lease of old.
-func mayTake(old Lease, c command) bool {
+// mayReplace reports whether c may replace the lease old.
+func mayReplace(old Lease, c command) bool {
 	switch {
 	case old.Session == c.Lease.Session:
 		return true
 	case old.Policy == upstream.RefusesOld && c.Lease.Policy == upstream.RefusesOld:
-		// The engine refuses the token of the old holder once it has seen the
+		// The engine rejects the token of the old holder once it has seen the
 		// new one.
 		return true
 	}
-	return c.Over != nil && *c.Over == old
+	return c.Replaces != nil && *c.Replaces == old
 }
 
 func (m *Machine) renew(c command) reply {
@@ -182,7 +187,7 @@
 		return reply{}
 	}
 	l.Renewals++
-	m.leases[l.Upstream] = granted{Lease: l, Used: m.time.From(c.At)}
+	m.leases[l.Upstream] = grant{Lease: l, LastUsed: m.time.From(c.At)}
 	return reply{Granted: true, Lease: &l}
 }
 
@@ -193,7 +198,7 @@
 	return reply{Granted: true}
 }
 
-// held returns the lease that c names, if it is still in place.
+// held returns the lease that c refers to, and whether it is still the current one.
 func (m *Machine) held(c command) (Lease, bool) {
 	g, ok := m.leases[c.Lease.Upstream]
 	l := g.Lease
@@ -212,20 +217,20 @@
 }
 
 type snapshot struct {
-	Version int                          `json:"version"`
-	Last    fleet.Fence                  `json:"last"`
-	Time    timeline.Timeline            `json:"time"`
-	Leases  map[fleet.UpstreamID]granted `json:"leases"`
+	Version   int                        `json:"version"`
+	LastFence fleet.Fence                `json:"last"`
+	Time      timeline.Timeline          `json:"time"`
+	Leases    map[fleet.UpstreamID]grant `json:"leases"`
 }
 
-// Snapshot returns the whole state in JSON.
+// Snapshot returns the complete state as JSON.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return json.Marshal(snapshot{Version: version, Last: m.last, Time: m.time, Leases: m.leases})
+	return json.Marshal(snapshot{Version: version, LastFence: m.lastFence, Time: m.time, Leases: m.leases})
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with that of a snapshot.
 func (m *Machine) Restore(data []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -235,18 +240,18 @@
 		return errors.Errorf("snapshot version %d of the leases is not supported", s.Version)
 	}
 	if s.Leases == nil {
-		s.Leases = make(map[fleet.UpstreamID]granted)
+		s.Leases = make(map[fleet.UpstreamID]grant)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.last, m.time, m.leases = s.Last, s.Time, s.Leases
+	m.lastFence, m.time, m.leases = s.LastFence, s.Time, s.Leases
 	return nil
 }
 
-// encode returns p in JSON. A reply always encodes.
-func encode(p reply) []byte {
-	p.Version = version
-	data, err := json.Marshal(p)
+// encode returns r as JSON. Encoding a reply can't fail.
+func encode(r reply) []byte {
+	r.Version = version
+	data, err := json.Marshal(r)
 	if err != nil {
 		panic(errors.Wrap(err, "fencing: encode reply"))
 	}
