--- a/internal/upstream/roster/handler.go
+++ b/internal/upstream/roster/handler.go
@@ -15,28 +15,28 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// maxBody bounds the body of an announcement in bytes. Names are bounded to 64
-// bytes each, so a valid announcement is far smaller.
-const maxBody = 8 << 10
+// maxBodyBytes bounds the body of an announcement. Each name has at most 64 bytes, so
+// a valid announcement is far smaller.
+const maxBodyBytes = 8 << 10
 
 // Handler answers POST /v1/announcements with 204, or with an error as
 // {"error":{"code":...,"message":...}}.
 type Handler struct {
-	roster *Roster
-	clock  fleet.Clock
-	token  [sha256.Size]byte
-	locked bool
+	roster        *Roster
+	clock         fleet.Clock
+	token         [sha256.Size]byte
+	tokenRequired bool
 }
 
 // HandlerOption changes a setting of a Handler.
 type HandlerOption func(*Handler)
 
-// WithToken makes the handler refuse requests without the header
-// "Authorization: Bearer <token>". An empty token admits every request.
+// WithToken makes the handler reject requests without the header
+// "Authorization: Bearer <token>". With an empty token every request is accepted.
 func WithToken(token string) HandlerOption {
 	return func(h *Handler) {
 		h.token = sha256.Sum256([]byte(token))
-		h.locked = token != ""
+		h.tokenRequired = token != ""
 	}
 }
 
@@ -62,17 +62,17 @@
 	if !h.authorized(r) {
 		return refusal.New(refusal.Unauthenticated, "the announcement needs the token of this fleet")
 	}
-	a, err := decode(http.MaxBytesReader(w, r.Body, maxBody))
+	a, err := decode(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
 	return h.roster.Announce(a, h.clock.Now())
 }
 
-// authorized compares digests, so that the time taken tells neither the content
+// authorized compares digests, so that its running time reveals neither the content
 // nor the length of the token.
 func (h *Handler) authorized(r *http.Request) bool {
-	if !h.locked {
+	if !h.tokenRequired {
 		return true
 	}
 	given, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -114,6 +114,6 @@
 	answer := refusal.KindOf(err).Answer()
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(answer.Status)
-	// A failed write means that the upstream has gone; it announces again.
+	// If the write fails, the upstream has disconnected; it will announce itself again.
 	_ = json.NewEncoder(w).Encode(errorBody{Error: errorDetail{Code: answer.Code, Message: err.Error()}})
 }
--- a/internal/upstream/roster/roster.go
+++ b/internal/upstream/roster/roster.go
@@ -1,27 +1,28 @@
-// Package roster implements upstream.Roster: the upstreams of one data centre,
-// when each was last confirmed, and which may get new work.
+// Package roster implements upstream.Roster: the upstreams of one data centre, the
+// time of the last heartbeat of each, and which of them may get new work.
 //
-// An upstream is confirmed directly, by an announcement to this instance, or by
-// gossip, by an announcement to another instance of the data centre:
+// An announcement to this instance counts as a heartbeat of the upstream. Heartbeats
+// from announcements to other instances of the data centre arrive by gossip:
 //
 //	r, err := roster.New(roster.WithDataCentre("midlands-1"))
 //	router.Method(http.MethodPost, "/v1/announcements", roster.NewHandler(r, clock))
 //	candidates := r.Usable("transcription", clock.Now())
 //
-// Gossip reads the changed announcements with Updates and the confirmations with
-// Renewals, and delivers those of other instances with Merge and Renew. Both
-// carry the age of the last confirmation, never a wall-clock time, so that
-// instances need no synchronised clocks.
+// Gossip reads changed announcements with Updates and heartbeats with Renewals, and
+// delivers those of other instances with Merge and Renew. Both carry the age of the
+// last heartbeat, never a wall-clock time, so that instances need no synchronised
+// clocks.
 //
 // These rules hold for every source:
 //
-//   - A higher incarnation replaces a lower one; a lower one is refused.
+//   - A higher incarnation replaces a lower one; a lower one is rejected.
 //   - Leaving is final for an incarnation, whatever its sequence number is.
 //   - Of other announcements of one incarnation the highest sequence number
 //     counts.
-//   - New work needs a confirmation that is not older than the freshness. An
-//     instance without news therefore stops sending by itself.
-//   - An upstream is forgotten once its last confirmation, or its first leaving
+//   - An upstream gets new work only if its last heartbeat is not older than the
+//     heartbeat timeout. An instance that receives no heartbeats therefore stops
+//     sending without further action.
+//   - An upstream is removed once its last heartbeat, or its first leaving
 //     announcement, is older than the retention.
 package roster
 
@@ -39,71 +40,72 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// MaxFreshness is the default and the highest age of a confirmation that allows
-// new work. A leaving upstream that an instance can't hear of gets no new work
-// from it after this time.
+// MaxHeartbeatTimeout is the default and the maximum of the heartbeat timeout. An
+// instance that does not learn that an upstream is leaving sends it no new work after
+// this time.
 const MaxFreshness = 3 * time.Second
 
-// DefaultRetention is the default time for which an upstream is remembered. It
-// exceeds by far the time that an announcement can be delayed on its way, so a
-// late announcement can't bring back an upstream that has left.
+// DefaultRetention is the default time for which an upstream is kept after its last
+// heartbeat. It is much longer than an announcement can be delayed in transit, so a
+// delayed announcement can't bring back an upstream that has left.
 const DefaultRetention = time.Hour
 
-// resumeGuard is the time after a pause of this process in which announcements
-// don't confirm, because they may have waited in a socket during the pause. It
-// is half of the time between two announcements.
-const resumeGuard = 500 * time.Millisecond
+// resumeHoldOff is the time after a pause of this process during which announcements
+// don't count as heartbeats, because they may have waited in a socket buffer during
+// the pause. It is half of the interval between two announcements.
+const resumeHoldOff = 500 * time.Millisecond
 
-// tickLimit is the time since the last tick after which the process counts as
+// maxTickAge is the time since the last tick after which the process is considered
 // paused.
-const tickLimit = 500 * time.Millisecond
+const maxTickAge = 500 * time.Millisecond
 
-// Confirmation is an announcement and the time since the upstream was last
-// confirmed. A negative Age means that there is no confirmation.
+// AgedAnnouncement is an announcement and the age of the last heartbeat of the
+// upstream. A negative Age means that there was no heartbeat.
 type Confirmation struct {
 	upstream.Announcement
 	Age time.Duration
 }
 
-// Renewal confirms an upstream whose announcement is known.
+// Renewal is a heartbeat of an upstream whose announcement is known.
 type Renewal struct {
 	ID          fleet.UpstreamID
 	Incarnation fleet.Incarnation
 	Age         time.Duration
 }
 
-// Roster holds the upstreams of one data centre. It is safe for concurrent use.
+// Roster stores the upstreams of one data centre. It is safe for concurrent use.
 type Roster struct {
-	dataCentre fleet.DataCentreID
-	freshness  time.Duration
-	retention  time.Duration
-	entries    board.Shards[fleet.UpstreamID, *entry]
-	pools      board.Shards[fleet.PoolID, *pool]
-	version    atomic.Uint64
-	conflicts  atomic.Uint64
-	resumed    atomic.Pointer[time.Time]
-	ticked     atomic.Pointer[time.Time]
-	listener   func(a upstream.Announcement, confirmed, now time.Time)
+	dataCentre       fleet.DataCentreID
+	heartbeatTimeout time.Duration
+	retention        time.Duration
+	entries          board.Shards[fleet.UpstreamID, *entry]
+	pools            board.Shards[fleet.PoolID, *pool]
+	revision         atomic.Uint64
+	conflicts        atomic.Uint64
+	lastResume       atomic.Pointer[time.Time]
+	lastTick         atomic.Pointer[time.Time]
+	onAnnouncement   func(a upstream.Announcement, heartbeat, now time.Time)
 }
 
-// entry is one upstream. The lock of its shard guards writes.
+// entry is one upstream. Writes are guarded by the lock of its shard, except for those
+// of renew.
 type entry struct {
 	state atomic.Pointer[state]
 }
 
-// state is the knowledge of one upstream. It is not changed after it was stored.
+// state is the known state of one upstream. It is immutable once stored.
 type state struct {
 	upstream.Upstream
-	// stored is the time at which the announcement was recorded. Later
-	// announcements don't replace the first leaving one.
-	stored time.Time
-	// version is the version of the roster at which the announcement, its
-	// sequence and load aside, last changed.
-	version uint64
+	// storedAt is the time at which the announcement was recorded. The first leaving
+	// announcement is not replaced by later ones.
+	storedAt time.Time
+	// revision is the revision of the roster at which the announcement last changed,
+	// not counting its sequence and load.
+	revision uint64
 }
 
-// pool lists the serving upstreams of a pool, ordered by id. The slice is
-// replaced on change.
+// pool lists the serving upstreams of a pool, ordered by id. A change replaces the
+// slice (copy on write).
 type pool struct {
 	mu      sync.Mutex
 	entries atomic.Pointer[[]*entry]
@@ -114,103 +116,104 @@
 // Option changes a setting of a Roster.
 type Option func(*Roster)
 
-// WithFreshness sets the highest age of a confirmation that allows new work.
+// WithHeartbeatTimeout sets the maximum age of the last heartbeat at which an upstream
+// may get new work.
 func WithFreshness(d time.Duration) Option {
-	return func(r *Roster) { r.freshness = d }
+	return func(r *Roster) { r.heartbeatTimeout = d }
 }
 
-// WithRetention sets the time for which an upstream is remembered.
+// WithRetention sets the time for which an upstream is kept after its last heartbeat.
 func WithRetention(d time.Duration) Option {
 	return func(r *Roster) { r.retention = d }
 }
 
-// WithDataCentre makes the roster refuse upstreams of other data centres.
+// WithDataCentre makes the roster reject upstreams of other data centres.
 func WithDataCentre(id fleet.DataCentreID) Option {
 	return func(r *Roster) { r.dataCentre = id }
 }
 
-// New returns an empty Roster. It fails for a freshness that is not between 0
-// and MaxFreshness and for a retention that is not above the freshness.
+// New returns an empty Roster. It fails unless the heartbeat timeout is positive and at
+// most MaxHeartbeatTimeout, and the retention is longer than the heartbeat timeout.
 func New(options ...Option) (*Roster, error) {
-	r := &Roster{freshness: MaxFreshness, retention: DefaultRetention}
+	r := &Roster{heartbeatTimeout: MaxFreshness, retention: DefaultRetention}
 	for _, o := range options {
 		o(r)
 	}
-	if r.freshness <= 0 || r.freshness > MaxFreshness {
-		return nil, errors.Errorf("freshness %v is not between 0 and %v", r.freshness, MaxFreshness)
+	if r.heartbeatTimeout <= 0 || r.heartbeatTimeout > MaxFreshness {
+		return nil, errors.Errorf("heartbeat timeout %v is not between 0 and %v", r.heartbeatTimeout, MaxFreshness)
 	}
-	if r.retention <= r.freshness {
-		return nil, errors.Errorf("retention %v is not above the freshness %v", r.retention, r.freshness)
+	if r.retention <= r.heartbeatTimeout {
+		return nil, errors.Errorf("retention %v is not above the heartbeat timeout %v", r.retention, r.heartbeatTimeout)
 	}
 	return r, nil
 }
 
-// Announce records an announcement that an upstream made to this instance at
-// now. The error has kind refusal.BadRequest for an announcement that makes no
-// sense and refusal.Conflict for one that is out of date or contradicts a known
-// one.
+// Announce records an announcement that this instance received from an upstream at
+// now. The error has kind refusal.BadRequest for an invalid announcement and
+// refusal.Conflict for one that is out of date or contradicts a known one.
 func (r *Roster) Announce(a upstream.Announcement, now time.Time) error {
-	if err := r.check(a); err != nil {
+	if err := r.validate(a); err != nil {
 		return err
 	}
 	a.Load.At = now
-	confirmed := now
-	if r.mayBeOld(now) {
-		confirmed = time.Time{}
+	heartbeat := now
+	if r.mayBeDelayed(now) {
+		heartbeat = time.Time{}
 	}
-	if err := r.store(a, confirmed, now, false); err != nil {
+	if err := r.store(a, heartbeat, now, false); err != nil {
 		return err
 	}
-	if r.listener != nil {
-		r.listener(a, confirmed, now)
+	if r.onAnnouncement != nil {
+		r.onAnnouncement(a, heartbeat, now)
 	}
 	return nil
 }
 
-// mayBeOld reports whether an announcement that is read at now may have waited
-// in a socket while the process was paused.
-func (r *Roster) mayBeOld(now time.Time) bool {
-	if ticked := r.ticked.Load(); ticked != nil && now.Sub(*ticked) > tickLimit {
+// mayBeDelayed reports whether an announcement that is read at now may have waited in
+// a socket buffer while the process was paused.
+func (r *Roster) mayBeDelayed(now time.Time) bool {
+	if lastTick := r.lastTick.Load(); lastTick != nil && now.Sub(*lastTick) > maxTickAge {
 		return true
 	}
-	resumed := r.resumed.Load()
-	return resumed != nil && now.Sub(*resumed) < resumeGuard
+	lastResume := r.lastResume.Load()
+	return lastResume != nil && now.Sub(*lastResume) < resumeHoldOff
 }
 
-// Tick tells that the process runs. Once it was called, an announcement confirms
-// only if the last call is recent: after a pause an announcement may be read
-// before the pause is noticed. Membership calls it about every 50 ms.
+// Tick records that the process is running at now. Once it has been called, an
+// announcement counts as a heartbeat only if the last call is recent, because after a
+// pause an announcement may be read before the pause is detected. Membership calls it
+// about every 50 ms.
 func (r *Roster) Tick(now time.Time) {
-	r.ticked.Store(&now)
+	r.lastTick.Store(&now)
 }
 
-// Listen makes the roster call f for every announcement that this instance
-// received and accepted. The time of confirmation is zero when the announcement
-// does not confirm. Listen must be called before the first announcement.
-func (r *Roster) Listen(f func(a upstream.Announcement, confirmed, now time.Time)) {
-	r.listener = f
+// OnAnnouncement makes the roster call f for every announcement that this instance
+// receives and accepts. heartbeat is zero if the announcement does not count as a
+// heartbeat. OnAnnouncement must be called before the first announcement.
+func (r *Roster) Listen(f func(a upstream.Announcement, heartbeat, now time.Time)) {
+	r.onAnnouncement = f
 }
 
-// Merge records announcements that other instances received and returns the
-// number of those that contradict a known one. An out-of-date announcement can
-// still carry a newer confirmation of the same incarnation.
-func (r *Roster) Merge(confirmations []Confirmation, now time.Time) int {
-	refused := 0
-	for i := range confirmations {
-		c := &confirmations[i]
-		if r.check(c.Announcement) != nil {
-			refused++
+// Merge records announcements that other instances received and returns the number
+// that were invalid or contradicted a known one. An out-of-date announcement can
+// still carry a newer heartbeat of the same incarnation.
+func (r *Roster) Merge(announcements []Confirmation, now time.Time) int {
+	rejected := 0
+	for i := range announcements {
+		c := &announcements[i]
+		if r.validate(c.Announcement) != nil {
+			rejected++
 			continue
 		}
-		if r.store(c.Announcement, confirmedAt(c.Age, now), now, true) != nil {
-			refused++
+		if r.store(c.Announcement, heartbeatTime(c.Age, now), now, true) != nil {
+			rejected++
 		}
 	}
-	return refused
+	return rejected
 }
 
-// Renew records confirmations that other instances received. A renewal of an
-// unknown upstream, of another incarnation, or of one that leaves has no effect.
+// Renew records heartbeats that other instances received. A renewal of an unknown
+// upstream, of another incarnation, or of a leaving upstream has no effect.
 func (r *Roster) Renew(renewals []Renewal, now time.Time) {
 	for i := range renewals {
 		r.renew(&renewals[i], now)
@@ -218,7 +221,7 @@
 }
 
 func (r *Roster) renew(n *Renewal, now time.Time) {
-	if n.Age < 0 || n.Age > r.freshness {
+	if n.Age < 0 || n.Age > r.heartbeatTimeout {
 		return
 	}
 	e, ok := r.entries.Get(n.ID)
@@ -228,30 +231,30 @@
 	e.renew(n.Incarnation, now.Add(-n.Age))
 }
 
-// renew records a confirmation unless a newer one is known. It takes no lock, so
-// it may run while an announcement is recorded.
-func (e *entry) renew(incarnation fleet.Incarnation, confirmed time.Time) {
+// renew records a heartbeat unless a newer one is known. It takes no lock, so it may
+// run while an announcement is recorded.
+func (e *entry) renew(incarnation fleet.Incarnation, heartbeat time.Time) {
 	for {
 		s := e.state.Load()
 		if s.Incarnation != incarnation || s.State == upstream.Leaving {
 			return
 		}
-		if !confirmed.After(s.Confirmed) {
+		if !heartbeat.After(s.Confirmed) {
 			return
 		}
 		next := *s
-		next.Confirmed = confirmed
+		next.Confirmed = heartbeat
 		if e.state.CompareAndSwap(s, &next) {
 			return
 		}
 	}
 }
 
-// Resume tells that the process did not run for some time before now. Messages
-// that waited in its sockets may be old, so announcements don't confirm for a
-// short time.
+// RecordResume records that the process was paused until now. Messages that waited in
+// its socket buffers may be old, so for resumeHoldOff announcements don't count as
+// heartbeats.
 func (r *Roster) Resume(now time.Time) {
-	r.resumed.Store(&now)
+	r.lastResume.Store(&now)
 }
 
 // Usable returns the upstreams of pool p that may get new work at now, ordered
@@ -281,7 +284,7 @@
 	return e.state.Load().Upstream, true
 }
 
-// All returns every remembered upstream, ordered by id.
+// All returns all known upstreams, ordered by id.
 func (r *Roster) All() []upstream.Upstream {
 	all := make([]upstream.Upstream, 0, r.entries.Len())
 	r.entries.Range(func(_ fleet.UpstreamID, e *entry) bool {
@@ -307,29 +310,28 @@
 	return counts
 }
 
-// Updates returns the announcements that changed after version since, ordered by
-// id, and the version up to which they are included. Sequence and load don't count as a
-// change. It starts with a since of zero.
+// Updates returns the announcements that changed after revision since, ordered by id,
+// and the revision up to which changes are included. A change of only the sequence or
+// the load does not count. A since of zero returns all announcements.
 func (r *Roster) Updates(since uint64, now time.Time) ([]Confirmation, uint64) {
-	version := r.version.Load()
-	if version == since {
-		return nil, version
+	revision := r.revision.Load()
+	if revision == since {
+		return nil, revision
 	}
 	var changed []Confirmation
 	r.entries.Range(func(_ fleet.UpstreamID, e *entry) bool {
-		if s := e.state.Load(); s.version > since {
-			changed = append(changed, Confirmation{Announcement: s.Announcement, Age: age(s.Confirmed, now)})
+		if s := e.state.Load(); s.revision > since {
+			changed = append(changed, Confirmation{Announcement: s.Announcement, Age: heartbeatAge(s.Confirmed, now)})
 		}
 		return true
 	})
 	slices.SortFunc(changed, func(a, b Confirmation) int {
 		return strings.Compare(string(a.ID), string(b.ID))
 	})
-	return changed, version
+	return changed, revision
 }
 
-// Renewals calls f for every upstream with a confirmation that still allows new
-// work at now.
+// Renewals calls f for every upstream that may get new work at now.
 func (r *Roster) Renewals(now time.Time, f func(Renewal)) {
 	r.entries.Range(func(id fleet.UpstreamID, e *entry) bool {
 		if s := e.state.Load(); r.mayGetWork(s, now) {
@@ -343,8 +345,8 @@
 // the same id and incarnation, usually two upstreams that share an id.
 func (r *Roster) Conflicts() uint64 { return r.conflicts.Load() }
 
-// Sweep forgets the upstreams whose retention has ended at now. It is meant to
-// be called about once a minute.
+// Sweep removes the upstreams whose retention has ended at now and returns their
+// number. It should be called about once a minute.
 func (r *Roster) Sweep(now time.Time) int {
 	var expired []fleet.UpstreamID
 	r.entries.Range(func(id fleet.UpstreamID, e *entry) bool {
@@ -354,23 +356,23 @@
 		return true
 	})
 	for _, id := range expired {
-		r.forget(id, now)
+		r.remove(id, now)
 	}
 	return len(expired)
 }
 
-func (r *Roster) forget(id fleet.UpstreamID, now time.Time) {
+func (r *Roster) remove(id fleet.UpstreamID, now time.Time) {
 	r.entries.Update(id, func(e *entry, ok bool) (*entry, bool) {
 		if !ok || !r.expired(e.state.Load(), now) {
 			return e, ok
 		}
-		r.unlist(e, e.state.Load().Pool)
+		r.removeFromPool(e, e.state.Load().Pool)
 		return e, false
 	})
 }
 
 func (r *Roster) expired(s *state, now time.Time) bool {
-	since := s.stored
+	since := s.storedAt
 	if s.State == upstream.Serving && s.Confirmed.After(since) {
 		since = s.Confirmed
 	}
@@ -381,19 +383,19 @@
 	if s.State != upstream.Serving {
 		return false
 	}
-	return now.Sub(s.Confirmed) <= r.freshness
+	return now.Sub(s.Confirmed) <= r.heartbeatTimeout
 }
 
-func confirmedAt(age time.Duration, now time.Time) time.Time {
+func heartbeatTime(age time.Duration, now time.Time) time.Time {
 	if age < 0 {
 		return time.Time{}
 	}
 	return now.Add(-age)
 }
 
-func age(confirmed, now time.Time) time.Duration {
-	if confirmed.IsZero() {
+func heartbeatAge(heartbeat, now time.Time) time.Duration {
+	if heartbeat.IsZero() {
 		return -1
 	}
-	return max(0, now.Sub(confirmed))
+	return max(0, now.Sub(heartbeat))
 }
--- a/internal/upstream/roster/roster_test.go
+++ b/internal/upstream/roster/roster_test.go
@@ -19,9 +19,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/roster"
 )
 
-// TestScripts guards against a leaver that gets new work again, against new work
-// on an old confirmation, and against answers that don't name the fault. The
-// commands are the functions of script.
+// TestScripts guards against a leaving upstream that gets new work again, against new
+// work after the heartbeat timeout, and against error responses that don't name the
+// cause. The commands of the scripts are those of script.run.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := newScript(t)
@@ -30,10 +30,10 @@
 }
 
 type script struct {
-	clock   *fakeclock.Clock
-	roster  *roster.Roster
-	handler http.Handler
-	version uint64
+	clock    *fakeclock.Clock
+	roster   *roster.Roster
+	handler  http.Handler
+	revision uint64
 }
 
 func newScript(t *testing.T) *script {
@@ -79,8 +79,8 @@
 }
 
 func (s *script) updates(now time.Time) string {
-	changed, version := s.roster.Updates(s.version, now)
-	s.version = version
+	changed, revision := s.roster.Updates(s.revision, now)
+	s.revision = revision
 	var b strings.Builder
 	for _, c := range changed {
 		fmt.Fprintf(&b, "%s incarnation %d sequence %d %v age %v\n", c.ID, c.Incarnation, c.Sequence, c.State, c.Age)
@@ -138,7 +138,7 @@
 	return b.String()
 }
 
-// TestSettings guards against a freshness above the 3 s that the design allows.
+// TestSettings guards against a heartbeat timeout above the 3 s that the design allows.
 func TestSettings(t *testing.T) {
 	is := is.New(t)
 	_, err := roster.New(roster.WithFreshness(4 * time.Second))
@@ -147,8 +147,8 @@
 	is.True(err != nil)
 }
 
-// TestConcurrent guards against a lost leaving announcement when renewals,
-// announcements and readers run at once. It is meant for the race detector.
+// TestConcurrent guards against a leaving announcement that is lost while renewals,
+// announcements and reads run concurrently. It is meant for the race detector.
 func TestConcurrent(t *testing.T) {
 	is := is.New(t)
 	r, err := roster.New()
--- a/internal/upstream/roster/store.go
+++ b/internal/upstream/roster/store.go
@@ -11,11 +11,11 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// maxName bounds the length of every name in an announcement in bytes, so that
-// an announcement fits into one gossip packet.
-const maxName = 64
+// maxNameBytes bounds the length of each name in an announcement, so that an
+// announcement fits into one gossip packet.
+const maxNameBytes = 64
 
-func (r *Roster) check(a upstream.Announcement) error {
+func (r *Roster) validate(a upstream.Announcement) error {
 	switch {
 	case a.ID == "":
 		return refusal.New(refusal.BadRequest, "the announcement has no id")
@@ -35,35 +35,36 @@
 	}
 	names := [...]string{string(a.ID), string(a.Pool), string(a.DataCentre), a.Accelerator, string(a.Model), a.Version, a.Adapter, a.Address}
 	for _, name := range names {
-		if len(name) > maxName {
-			return refusal.New(refusal.BadRequest, "the announcement has a name of %d bytes, more than %d", len(name), maxName)
+		if len(name) > maxNameBytes {
+			return refusal.New(refusal.BadRequest, "the announcement has a name of %d bytes, more than %d", len(name), maxNameBytes)
 		}
 	}
 	return nil
 }
 
-// store records a under the rules of the package. A zero confirmed does not
-// confirm. A late announcement is an error unless it came by gossip.
-func (r *Roster) store(a upstream.Announcement, confirmed, now time.Time, gossip bool) error {
+// store records a according to the rules of the package. heartbeat is the time of the
+// heartbeat, and zero if a does not count as one. An outdated announcement is an error
+// unless it came by gossip.
+func (r *Roster) store(a upstream.Announcement, heartbeat, now time.Time, gossip bool) error {
 	var err error
 	r.entries.Update(a.ID, func(e *entry, ok bool) (*entry, bool) {
 		if !ok {
 			e = &entry{}
-			r.replace(e, nil, a, confirmed, now)
+			r.replace(e, nil, a, heartbeat, now)
 			return e, true
 		}
-		err = r.advance(e, a, confirmed, now, gossip)
+		err = r.update(e, a, heartbeat, now, gossip)
 		return e, true
 	})
 	return err
 }
 
-// advance applies a to a known upstream. Renewals may change the confirmation at
-// the same time, everything else is guarded by the lock of the shard.
-func (r *Roster) advance(e *entry, a upstream.Announcement, confirmed, now time.Time, gossip bool) error {
+// update applies a to a known upstream. Renewals may change the last heartbeat
+// concurrently; everything else is guarded by the lock of the shard.
+func (r *Roster) update(e *entry, a upstream.Announcement, heartbeat, now time.Time, gossip bool) error {
 	s := e.state.Load()
 	if a.Incarnation > s.Incarnation {
-		r.replace(e, s, a, confirmed, now)
+		r.replace(e, s, a, heartbeat, now)
 		return nil
 	}
 	if a.Incarnation < s.Incarnation {
@@ -83,43 +84,44 @@
 		return refusal.New(refusal.Conflict, "upstream %q has announced that incarnation %d leaves; only a higher incarnation can serve again", a.ID, a.Incarnation)
 	}
 	if a.State == upstream.Leaving {
-		r.replace(e, s, a, confirmed, now)
+		r.replace(e, s, a, heartbeat, now)
 		return nil
 	}
 	if a.Sequence > s.Sequence {
-		r.replace(e, s, a, confirmed, now)
+		r.replace(e, s, a, heartbeat, now)
 		return nil
 	}
 	if gossip {
-		e.renew(a.Incarnation, confirmed)
+		e.renew(a.Incarnation, heartbeat)
 		return nil
 	}
 	return refusal.New(refusal.Conflict, "upstream %q announces sequence %d, but %d is known", a.ID, a.Sequence, s.Sequence)
 }
 
-// replace stores a as the announcement of e and keeps the pool lists current.
-func (r *Roster) replace(e *entry, old *state, a upstream.Announcement, confirmed, now time.Time) {
-	next := &state{Upstream: upstream.Upstream{Announcement: a, Confirmed: confirmed}, stored: now}
+// replace stores a as the announcement of e and updates the pool lists.
+func (r *Roster) replace(e *entry, old *state, a upstream.Announcement, heartbeat, now time.Time) {
+	next := &state{Upstream: upstream.Upstream{Announcement: a, Confirmed: heartbeat}, storedAt: now}
 	if old != nil && old.Incarnation == a.Incarnation {
-		next.version = old.version
+		next.revision = old.revision
 		next.Load = newerLoad(old.Load, a.Load)
 	}
 	if old == nil || !sameDescription(old.Announcement, a) {
-		next.version = r.version.Add(1)
+		next.revision = r.revision.Add(1)
 	}
 	for {
 		current := e.state.Load()
-		if current != nil && current.Incarnation == a.Incarnation && current.Confirmed.After(confirmed) {
+		if current != nil && current.Incarnation == a.Incarnation && current.Confirmed.After(heartbeat) {
 			next.Confirmed = current.Confirmed
 		}
 		if e.state.CompareAndSwap(current, next) {
 			break
 		}
 	}
-	r.relist(e, old, next)
+	r.updatePoolLists(e, old, next)
 }
 
-// newerLoad returns b unless a is newer. Announcements by gossip carry no load.
+// newerLoad returns the newer one of two loads, and b if they are equally old.
+// Announcements by gossip carry no load.
 func newerLoad(a, b upstream.Load) upstream.Load {
 	if a.At.After(b.At) {
 		return a
@@ -133,21 +135,21 @@
 	return a == b
 }
 
-func (r *Roster) relist(e *entry, old, next *state) {
+func (r *Roster) updatePoolLists(e *entry, old, next *state) {
 	wasListed := old != nil && old.State == upstream.Serving
 	isListed := next.State == upstream.Serving
 	if wasListed && isListed && old.Pool == next.Pool {
 		return
 	}
 	if wasListed {
-		r.unlist(e, old.Pool)
+		r.removeFromPool(e, old.Pool)
 	}
 	if isListed {
-		r.list(e, next.Pool)
+		r.addToPool(e, next.Pool)
 	}
 }
 
-func (r *Roster) list(e *entry, id fleet.PoolID) {
+func (r *Roster) addToPool(e *entry, id fleet.PoolID) {
 	p := r.pool(id)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +159,7 @@
 	p.entries.Store(&entries)
 }
 
-func (r *Roster) unlist(e *entry, id fleet.PoolID) {
+func (r *Roster) removeFromPool(e *entry, id fleet.PoolID) {
 	p := r.pool(id)
 	p.mu.Lock()
 	defer p.mu.Unlock()
