--- a/internal/document/configgroup/configgroup.go
+++ b/internal/document/configgroup/configgroup.go
@@ -1,8 +1,8 @@
-// Package configgroup joins the state machines that share the config group: the
-// register of the document and the fencing leases.
+// Package configgroup combines the state machines that the config group
+// replicates: the register of the configuration document and the fencing leases.
 //
 // The first byte of a command or query selects the state machine. Select returns
-// a proposer that adds it:
+// a proposer that prepends it:
 //
 //	machine := configgroup.New(register.New(), fencing.NewMachine())
 //	client := register.NewClient(configgroup.Select(proposer, configgroup.Register), quorum.ConfigGroup, clock)
@@ -16,18 +16,18 @@
 	"github.com/pkg/errors"
 )
 
-// Part selects a state machine of the config group.
-type Part byte
+// MachineID selects a state machine of the config group.
+type MachineID byte
 
-// The parts of the config group.
+// The state machines of the config group.
 const (
-	Register Part = 'r'
-	Fencing  Part = 'f'
+	Register MachineID = 'r'
+	Fencing  MachineID = 'f'
 )
 
 const snapshotVersion = 1
 
-// Machine passes commands and queries on to the state machine that their first
+// Machine dispatches commands and queries to the state machine that their first
 // byte selects. A command without a known first byte changes nothing and has an
 // empty reply.
 type Machine struct {
@@ -42,11 +42,11 @@
 	return &Machine{register: register, fencing: fencing}
 }
 
-func (m *Machine) part(data []byte) (quorum.Reader, []byte) {
+func (m *Machine) route(data []byte) (quorum.Reader, []byte) {
 	if len(data) == 0 {
 		return nil, nil
 	}
-	switch Part(data[0]) {
+	switch MachineID(data[0]) {
 	case Register:
 		return m.register, data[1:]
 	case Fencing:
@@ -57,49 +57,50 @@
 
 // Apply runs a command.
 func (m *Machine) Apply(i quorum.Index, command []byte) []byte {
-	r, rest := m.part(command)
-	if r == nil {
+	machine, rest := m.route(command)
+	if machine == nil {
 		return nil
 	}
-	return r.Apply(i, rest)
+	return machine.Apply(i, rest)
 }
 
 // Query answers a query.
 func (m *Machine) Query(query []byte) []byte {
-	r, rest := m.part(query)
-	if r == nil {
+	machine, rest := m.route(query)
+	if machine == nil {
 		return nil
 	}
-	return r.Query(rest)
+	return machine.Query(rest)
 }
 
-// Snapshot returns the version, the length of the register's snapshot in 8
-// bytes, and the two snapshots.
+// Snapshot returns the version in one byte, the length of the register's
+// snapshot in 8 bytes (big-endian), the register's snapshot and the snapshot of
+// the leases.
 func (m *Machine) Snapshot() ([]byte, error) {
-	first, err := m.register.Snapshot()
+	registerData, err := m.register.Snapshot()
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot of the register")
 	}
-	second, err := m.fencing.Snapshot()
+	fencingData, err := m.fencing.Snapshot()
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot of the leases")
 	}
 	data := []byte{snapshotVersion}
-	data = binary.BigEndian.AppendUint64(data, uint64(len(first)))
-	data = append(data, first...)
-	return append(data, second...), nil
+	data = binary.BigEndian.AppendUint64(data, uint64(len(registerData)))
+	data = append(data, registerData...)
+	return append(data, fencingData...), nil
 }
 
 // Restore replaces the state of both state machines.
 func (m *Machine) Restore(snapshot []byte) error {
-	const header = 1 + 8
-	if len(snapshot) < header || snapshot[0] != snapshotVersion {
-		return errors.New("snapshot of the config group has an unknown form")
+	const headerBytes = 1 + 8
+	if len(snapshot) < headerBytes || snapshot[0] != snapshotVersion {
+		return errors.New("snapshot of the config group has an unsupported version or an incomplete header")
 	}
-	length := binary.BigEndian.Uint64(snapshot[1:header])
-	rest := snapshot[header:]
+	length := binary.BigEndian.Uint64(snapshot[1:headerBytes])
+	rest := snapshot[headerBytes:]
 	if length > uint64(len(rest)) {
-		return errors.New("snapshot of the config group is too short")
+		return errors.New("snapshot of the config group is truncated")
 	}
 	if err := m.register.Restore(rest[:length]); err != nil {
 		return err
@@ -107,25 +108,25 @@
 	return m.fencing.Restore(rest[length:])
 }
 
-// Select returns a proposer whose commands and queries go to one part of the
-// group.
-func Select(p quorum.Proposer, part Part) quorum.Proposer {
-	return selector{proposer: p, part: part}
+// Select returns a proposer whose commands and queries go to one state machine
+// of the group.
+func Select(p quorum.Proposer, id MachineID) quorum.Proposer {
+	return prefixProposer{proposer: p, id: id}
 }
 
-type selector struct {
+type prefixProposer struct {
 	proposer quorum.Proposer
-	part     Part
+	id       MachineID
 }
 
-func (s selector) Propose(ctx context.Context, g quorum.GroupID, command []byte) ([]byte, error) {
-	return s.proposer.Propose(ctx, g, s.mark(command))
+func (s prefixProposer) Propose(ctx context.Context, g quorum.GroupID, command []byte) ([]byte, error) {
+	return s.proposer.Propose(ctx, g, s.withPrefix(command))
 }
 
-func (s selector) Read(ctx context.Context, g quorum.GroupID, query []byte) ([]byte, error) {
-	return s.proposer.Read(ctx, g, s.mark(query))
+func (s prefixProposer) Read(ctx context.Context, g quorum.GroupID, query []byte) ([]byte, error) {
+	return s.proposer.Read(ctx, g, s.withPrefix(query))
 }
 
-func (s selector) mark(data []byte) []byte {
-	return append([]byte{byte(s.part)}, data...)
+func (s prefixProposer) withPrefix(data []byte) []byte {
+	return append([]byte{byte(s.id)}, data...)
 }
