--- a/internal/document/follower/core.go
+++ b/internal/document/follower/core.go
@@ -16,51 +16,58 @@
 )
 
 const (
-	// relayCount is the number of instances of a data centre that fetch from
-	// voters.
-	relayCount = 2
-	// surveyCount bounds the peers that a started instance asks.
-	surveyCount = 8
-	// otherCount bounds the instances besides relays and voters that are asked
+	// relaysPerDataCentre is the number of instances of a data centre that fetch
+	// from voters.
+	relaysPerDataCentre = 2
+	// maxStartupPeers limits the peers that a starting instance asks at once.
+	maxStartupPeers = 8
+	// maxOtherPeers limits the instances besides relays and voters that are asked
 	// because they have a higher revision.
-	otherCount = 3
+	maxOtherPeers = 3
 
-	pollWait     = 4 * time.Second
+	longPollTimeout = 4 * time.Second
+	// fetchTimeout is the time that a fetch may take in addition to its long poll.
 	fetchTimeout = 2 * time.Second
-	shortPause   = 200 * time.Millisecond
-	longPause    = time.Second
-	// faultPause is the pause after a second document in a row that can't be
-	// put into force, so that whole documents are not fetched all the time.
-	faultPause = 10 * time.Second
+	// pollInterval is the pause after a round without a change.
+	pollInterval = 200 * time.Millisecond
+	// sourceBackoff is the pause after a source that did not answer or is behind.
+	sourceBackoff = time.Second
+	// rejectionBackoff is the pause after the second and each further consecutive
+	// document that was rejected, so that whole documents are not fetched all the
+	// time.
+	rejectionBackoff = 10 * time.Second
 )
 
-// core decides which peers are asked and what their replies change. It does not
-// wait and sends nothing.
+// core decides which peers are asked and processes their replies. It does not wait
+// and does no network I/O.
 type core struct {
 	cell   *board.Cell[document.Config]
 	doc    document.Document
-	parsed map[fleet.TeamID]parsed
-	// whole asks for the whole document, after a difference that did not fit.
-	whole bool
-	// faults counts the unusable replies in a row.
-	faults int
-	// attempt counts the sources that were of no use in a row.
-	attempt int
-	status  Status
+	parsed map[fleet.TeamID]parsedSection
+	// fetchFull asks for the whole document, after a reply that was rejected.
+	fetchFull bool
+	// rejections counts consecutive rejected replies.
+	rejections int
+	// failedAttempts counts the rounds since the last change in which no source
+	// was of use. It selects the sources of the next round.
+	failedAttempts int
+	status         Status
 }
 
-// parsed is a section that was parsed before, with its text.
-type parsed struct {
-	text   string
-	result *section.Parsed
+// parsedSection is the text of a section and its parsed content, kept so that
+// unchanged sections are not parsed again.
+type parsedSection struct {
+	text    string
+	content *section.Parsed
 }
 
-// plan says which peers to ask, all at once, and how.
-type plan struct {
+// fetchPlan describes one round of fetches, which are all sent at once.
+type fetchPlan struct {
 	peers []membership.Member
 	after fleet.Revision
-	// wait is the time for which a peer may hold its reply until it has news.
-	wait time.Duration
+	// longPoll is the time for which a peer may delay its reply until it has a
+	// newer revision.
+	longPoll time.Duration
 }
 
 // result is the reply of one peer.
@@ -71,119 +78,121 @@
 }
 
 func newCore(cell *board.Cell[document.Config]) *core {
-	return &core{cell: cell, parsed: make(map[fleet.TeamID]parsed)}
+	return &core{cell: cell, parsed: make(map[fleet.TeamID]parsedSection)}
 }
 
-// plan returns whom to ask next. A core that is not ready asks several peers, so
-// that it starts with the highest revision among them.
-func (c *core) plan(self membership.Member, members []membership.Member) plan {
-	p := plan{after: c.doc.Revision}
-	if c.whole {
+// planFetch returns the next fetches. A core that is not ready asks several peers,
+// so that it starts with the highest revision among them.
+func (c *core) planFetch(self membership.Member, members []membership.Member) fetchPlan {
+	p := fetchPlan{after: c.doc.Revision}
+	if c.fetchFull {
 		p.after = 0
 	}
-	sources, others := sourcesOf(self, members, c.doc.Revision)
+	sources, others := selectSources(self, members, c.doc.Revision)
 	if c.status.State != Ready {
-		p.peers = survey(append(sources, others...), c.attempt)
+		p.peers = startupPeers(append(sources, others...), c.failedAttempts)
 		return p
 	}
-	sources = append(sources, others[:min(len(others), otherCount)]...)
+	sources = append(sources, others[:min(len(others), maxOtherPeers)]...)
 	if len(sources) > 0 {
-		p.peers = []membership.Member{sources[c.attempt%len(sources)]}
-		p.wait = pollWait
+		p.peers = []membership.Member{sources[c.failedAttempts%len(sources)]}
+		p.longPoll = longPollTimeout
 	}
 	return p
 }
 
-// survey returns the peers that a started instance asks. Each attempt asks others
-// when there are too many for one.
-func survey(list []membership.Member, attempt int) []membership.Member {
-	if len(list) <= surveyCount {
+// startupPeers returns the peers that a starting instance asks. When there are too
+// many for one round, each round asks others.
+func startupPeers(list []membership.Member, round int) []membership.Member {
+	if len(list) <= maxStartupPeers {
 		return list
 	}
 	var peers []membership.Member
-	for i := range surveyCount {
-		peers = append(peers, list[(attempt*surveyCount+i)%len(list)])
+	for i := range maxStartupPeers {
+		peers = append(peers, list[(round*maxStartupPeers+i)%len(list)])
 	}
 	return peers
 }
 
-// take uses the results of a plan and returns the pause before the next plan.
-func (c *core) take(p plan, results []result, members []membership.Member, now time.Time) time.Duration {
-	answered, best := false, fleet.Revision(0)
-	news := false
+// handleResults processes the results of a plan and returns the pause before the
+// next round.
+func (c *core) handleResults(p fetchPlan, results []result, members []membership.Member, now time.Time) time.Duration {
+	answered, highestOffered := false, fleet.Revision(0)
+	changed := false
 	for _, r := range results {
 		if r.err != nil {
 			continue
 		}
 		answered = true
-		best = max(best, r.reply.Document.Revision)
-		news = c.apply(p, r, now) || news
+		highestOffered = max(highestOffered, r.reply.Document.Revision)
+		changed = c.apply(p, r, now) || changed
 	}
-	c.status.Highest = max(c.doc.Revision, best, highest(members))
-	if answered && best >= c.doc.Revision {
+	c.status.Highest = max(c.doc.Revision, highestOffered, highestRevision(members))
+	if answered && highestOffered >= c.doc.Revision {
 		c.status.Confirmed = now
 	}
-	c.decideReady(answered, best)
+	c.updateState(answered, highestOffered)
 	switch {
-	case news:
-		c.attempt = 0
+	case changed:
+		c.failedAttempts = 0
 		return 0
-	case c.faults > 0:
-		c.attempt++
-		if c.faults > 1 {
-			return faultPause
+	case c.rejections > 0:
+		c.failedAttempts++
+		if c.rejections > 1 {
+			return rejectionBackoff
 		}
-		return shortPause
-	case !answered || best < c.status.Highest:
-		// The source is lost or behind what gossip tells.
-		c.attempt++
-		return longPause
+		return pollInterval
+	case !answered || highestOffered < c.status.Highest:
+		// The source did not answer or is behind the revision known from gossip.
+		c.failedAttempts++
+		return sourceBackoff
 	}
-	return shortPause
+	return pollInterval
 }
 
-// decideReady makes the core ready once it has the highest revision that any
-// reachable peer offered.
-func (c *core) decideReady(answered bool, best fleet.Revision) {
+// updateState makes the core ready once it has the highest revision that any
+// reached peer offered.
+func (c *core) updateState(answered bool, highestOffered fleet.Revision) {
 	switch {
 	case c.status.State == Ready:
 	case !answered:
 		c.status.State = Alone
-	case c.doc.Revision >= best:
+	case c.doc.Revision >= highestOffered:
 		c.status.State = Ready
 	default:
 		c.status.State = Behind
 	}
 }
 
-// apply puts a reply into force when it is newer and sound.
-func (c *core) apply(p plan, r result, now time.Time) bool {
+// apply activates the document of a reply when it is newer and valid. It reports
+// whether the active revision changed.
+func (c *core) apply(p fetchPlan, r result, now time.Time) bool {
 	if r.reply.Document.Revision <= c.doc.Revision {
 		return false
 	}
 	if !r.reply.Full && p.after != c.doc.Revision {
-		return false // made for a document that another reply replaced
+		return false // the reply is a diff against a document that another reply replaced
 	}
 	next, err := merge(c.doc, r.reply)
 	if err == nil {
-		err = c.enforce(next)
+		err = c.activate(next)
 	}
 	if err != nil {
-		c.whole = true
-		c.faults++
+		c.fetchFull = true
+		c.rejections++
 		c.status.Fault = errors.Wrapf(err, "revision %d from %s", r.reply.Document.Revision, r.from.ID).Error()
 		return false
 	}
-	c.whole = false
-	c.faults = 0
+	c.fetchFull = false
+	c.rejections = 0
 	c.status.Fault = ""
 	c.status.Revision, c.status.Since, c.status.Source = next.Revision, now, r.from.ID
 	return true
 }
 
-// enforce checks a document whole and puts it on the board.
-func (c *core) enforce(next document.Document) error {
-	cache := make(map[fleet.TeamID]parsed, len(next.Sections))
+// activate validates a document as a whole and stores its Config in the cell.
+func (c *core) activate(next document.Document) error {
+	sections := make(map[fleet.TeamID]parsedSection, len(next.Sections))
 	var list []*section.Parsed
 	for _, s := range next.Sections {
 		known, ok := c.parsed[s.Team]
@@ -192,12 +201,12 @@
 			if err != nil {
 				return errors.Wrapf(err, "section of team %s", s.Team)
 			}
-			known = parsed{text: s.Text, result: result}
+			known = parsedSection{text: s.Text, content: result}
 		}
-		cache[s.Team] = known
-		list = append(list, known.result)
+		sections[s.Team] = known
+		list = append(list, known.content)
 	}
-	if err := section.Cross(list, ""); err != nil {
+	if err := section.CrossCheck(list, ""); err != nil {
 		return err
 	}
 	config, err := section.Build(next.Revision, list)
@@ -208,12 +217,12 @@
 	if !c.cell.Advance(config, newer) {
 		return errors.New("a newer configuration is in force")
 	}
-	c.doc, c.parsed = next, cache
+	c.doc, c.parsed = next, sections
 	return nil
 }
 
-// since returns what changed in the document after a revision.
-func (c *core) since(after fleet.Revision) Reply {
+// changesSince returns the sections that changed after a revision.
+func (c *core) changesSince(after fleet.Revision) Reply {
 	r := Reply{Document: document.Document{Revision: c.doc.Revision}, Full: after == 0}
 	for _, s := range c.doc.Sections {
 		if s.Revision > after {
@@ -224,8 +233,8 @@
 }
 
 // merge returns old with the sections of a reply. The newest section of a
-// document always has the revision of the document, so a reply in which it has
-// another one is not complete or damaged.
+// document always has the revision of the document, so a reply without such a
+// section is incomplete or damaged.
 func merge(old document.Document, r Reply) (document.Document, error) {
 	next := document.Document{Revision: r.Document.Revision}
 	replaced := make(map[fleet.TeamID]bool)
@@ -253,43 +262,44 @@
 	return next, nil
 }
 
-// sourcesOf returns the peers to ask, the best first, and other peers with a
-// higher revision. A voter asks itself, relays ask voters, and all others ask the
-// relays of their data centre.
-func sourcesOf(self membership.Member, members []membership.Member, own fleet.Revision) (list, others []membership.Member) {
+// selectSources returns the peers to ask, in order of preference, and other peers
+// with a revision above ownRevision. A voter asks itself, relays ask voters, and
+// all others ask the relays of their data centre.
+func selectSources(self membership.Member, members []membership.Member, ownRevision fleet.Revision) (sources, others []membership.Member) {
 	var voters, relays []membership.Member
-	chosen := relaysOf(self.DataCentre, members)
+	relayMembers := relaysOf(self.DataCentre, members)
 	for _, m := range members {
 		usable := m.Status == membership.Alive || m.Status == membership.Suspect
 		switch {
 		case !usable || m.ID == self.ID:
 		case m.Voter:
 			voters = append(voters, m)
-		case contains(chosen, m.ID):
+		case contains(relayMembers, m.ID):
 			relays = append(relays, m)
-		case m.Revision > own:
+		case m.Revision > ownRevision:
 			others = append(others, m)
 		}
 	}
 	if self.Voter {
-		list = append(list, self)
+		sources = append(sources, self)
 	}
-	prefer(self, voters)
-	prefer(self, relays)
-	prefer(self, others)
-	if self.Voter || contains(chosen, self.ID) {
-		list = append(append(list, voters...), relays...)
+	sortByPreference(self, voters)
+	sortByPreference(self, relays)
+	sortByPreference(self, others)
+	if self.Voter || contains(relayMembers, self.ID) {
+		sources = append(append(sources, voters...), relays...)
 	} else {
-		list = append(append(list, relaysFirst(chosen, voters, relays)...), voters...)
+		sources = append(append(sources, localRelays(relayMembers, voters, relays)...), voters...)
 	}
-	return unique(list), others
+	return deduplicate(sources), others
 }
 
-// relaysFirst returns the relays of the data centre, voters among them included.
-func relaysFirst(chosen, voters, relays []membership.Member) []membership.Member {
+// localRelays returns the relays of the data centre, including those that are
+// voters.
+func localRelays(relayMembers, voters, relays []membership.Member) []membership.Member {
 	list := slices.Clone(relays)
 	for _, v := range voters {
-		if contains(chosen, v.ID) {
+		if contains(relayMembers, v.ID) {
 			list = append(list, v)
 		}
 	}
@@ -306,15 +316,15 @@
 		}
 	}
 	slices.SortFunc(local, func(a, b membership.Member) int {
-		return cmp.Or(cmp.Compare(weight(string(id), b.ID), weight(string(id), a.ID)), strings.Compare(string(a.ID), string(b.ID)))
+		return cmp.Or(cmp.Compare(rendezvousHash(string(id), b.ID), rendezvousHash(string(id), a.ID)), strings.Compare(string(a.ID), string(b.ID)))
 	})
-	return local[:min(len(local), relayCount)]
+	return local[:min(len(local), relaysPerDataCentre)]
 }
 
-// prefer orders peers: alive before suspect, the own data centre before others,
-// and then by a hash that spreads the instances over the peers.
-func prefer(self membership.Member, peers []membership.Member) {
-	far := func(m membership.Member) int {
+// sortByPreference orders peers: alive before suspect, the own data centre before
+// others, and then by a hash that spreads the instances over the peers.
+func sortByPreference(self membership.Member, peers []membership.Member) {
+	distance := func(m membership.Member) int {
 		if m.DataCentre == self.DataCentre {
 			return 0
 		}
@@ -323,14 +333,14 @@
 	slices.SortFunc(peers, func(a, b membership.Member) int {
 		return cmp.Or(
 			cmp.Compare(a.Status, b.Status),
-			cmp.Compare(far(a), far(b)),
-			cmp.Compare(weight(string(self.ID), b.ID), weight(string(self.ID), a.ID)),
+			cmp.Compare(distance(a), distance(b)),
+			cmp.Compare(rendezvousHash(string(self.ID), b.ID), rendezvousHash(string(self.ID), a.ID)),
 			strings.Compare(string(a.ID), string(b.ID)),
 		)
 	})
 }
 
-func weight(key string, id fleet.InstanceID) uint64 {
+func rendezvousHash(key string, id fleet.InstanceID) uint64 {
 	return xxhash.Sum64String(key + "/" + string(id))
 }
 
@@ -338,7 +348,7 @@
 	return slices.ContainsFunc(list, func(m membership.Member) bool { return m.ID == id })
 }
 
-func unique(list []membership.Member) []membership.Member {
+func deduplicate(list []membership.Member) []membership.Member {
 	var kept []membership.Member
 	for _, m := range list {
 		if !contains(kept, m.ID) {
@@ -348,7 +358,7 @@
 	return kept
 }
 
-func highest(members []membership.Member) fleet.Revision {
+func highestRevision(members []membership.Member) fleet.Revision {
 	best := fleet.Revision(0)
 	for _, m := range members {
 		if m.Status == membership.Alive || m.Status == membership.Suspect {
--- a/internal/document/follower/follower.go
+++ b/internal/document/follower/follower.go
@@ -1,16 +1,16 @@
-// Package follower keeps the configuration in force of an instance up to date.
+// Package follower keeps the active configuration of an instance up to date.
 //
-// Gossip carries revision numbers only. A Follower fetches what changed after
-// its own revision from a peer: two relays of each data centre fetch from voters,
-// all other instances from the relays. It checks the document whole and then
-// puts it on the board. The revision in force never decreases.
+// Gossip carries revision numbers only. A Follower fetches the changes since its
+// own revision from a peer: two relays of each data centre fetch from voters, all
+// other instances from the relays. It validates the document as a whole and then
+// stores the Config in a board.Cell. The active revision never decreases.
 //
 //	f := follower.New(view, fetcher, clock, &cell, logger)
 //	defer f.Close()
 //	ready := f.Status().State == follower.Ready
 //
-// A started instance is ready once it has the highest revision that any peer
-// offered that it reached. It is Alone as long as it reaches none.
+// A started instance is Ready once it has the highest revision offered by the
+// peers that it reached. It is Alone as long as it reaches none.
 package follower
 
 import (
@@ -25,7 +25,7 @@
 	"go.uber.org/zap"
 )
 
-// Reply is what a peer has after a revision.
+// Reply holds the changes of the document since a revision.
 type Reply struct {
 	// Document has the revision of the peer and the changed sections, or all
 	// sections when Full is set.
@@ -33,27 +33,28 @@
 	Full     bool
 }
 
-// Fetcher asks peers for the document.
+// Fetcher fetches the document from peers.
 type Fetcher interface {
-	// Fetch returns what a peer has after a revision, or the whole document for
-	// revision zero. The peer may hold its reply up to wait until it has
-	// something newer. A voter passes itself as the peer and reads its replica.
+	// Fetch returns the changes that a peer has since a revision, or the whole
+	// document for revision zero. The peer may delay its reply by up to wait
+	// until it has a newer revision. A voter passes itself as the peer and reads
+	// its replica.
 	Fetch(ctx context.Context, from membership.Member, after fleet.Revision, wait time.Duration) (Reply, error)
 }
 
-// State tells whether the configuration in force may be used.
+// State tells whether the active configuration may be used.
 type State int
 
 // The states of a Follower. Ready is final.
 const (
-	// Starting means that no peer was asked yet.
+	// Starting means that no peer has been asked yet.
 	Starting State = iota // starting
 	// Alone means that no peer was reached.
 	Alone // alone
 	// Behind means that a reached peer has a higher revision.
 	Behind // behind
-	// Ready means that the highest revision of the reached peers is in force, or
-	// was in force once.
+	// Ready means that the highest revision of the reached peers is active or
+	// was active before.
 	Ready // ready
 )
 
@@ -62,24 +63,24 @@
 // MarshalText returns the name of the value.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Status tells how current the configuration in force is.
+// Status describes the active configuration and how current it is.
 type Status struct {
 	State State `json:"state"`
-	// Revision is in force since Since and came from Source.
+	// Revision became active at Since and was fetched from Source.
 	Revision fleet.Revision   `json:"revision"`
 	Since    time.Time        `json:"since"`
 	Source   fleet.InstanceID `json:"source"`
-	// Highest is the highest revision heard of. The instance lags when it is
-	// higher than Revision.
+	// Highest is the highest revision known from peers and from gossip. The
+	// instance lags when it is higher than Revision.
 	Highest fleet.Revision `json:"highest"`
-	// Confirmed is the last time at which a peer had nothing newer.
+	// Confirmed is the last time at which a peer had no newer revision.
 	Confirmed time.Time `json:"confirmed"`
-	// Fault says why the last newer document was not put into force.
+	// Fault says why the last newer document was rejected.
 	Fault string `json:"fault,omitempty"`
 }
 
-// Age returns the time since a peer confirmed the revision in force, or since
-// the start when none did.
+// ConfirmationAge returns the time since a peer confirmed the active revision,
+// or since the start when none did.
 func (s Status) Age(now time.Time) time.Duration { return now.Sub(s.Confirmed) }
 
 // Follower fetches the configuration of one instance. It is safe for concurrent
@@ -97,8 +98,8 @@
 	changed chan struct{} // closed when the revision changes
 }
 
-// New starts a Follower that puts the configuration into cell. The cell must
-// have no other writer.
+// New starts a Follower that stores the configuration in cell. The cell must have
+// no other writer.
 func New(v membership.View, f Fetcher, c fleet.Clock, cell *board.Cell[document.Config], log *zap.Logger) *Follower {
 	ctx, stop := context.WithCancel(context.Background())
 	w := &Follower{
@@ -115,7 +116,7 @@
 	go func() {
 		defer close(w.done)
 		for ctx.Err() == nil {
-			w.pause(ctx, w.round(ctx))
+			w.sleep(ctx, w.runRound(ctx))
 		}
 	}()
 	return w
@@ -127,21 +128,21 @@
 	<-w.done
 }
 
-// Status returns how current the configuration in force is.
+// Status returns the status of the active configuration.
 func (w *Follower) Status() Status {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.core.status
 }
 
-// ChangesSince returns what is in force after a revision. When there is nothing
-// newer, it waits up to wait for it. Relays answer the Fetch of their peers with
-// it.
+// ChangesSince returns the changes of the active document since a revision. When
+// there is no newer revision, it waits for one, but not longer than wait. Relays
+// call it to answer the Fetch of their peers.
 func (w *Follower) ChangesSince(ctx context.Context, after fleet.Revision, wait time.Duration) Reply {
 	timeout := w.clock.After(wait)
 	for {
 		w.mu.Lock()
-		r, changed := w.core.since(after), w.changed
+		r, changed := w.core.changesSince(after), w.changed
 		w.mu.Unlock()
 		if r.Document.Revision > after || wait <= 0 {
 			return r
@@ -156,26 +157,27 @@
 	}
 }
 
-// round asks peers once and returns the pause before the next round.
-func (w *Follower) round(ctx context.Context) time.Duration {
+// runRound fetches from peers once and returns the pause before the next round.
+func (w *Follower) runRound(ctx context.Context) time.Duration {
 	members := w.view.Members()
 	w.mu.Lock()
-	p := w.core.plan(w.view.Self(), members)
+	p := w.core.planFetch(w.view.Self(), members)
 	w.mu.Unlock()
-	results := w.ask(ctx, p)
+	results := w.fetchAll(ctx, p)
 	if ctx.Err() != nil {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	before := w.core.status
-	pause := w.core.take(p, results, members, w.clock.Now())
-	w.report(before, w.core.status)
+	pause := w.core.handleResults(p, results, members, w.clock.Now())
+	w.publishChanges(before, w.core.status)
 	return pause
 }
 
-// report logs what a round changed and wakes the waiting peers.
-func (w *Follower) report(before, after Status) {
+// publishChanges logs what a round changed and wakes the waiting calls of
+// ChangesSince.
+func (w *Follower) publishChanges(before, after Status) {
 	if before.Revision != after.Revision {
 		close(w.changed)
 		w.changed = make(chan struct{})
@@ -189,17 +191,17 @@
 	}
 }
 
-// ask fetches from all peers of a plan at once. The results are in the order of
-// the peers.
-func (w *Follower) ask(ctx context.Context, p plan) []result {
+// fetchAll fetches from all peers of a plan concurrently. The results are in the
+// order of the peers.
+func (w *Follower) fetchAll(ctx context.Context, p fetchPlan) []result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	timeout := w.clock.After(p.wait + fetchTimeout)
+	timeout := w.clock.After(p.longPoll + fetchTimeout)
 	results := make([]result, len(p.peers))
 	var group sync.WaitGroup
 	for i, m := range p.peers {
 		group.Go(func() {
-			reply, err := w.fetcher.Fetch(ctx, m, p.after, p.wait)
+			reply, err := w.fetcher.Fetch(ctx, m, p.after, p.longPoll)
 			results[i] = result{from: m, reply: reply, err: err}
 		})
 	}
@@ -217,7 +219,7 @@
 	return results
 }
 
-func (w *Follower) pause(ctx context.Context, d time.Duration) {
+func (w *Follower) sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
--- a/internal/document/follower/follower_test.go
+++ b/internal/document/follower/follower_test.go
@@ -25,60 +25,61 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	instances = 15
-	centres   = 3
+	instances   = 15
+	dataCentres = 3
 )
 
-// world holds instances in three data centres, of which the first in each is a
-// voter with its own replica.
-type world struct {
-	t        *testing.T
-	seed     int64
-	random   *rand.Rand
-	calm     bool
-	now      time.Time
-	members  []membership.Member
-	cores    []*core
-	cells    []*board.Cell[document.Config]
-	replicas []*register.Register
-	log      []document.Submission
-	truth    []document.Document // by revision
-	cut      [centres]bool
-	down     [instances]bool
+// simulation holds instances in three data centres. The first instance in each
+// data centre is a voter with its own replica.
+type simulation struct {
+	t           *testing.T
+	seed        int64
+	random      *rand.Rand
+	faultFree   bool
+	now         time.Time
+	members     []membership.Member
+	cores       []*core
+	cells       []*board.Cell[document.Config]
+	replicas    []*register.Register
+	submissions []document.Submission
+	documents   []document.Document // accepted documents by revision
+	partitioned [dataCentres]bool
+	down        [instances]bool
 }
 
-func newWorld(t *testing.T, seed int64) *world {
-	w := &world{t: t, seed: seed, random: rand.New(rand.NewSource(seed)), now: fakeclock.Start, truth: make([]document.Document, 1)}
+func newSimulation(t *testing.T, seed int64) *simulation {
+	w := &simulation{t: t, seed: seed, random: rand.New(rand.NewSource(seed)), now: fakeclock.Start, documents: make([]document.Document, 1)}
 	for i := range instances {
 		w.members = append(w.members, membership.Member{
 			ID:         fleet.InstanceID(fmt.Sprint("i", i)),
-			DataCentre: fleet.DataCentreID(fmt.Sprint("dc", i%centres)),
-			Voter:      i < centres,
+			DataCentre: fleet.DataCentreID(fmt.Sprint("dc", i%dataCentres)),
+			Voter:      i < dataCentres,
 		})
 		w.cores = append(w.cores, nil)
 		w.cells = append(w.cells, nil)
-		w.restart(i)
+		w.restartInstance(i)
 	}
-	for range centres {
+	for range dataCentres {
 		w.replicas = append(w.replicas, register.New())
 	}
 	return w
 }
 
-func (w *world) restart(i int) {
+func (w *simulation) restartInstance(i int) {
 	w.cells[i] = &board.Cell[document.Config]{}
 	w.cores[i] = newCore(w.cells[i])
 	w.members[i].Revision = 0
 	w.down[i] = false
 }
 
-// accept adds a revision. The replicas apply it later.
-func (w *world) accept() {
-	n := len(w.truth)
+// submitRandom adds a revision with a change of a random team. The replicas apply
+// it later.
+func (w *simulation) submitRandom() {
+	n := len(w.documents)
 	team := fmt.Sprint("team", w.random.Intn(4))
 	s := document.Submission{Change: fleet.ChangeID(fmt.Sprint(n)), Team: fleet.TeamID(team), At: fakeclock.Start, Text: fmt.Sprintf("[dataCentre \"%s\"]\nregion = r%d\n", team, n)}
 	reference := register.New()
-	for _, old := range w.log {
+	for _, old := range w.submissions {
 		reference.Submit(old)
 	}
 	for _, x := range reference.Document().Sections {
@@ -89,45 +90,45 @@
 	if o := reference.Submit(s); o.Verdict != document.Accepted {
 		w.t.Fatal(o.Reason)
 	}
-	w.log = append(w.log, s)
-	w.truth = append(w.truth, reference.Document())
+	w.submissions = append(w.submissions, s)
+	w.documents = append(w.documents, reference.Document())
 }
 
-// replicate lets a replica apply what it lacks.
-func (w *world) replicate(i int) {
+// replicate applies the submissions that a replica lacks.
+func (w *simulation) replicate(i int) {
 	r := w.replicas[i]
-	for _, s := range w.log[r.Document().Revision:] {
+	for _, s := range w.submissions[r.Document().Revision:] {
 		r.Submit(s)
 	}
 }
 
-func (w *world) index(id fleet.InstanceID) int {
+func (w *simulation) index(id fleet.InstanceID) int {
 	var i int
 	_, _ = fmt.Sscanf(string(id), "i%d", &i)
 	return i
 }
 
-func (w *world) reaches(from, to int) bool {
-	same := from%centres == to%centres
-	return !w.down[to] && (same || !w.cut[from%centres] && !w.cut[to%centres])
+func (w *simulation) reaches(from, to int) bool {
+	same := from%dataCentres == to%dataCentres
+	return !w.down[to] && (same || !w.partitioned[from%dataCentres] && !w.partitioned[to%dataCentres])
 }
 
-func (w *world) fetch(from, to int, after fleet.Revision) (Reply, error) {
-	if from != to && (!w.reaches(from, to) || !w.calm && w.random.Intn(6) == 0) {
+func (w *simulation) fetch(from, to int, after fleet.Revision) (Reply, error) {
+	if from != to && (!w.reaches(from, to) || !w.faultFree && w.random.Intn(6) == 0) {
 		return Reply{}, errors.New("unreachable")
 	}
-	r := w.cores[to].since(after)
+	r := w.cores[to].changesSince(after)
 	if w.members[to].Voter {
 		r.Document, r.Full = w.replicas[to].ChangesSince(after)
 	}
-	if n := len(r.Document.Sections); !w.calm && n > 0 && w.random.Intn(8) == 0 {
-		r.Document.Sections = w.damage(append([]document.Section(nil), r.Document.Sections...))
+	if n := len(r.Document.Sections); !w.faultFree && n > 0 && w.random.Intn(8) == 0 {
+		r.Document.Sections = w.corrupt(append([]document.Section(nil), r.Document.Sections...))
 	}
 	return r, nil
 }
 
-// damage alters a reply in a way that the instance can detect.
-func (w *world) damage(sections []document.Section) []document.Section {
+// corrupt damages the sections of a reply in a way that the instance can detect.
+func (w *simulation) corrupt(sections []document.Section) []document.Section {
 	s := &sections[w.random.Intn(len(sections))]
 	switch w.random.Intn(5) {
 	case 0:
@@ -145,8 +146,8 @@
 	return sections
 }
 
-// view returns the members as instance i knows them.
-func (w *world) view(i int) []membership.Member {
+// membersSeenBy returns the members as instance i sees them.
+func (w *simulation) membersSeenBy(i int) []membership.Member {
 	var list []membership.Member
 	for n, m := range w.members {
 		if !w.reaches(i, n) {
@@ -157,14 +158,15 @@
 	return list
 }
 
-// step runs one round of an instance and checks what it put into force.
-func (w *world) step(i int) {
+// runRound runs one round of an instance and checks the configuration that it
+// activated.
+func (w *simulation) runRound(i int) {
 	if w.down[i] {
 		return
 	}
-	c, members := w.cores[i], w.view(i)
+	c, members := w.cores[i], w.membersSeenBy(i)
 	before, state := c.doc.Revision, c.status.State
-	p := c.plan(w.members[i], members)
+	p := c.planFetch(w.members[i], members)
 	var results []result
 	reached, best := false, fleet.Revision(0)
 	for _, m := range p.peers {
@@ -173,19 +175,19 @@
 		reached = reached || err == nil
 		best = max(best, reply.Document.Revision)
 	}
-	c.take(p, results, members, w.now)
+	c.handleResults(p, results, members, w.now)
 	w.members[i].Revision = c.doc.Revision
-	w.check(i, before)
+	w.checkConfig(i, before)
 	switch {
 	case state == Ready:
 	case !reached && c.status.State != Alone:
-		w.t.Fatalf("seed %d: instance %d reached nobody and is %v", w.seed, i, c.status.State)
+		w.t.Fatalf("seed %d: instance %d reached no peer and is %v", w.seed, i, c.status.State)
 	case c.status.State == Ready && c.doc.Revision < best:
 		w.t.Fatalf("seed %d: instance %d is ready with revision %d, a peer offered %d", w.seed, i, c.doc.Revision, best)
 	}
 }
 
-func (w *world) check(i int, before fleet.Revision) {
+func (w *simulation) checkConfig(i int, before fleet.Revision) {
 	config := w.cells[i].Load()
 	if config == nil {
 		return
@@ -193,87 +195,89 @@
 	if config.Revision < before {
 		w.t.Fatalf("seed %d: instance %d went from revision %d to %d", w.seed, i, before, config.Revision)
 	}
-	truth := w.truth[config.Revision]
-	if config.Revision > fleet.Revision(len(w.truth)) || len(config.DataCentres) != len(truth.Sections) || len(config.Models) > 0 {
+	want := w.documents[config.Revision]
+	if config.Revision > fleet.Revision(len(w.documents)) || len(config.DataCentres) != len(want.Sections) || len(config.Models) > 0 {
 		w.t.Fatalf("seed %d: instance %d has %d data centres and %d models at revision %d", w.seed, i, len(config.DataCentres), len(config.Models), config.Revision)
 	}
-	for _, s := range truth.Sections {
+	for _, s := range want.Sections {
 		d := config.DataCentres[fleet.DataCentreID(s.Team)]
-		if want := fmt.Sprintf("[dataCentre \"%s\"]\nregion = %s\n", s.Team, d.Region); want != s.Text {
+		if wantText := fmt.Sprintf("[dataCentre \"%s\"]\nregion = %s\n", s.Team, d.Region); wantText != s.Text {
 			w.t.Fatalf("seed %d: instance %d has %q of team %s at revision %d", w.seed, i, d.Region, s.Team, config.Revision)
 		}
 	}
 }
 
-// TestSchedules guards against a revision that decreases, a configuration that
-// was never accepted, an instance that is ready with an old revision, and one
-// that stays behind after all faults end.
+// TestSchedules guards against a revision that decreases, an active configuration
+// that was never accepted, an instance that is ready with an old revision, and an
+// instance that stays behind after all faults have ended. It runs random schedules
+// of submissions, stopped and restarted instances, partitions, lost requests and
+// damaged replies.
 func TestSchedules(t *testing.T) {
 	for seed := range int64(100) {
-		w := newWorld(t, seed)
+		w := newSimulation(t, seed)
 		for range 400 {
 			i := w.random.Intn(instances)
 			switch w.random.Intn(16) {
 			case 0:
-				w.accept()
+				w.submitRandom()
 			case 1, 2:
-				w.replicate(w.random.Intn(centres))
+				w.replicate(w.random.Intn(dataCentres))
 			case 3:
-				w.restart(i)
+				w.restartInstance(i)
 			case 4:
 				w.down[i] = !w.down[i]
 			case 5:
-				w.cut[i%centres] = !w.cut[i%centres]
+				w.partitioned[i%dataCentres] = !w.partitioned[i%dataCentres]
 			default:
-				w.step(i)
+				w.runRound(i)
 			}
 		}
 		w.heal()
 		for i, c := range w.cores {
-			if c.doc.Revision != fleet.Revision(len(w.log)) || c.status.State != Ready {
-				t.Fatalf("seed %d: instance %d is %v with revision %d of %d: %s", seed, i, c.status.State, c.doc.Revision, len(w.log), c.status.Fault)
+			if c.doc.Revision != fleet.Revision(len(w.submissions)) || c.status.State != Ready {
+				t.Fatalf("seed %d: instance %d is %v with revision %d of %d: %s", seed, i, c.status.State, c.doc.Revision, len(w.submissions), c.status.Fault)
 			}
 		}
 	}
 }
 
-// heal ends all faults and gives each instance a few rounds.
-func (w *world) heal() {
-	w.calm, w.cut = true, [centres]bool{}
+// heal ends all faults and runs six rounds of each instance.
+func (w *simulation) heal() {
+	w.faultFree, w.partitioned = true, [dataCentres]bool{}
 	for i := range w.replicas {
 		w.replicate(i)
 	}
 	for range 6 {
 		for i := range w.cores {
 			w.down[i] = false
-			w.step(i)
+			w.runRound(i)
 		}
 	}
 }
 
 // TestDeadRelay guards against an instance that keeps asking a source that does
-// not answer, or one that is behind what gossip tells.
+// not answer, or a source that is behind the revision known from gossip.
 func TestDeadRelay(t *testing.T) {
 	for _, dead := range []bool{true, false} {
-		w := newWorld(t, 1)
-		w.accept()
+		w := newSimulation(t, 1)
+		w.submitRandom()
 		w.heal()
-		w.accept()
+		w.submitRandom()
 		w.replicate(0)
 		const i = instances - 1
-		list, _ := sourcesOf(w.members[i], w.members, 1)
+		list, _ := selectSources(w.members[i], w.members, 1)
 		stale := w.index(list[0].ID)
-		w.step(0)
+		w.runRound(0)
 		for range 4 {
 			c := w.cores[i]
-			p := c.plan(w.members[i], w.members)
+			p := c.planFetch(w.members[i], w.members)
 			r := result{from: p.peers[0]}
 			if w.index(p.peers[0].ID) != stale {
 				r.reply, r.err = w.fetch(i, w.index(p.peers[0].ID), p.after)
-			} else if r.reply = w.cores[i].since(1); dead {
+			} else if r.reply = w.cores[i].changesSince(1); dead {
 				r.err = errors.New("no answer")
 			}
-			c.take(p, []result{r}, w.members, w.now)
+			c.handleResults(p, []result{r}, w.members, w.now)
 		}
 		if w.cores[i].doc.Revision != 2 {
 			t.Errorf("dead %v: revision %d after 4 rounds", dead, w.cores[i].doc.Revision)
@@ -281,8 +285,8 @@
 	}
 }
 
-// TestFanOut guards against voters that serve every instance of a large fleet,
-// and against relays with too many clients.
+// TestFanOut guards against voters that are asked by every instance of a large
+// fleet, and against relays with too many clients.
 func TestFanOut(t *testing.T) {
 	is := is.New(t)
 	var members []membership.Member
@@ -294,25 +298,25 @@
 		})
 	}
 	clients := make(map[fleet.InstanceID]int)
-	ofVoters := 0
+	voterClients := 0
 	for _, m := range members {
-		list, _ := sourcesOf(m, members, 0)
+		list, _ := selectSources(m, members, 0)
 		clients[list[0].ID]++
 		if list[0].Voter && !m.Voter {
-			ofVoters++
+			voterClients++
 		}
 	}
-	most := 0
+	maxClients := 0
 	for _, n := range clients {
-		most = max(most, n)
+		maxClients = max(maxClients, n)
 	}
-	t.Logf("%d instances fetch from voters, the busiest source has %d clients", ofVoters, most)
-	is.True(ofVoters <= 20*relayCount+5*27) // a voter may be a relay of its data centre
-	is.True(most <= 27)
+	t.Logf("%d instances fetch from voters, the busiest source has %d clients", voterClients, maxClients)
+	is.True(voterClients <= 20*relaysPerDataCentre+5*27) // a voter may be a relay of its data centre
+	is.True(maxClients <= 27)
 }
 
-// BenchmarkEnforce measures a change of a small section in a document with
-// 42,000 accounts.
+// BenchmarkEnforce measures activate for a change of a small section in a document
+// with 42,000 accounts.
 func BenchmarkEnforce(b *testing.B) {
 	c := newCore(&board.Cell[document.Config]{})
 	var doc document.Document
@@ -329,27 +333,27 @@
 		doc.Revision++
 		doc.Sections = slices.Clone(doc.Sections)
 		doc.Sections[6].Text = fmt.Sprint("# ", doc.Revision)
-		if err := c.enforce(doc); err != nil {
+		if err := c.activate(doc); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// peers is a membership view and a fetcher of one voter.
-type peers struct {
+// singleVoter is a membership view with one voter and a fetcher that reads it.
+type singleVoter struct {
 	register *register.Register
-	asked    chan fleet.Revision
+	fetches  chan fleet.Revision
 }
 
-func (p *peers) Self() membership.Member { return membership.Member{ID: "self"} }
+func (p *singleVoter) Self() membership.Member { return membership.Member{ID: "self"} }
 
-func (p *peers) Members() []membership.Member {
+func (p *singleVoter) Members() []membership.Member {
 	return []membership.Member{{ID: "self"}, {ID: "voter", Voter: true}}
 }
 
-func (p *peers) Fetch(ctx context.Context, _ membership.Member, after fleet.Revision, _ time.Duration) (Reply, error) {
+func (p *singleVoter) Fetch(ctx context.Context, _ membership.Member, after fleet.Revision, _ time.Duration) (Reply, error) {
 	select {
-	case p.asked <- after:
+	case p.fetches <- after:
 	case <-ctx.Done():
 		return Reply{}, ctx.Err()
 	}
@@ -357,21 +361,21 @@
 	return Reply{Document: d, Full: full}, nil
 }
 
-// TestLoop guards against a loop that does not fetch, does not wake waiting
-// peers or does not end.
+// TestLoop guards against a Follower that does not fetch, does not wake waiting
+// peers or does not stop.
 func TestLoop(t *testing.T) {
 	is := is.New(t)
 	clock := fakeclock.New(fakeclock.Start)
-	p := &peers{register: register.New(), asked: make(chan fleet.Revision)}
+	p := &singleVoter{register: register.New(), fetches: make(chan fleet.Revision)}
 	p.register.Submit(document.Submission{Change: "1", Team: "t", Text: "[dataCentre \"d\"]\nregion = r\n", At: fakeclock.Start})
 	var cell board.Cell[document.Config]
 	f := New(p, p, clock, &cell, zap.NewNop())
-	news := make(chan Reply)
-	go func() { news <- f.ChangesSince(context.Background(), 0, time.Hour) }()
-	is.Equal(<-p.asked, fleet.Revision(0))
-	is.Equal((<-news).Document.Revision, fleet.Revision(1))
+	replies := make(chan Reply)
+	go func() { replies <- f.ChangesSince(context.Background(), 0, time.Hour) }()
+	is.Equal(<-p.fetches, fleet.Revision(0))
+	is.Equal((<-replies).Document.Revision, fleet.Revision(1))
 	is.Equal(cell.Load().Revision, fleet.Revision(1))
-	is.Equal(<-p.asked, fleet.Revision(1)) // the next round asks for what is newer
+	is.Equal(<-p.fetches, fleet.Revision(1)) // the next round asks for newer revisions
 	is.Equal(f.Status().State, Ready)
 	is.Equal(f.Status().Age(clock.Now().Add(time.Minute)), time.Minute)
 	f.Close()
--- a/internal/document/register/client.go
+++ b/internal/document/register/client.go
@@ -13,93 +13,95 @@
 )
 
 const (
-	// defaultAttempts and retryPause cover the election of a leader.
-	defaultAttempts = 12
-	retryPause      = 400 * time.Millisecond
+	// defaultMaxAttempts and retryInterval cover the election of a leader.
+	defaultMaxAttempts = 12
+	retryInterval      = 400 * time.Millisecond
 )
 
-// Client uses the register over a quorum.Proposer. It is safe for concurrent
-// use.
+// Client accesses the register through a quorum.Proposer. It is safe for
+// concurrent use.
 type Client struct {
-	proposer quorum.Proposer
-	group    quorum.GroupID
-	clock    fleet.Clock
-	attempts int
+	proposer    quorum.Proposer
+	group       quorum.GroupID
+	clock       fleet.Clock
+	maxAttempts int
 }
 
-// NewClient returns a Client of the register in a group. The commands reach the
-// register as they are, so a group with several state machines needs a proposer
-// that selects one.
+// NewClient returns a Client of the register in a group. Commands are proposed
+// without a prefix, so a group with several state machines needs a proposer that
+// selects one.
 func NewClient(p quorum.Proposer, g quorum.GroupID, c fleet.Clock) *Client {
-	return &Client{proposer: p, group: g, clock: c, attempts: defaultAttempts}
+	return &Client{proposer: p, group: g, clock: c, maxAttempts: defaultMaxAttempts}
 }
 
-// Submit hands in s and sets its time when it has none. The verdict is
-// document.Unknown when the outcome could not be learned. An error of kind
+// Submit proposes s and sets its time when it has none. The verdict is
+// document.Unknown when the outcome could not be determined. An error of kind
 // refusal.NotReady means that the submission was not applied and never will be.
 func (c *Client) Submit(ctx context.Context, s document.Submission) (document.Outcome, error) {
 	if s.At.IsZero() {
 		s.At = c.clock.Now()
 	}
 	s.At = s.At.UTC()
-	if reason := unfit(s); reason != "" {
+	if reason := checkSubmission(s); reason != "" {
 		return document.Outcome{Change: s.Change, Verdict: document.Refused, Reason: reason}, nil
 	}
-	data := encode(prepare(s))
-	unknown := false
-	var last error
-	for n := range c.attempts {
-		if n > 0 && !c.pause(ctx) {
+	data := encode(prepareCommand(s))
+	mayBeApplied := false
+	var lastErr error
+	for n := range c.maxAttempts {
+		if n > 0 && !c.waitRetry(ctx) {
 			break
 		}
-		answer, err := c.proposer.Propose(ctx, c.group, data)
+		response, err := c.proposer.Propose(ctx, c.group, data)
 		if err == nil {
-			return outcomeOf(s, answer)
+			return decodeOutcome(s, response)
 		}
-		last = err
+		lastErr = err
 		// An attempt with an unknown outcome may still be applied, whatever the
 		// attempts after it return.
-		unknown = unknown || refusal.KindOf(err) != refusal.NotReady
+		mayBeApplied = mayBeApplied || refusal.KindOf(err) != refusal.NotReady
 	}
-	if !unknown {
-		return document.Outcome{}, refusal.Because(refusal.NotReady, last, "submission was not handed in")
+	if !mayBeApplied {
+		return document.Outcome{}, refusal.Because(refusal.NotReady, lastErr, "submission was not handed in")
 	}
 	return unknownOutcome(s), nil
 }
 
-// unfit tells why s is not worth a command. It leaves no trace in the register.
-func unfit(s document.Submission) string {
-	if len(s.Text) > section.MaxText {
-		return fmt.Sprintf("section has %d bytes, the bound is %d", len(s.Text), section.MaxText)
+// checkSubmission returns the reason for which s is refused before it is proposed,
+// or else the empty string. Such a submission is not recorded in the register.
+func checkSubmission(s document.Submission) string {
+	if len(s.Text) > section.MaxTextBytes {
+		return fmt.Sprintf("section has %d bytes, the bound is %d", len(s.Text), section.MaxTextBytes)
 	}
-	return malformed(s)
+	return checkFields(s)
 }
 
-func (c *Client) pause(ctx context.Context) bool {
+// waitRetry waits before the next attempt. It returns false when ctx is done.
+func (c *Client) waitRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-c.clock.After(retryPause):
+	case <-c.clock.After(retryInterval):
 		return true
 	}
 }
 
 // Document returns the current document.
 func (c *Client) Document(ctx context.Context) (document.Document, error) {
-	r, err := c.read(ctx, query{Version: version, Kind: changesSince})
+	r, err := c.read(ctx, query{Version: version, Kind: changesSinceQuery})
 	return r.Document, err
 }
 
 // ChangesSince returns the sections that changed after a revision. The second
-// result tells that they are the whole document.
+// result reports whether they are the whole document.
 func (c *Client) ChangesSince(ctx context.Context, since fleet.Revision) (document.Document, bool, error) {
-	r, err := c.read(ctx, query{Version: version, Kind: changesSince, Since: since})
+	r, err := c.read(ctx, query{Version: version, Kind: changesSinceQuery, Since: since})
 	return r.Document, r.Full, err
 }
 
-// History returns the newest audit entries of a team, the newest first.
+// History returns the latest audit entries of a team, newest first.
 func (c *Client) History(ctx context.Context, t fleet.TeamID, limit int) ([]document.Audit, error) {
-	r, err := c.read(ctx, query{Version: version, Kind: history, Team: t, Limit: limit})
+	r, err := c.read(ctx, query{Version: version, Kind: historyQuery, Team: t, Limit: limit})
 	return r.History, err
 }
 
@@ -111,7 +113,7 @@
 	return decodeReply(data)
 }
 
-func outcomeOf(s document.Submission, data []byte) (document.Outcome, error) {
+func decodeOutcome(s document.Submission, data []byte) (document.Outcome, error) {
 	r, err := decodeReply(data)
 	if err != nil {
 		return document.Outcome{}, err
--- a/internal/document/register/codec.go
+++ b/internal/document/register/codec.go
@@ -12,16 +12,17 @@
 	"github.com/pkg/errors"
 )
 
-// version is the version of commands, queries, replies and snapshots.
+// version is the format version of commands, queries, replies and snapshots.
 const version = 1
 
-// command is a submission with what depends on the time zones of the machine
-// that received it. Voters may have other zone data, so they do not load zones.
+// command is a submission with the data that depend on time zones, computed by the
+// machine that received it. Voters may have different zone data, so they do not
+// load zones.
 type command struct {
 	Version    int                 `json:"version"`
 	Submission document.Submission `json:"submission"`
-	// Fault tells what the receiving instance found wrong: a time zone that is
-	// not known, or a text that JSON would alter, such as bad UTF-8.
+	// Fault describes what the receiving instance found wrong, such as an unknown
+	// time zone, or a text that JSON would alter because it is not valid UTF-8.
 	Fault string `json:"fault,omitempty"`
 	// Starts holds, for each window, the start of the occurrence that is in
 	// progress at Submission.At, or of the next one.
@@ -31,9 +32,9 @@
 type query struct {
 	Version int       `json:"version"`
 	Kind    queryKind `json:"kind"`
-	// Since is for changesSince.
+	// Since is used by changesSinceQuery.
 	Since fleet.Revision `json:"since,omitempty"`
-	// Team and Limit are for history.
+	// Team and Limit are used by historyQuery.
 	Team  fleet.TeamID `json:"team,omitempty"`
 	Limit int          `json:"limit,omitempty"`
 }
@@ -41,8 +42,8 @@
 type queryKind string
 
 const (
-	changesSince queryKind = "changesSince"
-	history      queryKind = "history"
+	changesSinceQuery queryKind = "changesSince"
+	historyQuery      queryKind = "history"
 )
 
 // reply answers a command or a query.
@@ -55,12 +56,12 @@
 	History  []document.Audit  `json:"history,omitempty"`
 }
 
-// snapshot is the whole state.
+// snapshot is the whole state of a Register.
 type snapshot struct {
-	Version  int                    `json:"version"`
-	Revision fleet.Revision         `json:"revision"`
-	Sections []document.Section     `json:"sections"`
-	Teams    map[fleet.TeamID]*team `json:"teams"`
+	Version  int                           `json:"version"`
+	Revision fleet.Revision                `json:"revision"`
+	Sections []document.Section            `json:"sections"`
+	Teams    map[fleet.TeamID]*teamHistory `json:"teams"`
 }
 
 var (
@@ -68,8 +69,8 @@
 	_ document.Register = (*Register)(nil)
 )
 
-// prepare adds the parts of the command that depend on time zones.
-func prepare(s document.Submission) command {
+// prepareCommand returns the command of s with the data that depend on time zones.
+func prepareCommand(s document.Submission) command {
 	c := command{Version: version, Submission: s}
 	parsed, err := section.Parse(s.Team, s.Text)
 	if err != nil {
@@ -83,19 +84,19 @@
 	}
 	c.Starts = make(map[string]time.Time, len(windows))
 	for _, w := range windows {
-		c.Starts[w.Name] = section.Start(w, s.At).UTC()
+		c.Starts[w.Name] = section.OccurrenceStart(w, s.At).UTC()
 	}
 	return c
 }
 
-// Apply runs an encoded submission.
+// Apply applies an encoded command.
 func (r *Register) Apply(_ quorum.Index, data []byte) []byte {
 	var c command
 	if err := decode(data, &c); err != nil {
-		return failure(err)
+		return errorReply(err)
 	}
 	if c.Version != version {
-		return failure(errors.Errorf("command version %d is not supported", c.Version))
+		return errorReply(errors.Errorf("command version %d is not supported", c.Version))
 	}
 	outcome := r.submit(c)
 	return encode(reply{Version: version, Outcome: &outcome})
@@ -105,18 +106,18 @@
 func (r *Register) Query(data []byte) []byte {
 	var q query
 	if err := decode(data, &q); err != nil {
-		return failure(err)
+		return errorReply(err)
 	}
 	switch {
 	case q.Version != version:
-		return failure(errors.Errorf("query version %d is not supported", q.Version))
-	case q.Kind == changesSince:
+		return errorReply(errors.Errorf("query version %d is not supported", q.Version))
+	case q.Kind == changesSinceQuery:
 		d, full := r.ChangesSince(q.Since)
 		return encode(reply{Version: version, Document: d, Full: full})
-	case q.Kind == history:
+	case q.Kind == historyQuery:
 		return encode(reply{Version: version, History: r.History(q.Team, q.Limit)})
 	}
-	return failure(errors.Errorf("query kind %q is not known", q.Kind))
+	return errorReply(errors.Errorf("query kind %q is not known", q.Kind))
 }
 
 // Snapshot returns the whole state in JSON.
@@ -127,8 +128,8 @@
 	return encode(snapshot{Version: version, Revision: d.Revision, Sections: d.Sections, Teams: r.teams}), nil
 }
 
-// Restore replaces the state by a snapshot. It leaves the state as it was when
-// the snapshot is not valid.
+// Restore replaces the state by a snapshot. It leaves the state unchanged when the
+// snapshot is not valid.
 func (r *Register) Restore(data []byte) error {
 	var s snapshot
 	if err := decode(data, &s); err != nil {
@@ -144,7 +145,7 @@
 		if err != nil {
 			return errors.Wrapf(err, "section of team %q in the snapshot", x.Team)
 		}
-		next.sections[x.Team] = &entry{Section: x, parsed: parsed}
+		next.sections[x.Team] = &parsedSection{Section: x, parsed: parsed}
 	}
 	for id, t := range s.Teams {
 		if t == nil {
@@ -155,21 +156,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision, r.sections, r.teams = next.revision, next.sections, next.teams
-	r.changes, r.entries, r.bytes = next.changes, next.entries, next.bytes
+	r.changeIDs, r.auditEntries, r.auditBytes = next.changeIDs, next.auditEntries, next.auditBytes
 	return nil
 }
 
-func (r *Register) addTeam(id fleet.TeamID, t *team) {
+func (r *Register) addTeam(id fleet.TeamID, t *teamHistory) {
 	if t.Changes == nil {
-		t.Changes = make(map[fleet.ChangeID]change)
+		t.Changes = make(map[fleet.ChangeID]changeRecord)
 	}
 	r.teams[id] = t
-	r.changes += len(t.Order)
-	r.entries += len(t.Entries)
-	r.bytes += t.Bytes
+	r.changeIDs += len(t.Order)
+	r.auditEntries += len(t.Entries)
+	r.auditBytes += t.Bytes
 }
 
-// encode returns v in JSON. The types of this package always encode.
+// encode returns v in JSON. It panics on an error, which the types of this package
+// never cause.
 func encode(v any) []byte {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
@@ -184,6 +186,7 @@
 	return json.Unmarshal(data, v)
 }
 
-func failure(err error) []byte {
+// errorReply returns an encoded reply that carries an error.
+func errorReply(err error) []byte {
 	return encode(reply{Version: version, Error: err.Error()})
 }
--- a/internal/document/register/fake_test.go
+++ b/internal/document/register/fake_test.go
@@ -9,25 +9,26 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// faulty is a proposer over replicas in process. It loses commands and replies,
-// applies commands late or twice, and restarts replicas from snapshots.
-type faulty struct {
+// faultyProposer is a proposer for three replicas in the test process. It loses
+// commands and replies, applies commands late or twice, and restarts replicas from
+// snapshots.
+type faultyProposer struct {
 	t        *testing.T
 	random   *rand.Rand
 	replicas []*Register
-	late     [][]byte
+	delayed  [][]byte
 }
 
-func newFaulty(t *testing.T, seed int64) *faulty {
-	f := &faulty{t: t, random: rand.New(rand.NewSource(seed))}
+func newFaultyProposer(t *testing.T, seed int64) *faultyProposer {
+	f := &faultyProposer{t: t, random: rand.New(rand.NewSource(seed))}
 	for range 3 {
 		f.replicas = append(f.replicas, New())
 	}
 	return f
 }
 
-func (f *faulty) Propose(_ context.Context, _ quorum.GroupID, command []byte) ([]byte, error) {
-	f.settle(3)
+func (f *faultyProposer) Propose(_ context.Context, _ quorum.GroupID, command []byte) ([]byte, error) {
+	f.applyDelayed(3)
 	switch f.random.Intn(6) {
 	case 0:
 		return nil, refusal.New(refusal.NotReady, "no leader")
@@ -35,7 +36,7 @@
 		f.apply(command)
 		return nil, refusal.New(refusal.OutcomeUnknown, "reply lost")
 	case 2:
-		f.late = append(f.late, command)
+		f.delayed = append(f.delayed, command)
 		return nil, refusal.New(refusal.OutcomeUnknown, "leader lost")
 	case 3:
 		f.apply(command)
@@ -43,24 +44,24 @@
 	return f.apply(command), nil
 }
 
-func (f *faulty) Read(_ context.Context, _ quorum.GroupID, query []byte) ([]byte, error) {
+func (f *faultyProposer) Read(_ context.Context, _ quorum.GroupID, query []byte) ([]byte, error) {
 	return f.replicas[f.random.Intn(len(f.replicas))].Query(query), nil
 }
 
-// settle applies each late command with a chance of one in n.
-func (f *faulty) settle(n int) {
-	kept := f.late[:0]
-	for _, c := range f.late {
+// applyDelayed applies each delayed command with a probability of 1/n.
+func (f *faultyProposer) applyDelayed(n int) {
+	kept := f.delayed[:0]
+	for _, c := range f.delayed {
 		if f.random.Intn(n) > 0 {
 			kept = append(kept, c)
 			continue
 		}
 		f.apply(c)
 	}
-	f.late = kept
+	f.delayed = kept
 }
 
-func (f *faulty) apply(command []byte) []byte {
+func (f *faultyProposer) apply(command []byte) []byte {
 	var reply []byte
 	for _, r := range f.replicas {
 		reply = r.Apply(0, command)
@@ -71,7 +72,7 @@
 	return reply
 }
 
-func (f *faulty) restart(i int) {
+func (f *faultyProposer) restart(i int) {
 	data, err := f.replicas[i].Snapshot()
 	if err != nil {
 		f.t.Fatal(err)
--- a/internal/document/register/register.go
+++ b/internal/document/register/register.go
@@ -1,19 +1,19 @@
-// Package register is the replicated state machine of the configuration
+// Package register implements the replicated state machine of the configuration
 // document: accepted sections, change ids and the audit trail.
 //
 // A Register is part of the config group on every voter. Other code uses a
-// Client, which encodes commands and queries and hands them to a
+// Client, which encodes commands and queries and passes them to a
 // quorum.Proposer:
 //
 //	client := register.NewClient(proposer, quorum.ConfigGroup, clock)
 //	outcome, err := client.Submit(ctx, submission)
 //
 // A resent change id gets the outcome of its first submission, as long as the
-// register keeps it. Change ids and audit entries are kept up to MaxChanges,
-// MaxEntries and MaxHistory over all teams. When a bound is reached, the team
-// that uses most of it loses its oldest entry, so that a busy team does not push
-// out the entries of others. A resent change whose id was dropped is not applied
-// a second time: its base revision is no longer the current one.
+// register keeps it. Change ids and audit entries are kept up to MaxChangeIDs,
+// MaxAuditEntries and MaxAuditBytes over all teams. When a limit is exceeded, the
+// oldest entry of the team that uses most of it is dropped, so that a busy team
+// does not evict the entries of others. A resent change whose id was dropped is
+// not applied a second time: its base revision is no longer the current one.
 package register
 
 import (
@@ -33,53 +33,55 @@
 )
 
 const (
-	// MaxChanges is the number of change ids that are kept. It covers four days
-	// at 12,000 changes a day.
-	MaxChanges = 48_000
-	// MaxEntries is the number of audit entries that are kept.
-	MaxEntries = 48_000
-	// MaxHistory bounds the kept audit entries in bytes.
-	MaxHistory = 24 << 20
-	// MaxPage is the largest number of audit entries of one answer.
-	MaxPage = 500
-	// WindowLead is the time before its start at which a window must be
-	// accepted.
-	WindowLead = 60 * time.Second
+	// MaxChangeIDs is the largest number of change ids that are kept. It covers
+	// four days at 12,000 changes per day.
+	MaxChangeIDs = 48_000
+	// MaxAuditEntries is the largest number of audit entries that are kept.
+	MaxAuditEntries = 48_000
+	// MaxAuditBytes is the largest total size of the audit entries that are kept.
+	MaxAuditBytes = 24 << 20
+	// MaxPageEntries is the largest number of audit entries in one reply.
+	MaxPageEntries = 500
+	// MinWindowLead is the shortest time between the acceptance of a window and
+	// its start.
+	MinWindowLead = 60 * time.Second
 
-	maxOperator   = 128     // bytes of the operator's name
-	maxChangeID   = 128     // bytes
-	maxTeamID     = 64      // bytes
-	maxReason     = 4 << 10 // bytes
-	entryOverhead = 256     // bytes of an audit entry besides its texts
+	maxOperatorBytes   = 128 // length of the operator's name
+	maxChangeIDBytes   = 128
+	maxTeamIDBytes     = 64
+	maxReasonBytes     = 4 << 10
+	entryOverheadBytes = 256 // size of an audit entry without its texts
 )
 
-// Register holds the document. It is safe for concurrent use.
+// Register holds the document, the change ids and the audit trail. It is safe for
+// concurrent use.
 type Register struct {
-	mu       sync.RWMutex
-	revision fleet.Revision
-	sections map[fleet.TeamID]*entry
-	teams    map[fleet.TeamID]*team
-	changes  int
-	entries  int
-	bytes    int
+	mu           sync.RWMutex
+	revision     fleet.Revision
+	sections     map[fleet.TeamID]*parsedSection
+	teams        map[fleet.TeamID]*teamHistory
+	changeIDs    int
+	auditEntries int
+	auditBytes   int
 }
 
-// entry is an accepted section.
-type entry struct {
+// parsedSection is an accepted section with its parsed content.
+type parsedSection struct {
 	document.Section
 	parsed *section.Parsed
 }
 
-// team holds what is kept of the submissions of one team, the oldest first.
-type team struct {
-	Changes map[fleet.ChangeID]change `json:"changes"`
-	Order   []fleet.ChangeID          `json:"order"`
-	Entries []document.Audit          `json:"entries"`
-	Bytes   int                       `json:"bytes"`
+// teamHistory holds the change ids and audit entries of one team, oldest first.
+type teamHistory struct {
+	Changes map[fleet.ChangeID]changeRecord `json:"changes"`
+	Order   []fleet.ChangeID                `json:"order"`
+	Entries []document.Audit                `json:"entries"`
+	Bytes   int                             `json:"bytes"`
 }
 
-// change is a known change id.
-type change struct {
+// changeRecord is the digest and the outcome of the first submission of a change
+// id.
+type changeRecord struct {
 	Digest  []byte           `json:"digest"`
 	Outcome document.Outcome `json:"outcome"`
 }
@@ -87,15 +89,15 @@
 // New returns an empty Register.
 func New() *Register {
 	return &Register{
-		sections: make(map[fleet.TeamID]*entry),
-		teams:    make(map[fleet.TeamID]*team),
+		sections: make(map[fleet.TeamID]*parsedSection),
+		teams:    make(map[fleet.TeamID]*teamHistory),
 	}
 }
 
-// Submit applies s with the time zones of this machine. The voters apply the
-// command that Client has prepared instead, which does not depend on them.
+// Submit applies s with the time zone data of this machine. Voters apply the
+// command that a Client has prepared instead, which does not depend on that data.
 func (r *Register) Submit(s document.Submission) document.Outcome {
-	return r.submit(prepare(s))
+	return r.submit(prepareCommand(s))
 }
 
 // Document returns the current document, ordered by team.
@@ -104,9 +106,9 @@
 	return d
 }
 
-// ChangesSince returns the sections whose revision is after since, ordered by
-// team. The second result tells that they are the whole document. No section is
-// ever removed from the register, so the difference is complete.
+// ChangesSince returns the sections whose revision is higher than since, ordered
+// by team. The second result reports whether they are the whole document. No
+// section is ever removed from the register, so the result is complete.
 func (r *Register) ChangesSince(since fleet.Revision) (document.Document, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -120,8 +122,8 @@
 	return d, since == 0
 }
 
-// History returns the newest audit entries of a team, the newest first. The
-// limit is at most MaxPage.
+// History returns the latest audit entries of a team, newest first. A limit above
+// MaxPageEntries counts as MaxPageEntries.
 func (r *Register) History(id fleet.TeamID, limit int) []document.Audit {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -129,7 +131,7 @@
 	if !ok || limit <= 0 {
 		return nil
 	}
-	count := min(limit, MaxPage, len(t.Entries))
+	count := min(limit, MaxPageEntries, len(t.Entries))
 	page := slices.Clone(t.Entries[len(t.Entries)-count:])
 	slices.Reverse(page)
 	return page
@@ -139,13 +141,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := c.Submission
-	if reason := malformed(s); reason != "" {
+	if reason := checkFields(s); reason != "" {
 		return document.Outcome{Change: s.Change, Verdict: document.Refused, Reason: reason}
 	}
-	t := r.team(s.Team)
+	t := r.historyOf(s.Team)
 	digest := digestOf(s)
 	if known, ok := t.Changes[s.Change]; ok {
-		return r.repeat(t, s, known, digest)
+		return r.repeatedOutcome(t, s, known, digest)
 	}
 	old := r.sections[s.Team]
 	outcome, parsed := r.decide(c, old)
@@ -154,21 +156,22 @@
 		difference = section.Difference(textOf(old), s.Text)
 		r.accept(s, outcome.Revision, parsed)
 	}
-	r.remember(t, s.Change, change{Digest: digest, Outcome: outcome})
-	r.audit(t, s, outcome, difference)
+	r.recordChange(t, s.Change, changeRecord{Digest: digest, Outcome: outcome})
+	r.recordAudit(t, s, outcome, difference)
 	return outcome
 }
 
-// malformed tells what is wrong with the fields by which a submission is
-// known. Such a submission leaves no trace.
-func malformed(s document.Submission) string {
+// checkFields checks the fields that identify a submission. It returns a message
+// when one is invalid, or else the empty string. An invalid submission is not
+// recorded.
+func checkFields(s document.Submission) string {
 	switch {
-	case s.Change == "" || len(s.Change) > maxChangeID:
-		return fmt.Sprintf("change id must have 1 to %d bytes", maxChangeID)
-	case s.Team == "" || len(s.Team) > maxTeamID:
-		return fmt.Sprintf("team must have 1 to %d bytes", maxTeamID)
-	case len(s.Operator) > maxOperator:
-		return fmt.Sprintf("operator must have at most %d bytes", maxOperator)
+	case s.Change == "" || len(s.Change) > maxChangeIDBytes:
+		return fmt.Sprintf("change id must have 1 to %d bytes", maxChangeIDBytes)
+	case s.Team == "" || len(s.Team) > maxTeamIDBytes:
+		return fmt.Sprintf("team must have 1 to %d bytes", maxTeamIDBytes)
+	case len(s.Operator) > maxOperatorBytes:
+		return fmt.Sprintf("operator must have at most %d bytes", maxOperatorBytes)
 	case !utf8.ValidString(string(s.Change) + string(s.Team) + s.Operator):
 		return "change id, team and operator must be valid UTF-8"
 	case s.At.IsZero():
@@ -177,16 +180,20 @@
 	return ""
 }
 
-func (r *Register) team(id fleet.TeamID) *team {
+// historyOf returns the history of a team, which it creates when there is none.
+func (r *Register) historyOf(id fleet.TeamID) *teamHistory {
 	t, ok := r.teams[id]
 	if !ok {
-		t = &team{Changes: make(map[fleet.ChangeID]change)}
+		t = &teamHistory{Changes: make(map[fleet.ChangeID]changeRecord)}
 		r.teams[id] = t
 	}
 	return t
 }
 
-func (r *Register) repeat(t *team, s document.Submission, known change, digest []byte) document.Outcome {
+// repeatedOutcome returns the outcome of a submission whose change id is known. It
+// records an audit entry only when the content differs from that of the first
+// submission.
+func (r *Register) repeatedOutcome(t *teamHistory, s document.Submission, known changeRecord, digest []byte) document.Outcome {
 	if slices.Equal(known.Digest, digest) {
 		outcome := known.Outcome
 		outcome.Repeated = true
@@ -198,12 +205,12 @@
 		Revision: revisionOf(r.sections[s.Team]),
 		Reason:   "the change id was used before with another content",
 	}
-	r.audit(t, s, outcome, "")
+	r.recordAudit(t, s, outcome, "")
 	return outcome
 }
 
 // decide returns the outcome of c and, when it is accepted, the parsed section.
-func (r *Register) decide(c command, old *entry) (document.Outcome, *section.Parsed) {
+func (r *Register) decide(c command, old *parsedSection) (document.Outcome, *section.Parsed) {
 	s := c.Submission
 	current := revisionOf(old)
 	if s.Base != current {
@@ -217,8 +224,9 @@
 	return document.Outcome{Change: s.Change, Verdict: document.Accepted, Revision: r.revision + 1}, parsed
 }
 
-// check returns the parsed section, or why the document would be unsound with it.
-func (r *Register) check(c command, old *entry) (*section.Parsed, string) {
+// check returns the parsed section, or the reason for which the document would be
+// invalid with it.
+func (r *Register) check(c command, old *parsedSection) (*section.Parsed, string) {
 	s := c.Submission
 	if c.Fault != "" {
 		return nil, c.Fault
@@ -233,17 +241,17 @@
 			list = append(list, e.parsed)
 		}
 	}
-	if err := section.Cross(list, s.Team); err != nil {
+	if err := section.CrossCheck(list, s.Team); err != nil {
 		return nil, err.Error()
 	}
-	var before *section.Parsed
+	var oldParsed *section.Parsed
 	if old != nil {
-		before = old.parsed
+		oldParsed = old.parsed
 	}
-	for _, name := range parsed.NewWindows(before) {
+	for _, name := range parsed.ChangedWindows(oldParsed) {
 		start, ok := c.Starts[name]
-		if !ok || start.Before(s.At.Add(WindowLead)) {
-			return nil, fmt.Sprintf("[window %q]: must be accepted at least %v before it starts", name, WindowLead)
+		if !ok || start.Before(s.At.Add(MinWindowLead)) {
+			return nil, fmt.Sprintf("[window %q]: must be accepted at least %v before it starts", name, MinWindowLead)
 		}
 	}
 	return parsed, ""
@@ -251,29 +259,29 @@
 
 func (r *Register) accept(s document.Submission, revision fleet.Revision, parsed *section.Parsed) {
 	r.revision = revision
-	r.sections[s.Team] = &entry{
+	r.sections[s.Team] = &parsedSection{
 		Section: document.Section{Team: s.Team, Revision: revision, Text: s.Text},
 		parsed:  parsed,
 	}
 }
 
-func (r *Register) remember(t *team, id fleet.ChangeID, c change) {
+func (r *Register) recordChange(t *teamHistory, id fleet.ChangeID, c changeRecord) {
 	t.Changes[id] = c
 	t.Order = append(t.Order, id)
-	r.changes++
-	if r.changes > MaxChanges {
-		r.forget(r.largest(func(t *team) int { return len(t.Order) }))
+	r.changeIDs++
+	if r.changeIDs > MaxChangeIDs {
+		r.dropOldestChange(r.largestTeam(func(t *teamHistory) int { return len(t.Order) }))
 	}
 }
 
-// forget drops the oldest change id of t.
-func (r *Register) forget(t *team) {
+// dropOldestChange drops the oldest change id of t.
+func (r *Register) dropOldestChange(t *teamHistory) {
 	delete(t.Changes, t.Order[0])
 	t.Order = t.Order[1:]
-	r.changes--
+	r.changeIDs--
 }
 
-func (r *Register) audit(t *team, s document.Submission, o document.Outcome, difference string) {
+func (r *Register) recordAudit(t *teamHistory, s document.Submission, o document.Outcome, difference string) {
 	a := document.Audit{
 		At:         s.At,
 		Team:       s.Team,
@@ -284,45 +292,46 @@
 		Difference: difference,
 	}
 	t.Entries = append(t.Entries, a)
-	t.Bytes += sizeOf(a)
-	r.entries++
-	r.bytes += sizeOf(a)
-	for r.bytes > MaxHistory {
-		r.dropOldest(r.largest(func(t *team) int { return t.Bytes }))
+	t.Bytes += auditSize(a)
+	r.auditEntries++
+	r.auditBytes += auditSize(a)
+	for r.auditBytes > MaxAuditBytes {
+		r.dropOldestAudit(r.largestTeam(func(t *teamHistory) int { return t.Bytes }))
 	}
-	for r.entries > MaxEntries {
-		r.dropOldest(r.largest(func(t *team) int { return len(t.Entries) }))
+	for r.auditEntries > MaxAuditEntries {
+		r.dropOldestAudit(r.largestTeam(func(t *teamHistory) int { return len(t.Entries) }))
 	}
 }
 
-func (r *Register) dropOldest(t *team) {
-	size := sizeOf(t.Entries[0])
+func (r *Register) dropOldestAudit(t *teamHistory) {
+	size := auditSize(t.Entries[0])
 	t.Entries[0] = document.Audit{}
 	t.Entries = t.Entries[1:]
 	t.Bytes -= size
-	r.entries--
-	r.bytes -= size
+	r.auditEntries--
+	r.auditBytes -= size
 }
 
-// largest returns the team with the largest use, the first by name among
-// equals.
-func (r *Register) largest(use func(*team) int) *team {
-	var best *team
-	var bestID fleet.TeamID
+// largestTeam returns the team with the largest size, and among equals the first
+// by name.
+func (r *Register) largestTeam(size func(*teamHistory) int) *teamHistory {
+	var largest *teamHistory
+	var largestID fleet.TeamID
 	for id, t := range r.teams {
-		if best == nil || use(t) > use(best) || use(t) == use(best) && id < bestID {
-			best, bestID = t, id
+		if largest == nil || size(t) > size(largest) || size(t) == size(largest) && id < largestID {
+			largest, largestID = t, id
 		}
 	}
-	return best
+	return largest
 }
 
-func sizeOf(a document.Audit) int {
-	return entryOverhead + len(a.Operator) + 2*len(a.Change) + len(a.Outcome.Reason) + len(a.Difference)
+// auditSize returns the size of an audit entry as counted towards MaxAuditBytes.
+func auditSize(a document.Audit) int {
+	return entryOverheadBytes + len(a.Operator) + 2*len(a.Change) + len(a.Outcome.Reason) + len(a.Difference)
 }
 
-// digestOf identifies the content of a submission. Operator and time may differ
-// when it is sent again.
+// digestOf returns a digest of the content of a submission. It excludes operator
+// and time, which may differ when a submission is sent again.
 func digestOf(s document.Submission) []byte {
 	h := sha256.New()
 	var base [8]byte
@@ -332,25 +341,26 @@
 	return h.Sum(nil)
 }
 
-func textOf(e *entry) string {
+func textOf(e *parsedSection) string {
 	if e == nil {
 		return ""
 	}
 	return e.Text
 }
 
-func revisionOf(e *entry) fleet.Revision {
+func revisionOf(e *parsedSection) fleet.Revision {
 	if e == nil {
 		return 0
 	}
 	return e.Revision
 }
 
-// truncate bounds a reason. It cuts between characters, because JSON would alter a
-// part of one and replicas that were restored would hold another outcome.
+// truncate shortens a reason to about maxReasonBytes. It cuts between characters:
+// JSON encoding would replace an incomplete character, and replicas restored from a
+// snapshot would then hold a different outcome.
 func truncate(reason string) string {
-	if len(reason) <= maxReason {
+	if len(reason) <= maxReasonBytes {
 		return reason
 	}
-	return strings.ToValidUTF8(reason[:maxReason], "") + "..."
+	return strings.ToValidUTF8(reason[:maxReasonBytes], "") + "..."
 }
--- a/internal/document/register/register_test.go
+++ b/internal/document/register/register_test.go
@@ -16,7 +16,7 @@
 	"github.com/matryer/is"
 )
 
-// TestScripts guards against lost or repeated changes, histories that show
+// TestScripts guards against lost or repeated changes, histories with entries of
 // another team, and windows that are accepted too late.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -66,64 +66,63 @@
 	})
 }
 
-// TestSchedules guards against a second accepted history, revisions that
-// decrease, change ids with two outcomes and false reports that a change was not
-// applied, under lost, late and repeated
-// commands and restarted replicas.
+// TestSchedules guards against diverging histories, revisions that decrease,
+// change ids with two outcomes and false reports that a change was not applied,
+// under lost, late and repeated commands and restarted replicas.
 func TestSchedules(t *testing.T) {
 	for seed := range int64(60) {
-		schedule(t, seed)
+		runSchedule(t, seed)
 	}
 }
 
-func schedule(t *testing.T, seed int64) {
-	f := newFaulty(t, seed)
+func runSchedule(t *testing.T, seed int64) {
+	f := newFaultyProposer(t, seed)
 	client := NewClient(f, quorum.ConfigGroup, instantClock{})
-	client.attempts = 3
+	client.maxAttempts = 3
 	ctx := context.Background()
-	known := make(map[string]document.Outcome)
+	outcomes := make(map[string]document.Outcome)
 	sent := make(map[string]document.Submission)
-	possible := make(map[fleet.ChangeID]bool) // false: every answer was that it was not applied
+	mayBeApplied := make(map[fleet.ChangeID]bool) // false when every reply said that it was not applied
 	highest := fleet.Revision(0)
 	for n := range 60 {
 		team := fleet.TeamID([]string{"felt", "wool"}[f.random.Intn(2)])
 		s := document.Submission{Change: fleet.ChangeID(fmt.Sprint(n)), Team: team, Operator: "op", Text: "# " + fmt.Sprint(n)}
 		if n > 0 && f.random.Intn(3) == 0 {
-			s = sent[fmt.Sprint(f.random.Intn(n))] // an operator sends a change again
+			s = sent[fmt.Sprint(f.random.Intn(n))] // an operator resends a change
 		} else {
 			s.Base = revisionOf(f.replicas[0].sections[team])
 		}
 		id := string(s.Change)
 		sent[id] = s
 		o, err := client.Submit(ctx, s)
-		possible[s.Change] = possible[s.Change] || err == nil
+		mayBeApplied[s.Change] = mayBeApplied[s.Change] || err == nil
 		if err != nil || o.Verdict == document.Unknown {
 			continue
 		}
 		o.Repeated = false
-		if first, ok := known[id]; ok && first != o {
+		if first, ok := outcomes[id]; ok && first != o {
 			t.Fatalf("seed %d: change %s has outcomes %+v and %+v", seed, id, first, o)
 		}
-		known[id] = o
+		outcomes[id] = o
 		d, err := client.Document(ctx)
 		if err != nil || d.Revision < highest {
 			t.Fatalf("seed %d: revision went from %d to %d: %v", seed, highest, d.Revision, err)
 		}
 		highest = d.Revision
 	}
-	f.settle(1)
-	checkHistory(t, seed, f, sent, known)
+	f.applyDelayed(1)
+	checkReplicas(t, seed, f, sent, outcomes)
 	for _, x := range f.replicas[0].teams {
 		for id := range x.Changes {
-			if !possible[id] {
+			if !mayBeApplied[id] {
 				t.Fatalf("seed %d: change %s was applied and reported as not applied", seed, id)
 			}
 		}
 	}
 }
 
-// checkHistory compares the replicas and replays the accepted submissions.
-func checkHistory(t *testing.T, seed int64, f *faulty, sent map[string]document.Submission, known map[string]document.Outcome) {
+// checkReplicas compares the replicas and replays the accepted submissions.
+func checkReplicas(t *testing.T, seed int64, f *faultyProposer, sent map[string]document.Submission, outcomes map[string]document.Outcome) {
 	first, _ := f.replicas[0].Snapshot()
 	for _, r := range f.replicas[1:] {
 		if data, _ := r.Snapshot(); string(data) != string(first) {
@@ -132,7 +131,7 @@
 	}
 	byRevision := make(map[fleet.Revision]document.Audit)
 	for _, team := range []fleet.TeamID{"felt", "wool"} {
-		for _, a := range f.replicas[0].History(team, MaxPage) {
+		for _, a := range f.replicas[0].History(team, MaxPageEntries) {
 			if a.Outcome.Verdict != document.Accepted {
 				continue
 			}
@@ -150,7 +149,7 @@
 		}
 		current[a.Team] = a.Outcome.Revision
 	}
-	for id, o := range known {
+	for id, o := range outcomes {
 		if a := byRevision[o.Revision]; o.Verdict == document.Accepted && string(a.Change) != id {
 			t.Fatalf("seed %d: accepted change %s is not in the history", seed, id)
 		}
@@ -163,45 +162,46 @@
 }
 
 // TestRetention guards against unbounded history and against a busy team that
-// pushes out the entries of another.
+// evicts the entries of another.
 func TestRetention(t *testing.T) {
 	is := is.New(t)
 	r := New()
-	quiet := document.Submission{Change: "only", Team: "quiet", Text: "# x", At: fakeclock.Start}
-	is.Equal(r.Submit(quiet).Verdict, document.Accepted)
-	for n := range MaxEntries + 10 {
+	quietSubmission := document.Submission{Change: "only", Team: "quiet", Text: "# x", At: fakeclock.Start}
+	is.Equal(r.Submit(quietSubmission).Verdict, document.Accepted)
+	for n := range MaxAuditEntries + 10 {
 		r.Submit(document.Submission{Change: fleet.ChangeID(fmt.Sprint(n)), Team: "busy", Base: 9, Text: "#", At: fakeclock.Start})
 	}
-	is.True(r.entries <= MaxEntries)
-	is.True(r.bytes <= MaxHistory)
-	is.True(r.changes <= MaxChanges)
+	is.True(r.auditEntries <= MaxAuditEntries)
+	is.True(r.auditBytes <= MaxAuditBytes)
+	is.True(r.changeIDs <= MaxChangeIDs)
 	is.Equal(len(r.History("quiet", 5)), 1)
-	is.True(r.Submit(quiet).Repeated)
+	is.True(r.Submit(quietSubmission).Repeated)
 	data, err := r.Snapshot()
 	is.NoErr(err)
 	restored := New()
 	is.NoErr(restored.Restore(data))
-	is.Equal([]int{restored.entries, restored.bytes, restored.changes}, []int{r.entries, r.bytes, r.changes})
+	is.Equal([]int{restored.auditEntries, restored.auditBytes, restored.changeIDs}, []int{r.auditEntries, r.auditBytes, r.changeIDs})
 }
 
-// TestBadText guards against a text that the codec alters and that is accepted
-// in its altered form.
+// TestBadText guards against a text that the JSON encoding alters and that is
+// accepted in its altered form, and against a section that is too large.
 func TestBadText(t *testing.T) {
 	is := is.New(t)
-	f := newFaulty(t, 1)
+	f := newFaultyProposer(t, 1)
 	client := NewClient(f, quorum.ConfigGroup, instantClock{})
 	o, err := client.Submit(context.Background(), document.Submission{Change: "c", Team: "t", Text: "# \xff"})
 	for err != nil || o.Verdict == document.Unknown {
 		o, err = client.Submit(context.Background(), document.Submission{Change: "c", Team: "t", Text: "# \xff"})
 	}
 	is.Equal(o.Verdict, document.Refused)
-	is.True(utf8.ValidString(truncate("x" + strings.Repeat("\u00e9", maxReason))))
+	is.True(utf8.ValidString(truncate("x" + strings.Repeat("\u00e9", maxReasonBytes))))
 	o, err = client.Submit(context.Background(), document.Submission{Change: "d", Team: "t", Text: strings.Repeat("#", 4<<20)})
 	is.NoErr(err)
 	is.Equal(o.Verdict, document.Refused)
 }
 
-// FuzzApply guards against a command that stops a voter.
+// FuzzApply guards against a command, query or snapshot that causes a panic, and
+// against a state whose snapshot can't be restored.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{"version":1,"submission":{"change":"c","team":"t","text":"#","at":"2026-01-01T00:00:00Z"}}`))
 	f.Add([]byte(`{"version":1,"kind":"history","team":"t","limit":-1}`))
@@ -220,7 +220,7 @@
 	})
 }
 
-// instantClock does not wait.
+// instantClock is a clock whose timers fire at once.
 type instantClock struct{}
 
 func (instantClock) Now() time.Time { return fakeclock.Start }
@@ -249,15 +249,15 @@
 				}
 			}
 			for n := range 12000 {
-				r.audit(r.team("small"), document.Submission{Change: fleet.ChangeID(fmt.Sprint("old", n))}, document.Outcome{}, "")
-				r.remember(r.team("small"), fleet.ChangeID(fmt.Sprint("old", n)), change{})
+				r.recordAudit(r.historyOf("small"), document.Submission{Change: fleet.ChangeID(fmt.Sprint("old", n))}, document.Outcome{}, "")
+				r.recordChange(r.historyOf("small"), fleet.ChangeID(fmt.Sprint("old", n)), changeRecord{})
 			}
 			n, base := 0, fleet.Revision(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				n++
 				s := document.Submission{Change: fleet.ChangeID(fmt.Sprint(n)), Team: "small", Base: base, Text: fmt.Sprint("# ", n), At: fakeclock.Start}
-				c := prepare(s)
+				c := prepareCommand(s)
 				o := r.submit(c)
 				if o.Verdict != document.Accepted {
 					b.Fatal(o.Reason)
--- a/internal/document/section/check.go
+++ b/internal/document/section/check.go
@@ -5,14 +5,14 @@
 	"sort"
 	"strings"
 	"time"
-	_ "time/tzdata" // zone data for machines without their own
+	_ "time/tzdata" // embedded zone data for machines that have none installed
 
 	"github.com/bilberryrock/bilberryrock/internal/document"
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
 // Check parses all sections of d, checks them against each other and builds the
-// Config. The error is of type Faults and may show the data of several teams.
+// Config. The error is of type Faults and may contain data of several teams.
 func Check(d document.Document) (*document.Config, error) {
 	var faults Faults
 	var list []*Parsed
@@ -27,18 +27,18 @@
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	if err := Cross(list, ""); err != nil {
+	if err := CrossCheck(list, ""); err != nil {
 		return nil, err
 	}
 	return Build(d.Revision, list)
 }
 
-// Cross checks the sections of all teams against each other. When submitter is
-// not empty, every fault is told from the view of that team: it names nothing of
+// CrossCheck checks the sections of all teams against each other. When submitter
+// is not empty, the faults are written for that team: they contain no data of
 // other teams that the submitter did not write itself. The error is of type
 // Faults.
-func Cross(list []*Parsed, submitter fleet.TeamID) error {
-	c := crossCheck{
+func CrossCheck(list []*Parsed, submitter fleet.TeamID) error {
+	c := crossChecker{
 		submitter:   submitter,
 		models:      make(map[string]fleet.TeamID),
 		accounts:    make(map[string]fleet.TeamID),
@@ -48,27 +48,27 @@
 		pools:       make(map[fleet.PoolID]document.Pool),
 		poolOwners:  make(map[string]fleet.TeamID),
 	}
-	ordered := c.submitterLast(list)
-	c.bounds(ordered)
+	ordered := c.sortSubmitterLast(list)
+	c.checkLimits(ordered)
 	for _, p := range ordered {
-		c.names(p)
+		c.checkNames(p)
 	}
 	for _, p := range ordered {
-		c.references(p)
+		c.checkReferences(p)
 	}
 	return c.faults.asError()
 }
 
-type crossCheck struct {
+type crossChecker struct {
 	submitter                                                fleet.TeamID
 	models, accounts, keys, dataCentres, windows, poolOwners map[string]fleet.TeamID
 	pools                                                    map[fleet.PoolID]document.Pool
 	faults                                                   Faults
 }
 
-// submitterLast orders the sections by team with the submitter last, so that it
-// gets the fault of a name that another team has already.
-func (c *crossCheck) submitterLast(list []*Parsed) []*Parsed {
+// sortSubmitterLast returns the sections ordered by team with the submitter last,
+// so that a name that another team already uses is a fault of the submitter.
+func (c *crossChecker) sortSubmitterLast(list []*Parsed) []*Parsed {
 	ordered := append([]*Parsed(nil), list...)
 	sort.SliceStable(ordered, func(i, j int) bool {
 		a, b := ordered[i].Team, ordered[j].Team
@@ -80,31 +80,31 @@
 	return ordered
 }
 
-func (c *crossCheck) bounds(list []*Parsed) {
+func (c *crossChecker) checkLimits(list []*Parsed) {
 	size := 0
 	for _, p := range list {
-		size += p.size
+		size += p.textBytes
 	}
-	if size > MaxDocument {
-		c.fault(c.submitter, "", "", fmt.Sprintf("the document would have more than %d bytes", MaxDocument))
+	if size > MaxDocumentBytes {
+		c.addFault(c.submitter, "", "", fmt.Sprintf("the document would have more than %d bytes", MaxDocumentBytes))
 	}
 	if len(list) > MaxTeams {
-		c.fault(c.submitter, "", "", fmt.Sprintf("the document would have more than %d sections", MaxTeams))
+		c.addFault(c.submitter, "", "", fmt.Sprintf("the document would have more than %d sections", MaxTeams))
 	}
 }
 
-func (c *crossCheck) fault(team fleet.TeamID, section, key, message string) {
-	c.faults = append(c.faults, Fault{Team: team, Section: section, Key: key, Message: message})
+func (c *crossChecker) addFault(team fleet.TeamID, subsection, key, message string) {
+	c.faults = append(c.faults, Fault{Team: team, Subsection: subsection, Key: key, Message: message})
 }
 
-func (c *crossCheck) names(p *Parsed) {
+func (c *crossChecker) checkNames(p *Parsed) {
 	for _, m := range p.models {
 		c.claim(c.models, p.Team, "model", string(m.ID), "", string(m.ID))
 	}
 	for _, a := range p.accounts {
 		c.claim(c.accounts, p.Team, "account", string(a.ID), "", string(a.ID))
-		for _, h := range a.keys {
-			c.claim(c.keys, p.Team, "account", string(a.ID), "keySha256", h)
+		for _, hash := range a.keys {
+			c.claim(c.keys, p.Team, "account", string(a.ID), "keySha256", hash)
 		}
 	}
 	for _, d := range p.dataCentres {
@@ -113,61 +113,62 @@
 	for _, w := range p.windows {
 		c.claim(c.windows, p.Team, "window", w.Name, "", w.Name)
 	}
-	for _, o := range p.pools {
-		if c.claim(c.poolOwners, p.Team, "pool", string(o.ID), "", string(o.ID)) {
-			c.pools[o.ID] = o
+	for _, pool := range p.pools {
+		if c.claim(c.poolOwners, p.Team, "pool", string(pool.ID), "", string(pool.ID)) {
+			c.pools[pool.ID] = pool
 		}
 	}
 }
 
-// claim notes that a value belongs to a team and reports whether it was free.
-func (c *crossCheck) claim(taken map[string]fleet.TeamID, team fleet.TeamID, kind, name, key, value string) bool {
-	if _, ok := taken[value]; !ok {
-		taken[value] = team
+// claim records that a value belongs to a team. It returns false and adds a fault
+// when the value already has an owner.
+func (c *crossChecker) claim(owners map[string]fleet.TeamID, team fleet.TeamID, kind, name, key, value string) bool {
+	if _, ok := owners[value]; !ok {
+		owners[value] = team
 		return true
 	}
-	what := "name"
+	subject := "name"
 	if key != "" {
-		what = "value"
+		subject = "value"
 	}
-	c.fault(team, title(kind, name), key, what+" is already in use")
+	c.addFault(team, subsectionTitle(kind, name), key, subject+" is already in use")
 	return false
 }
 
-func (c *crossCheck) references(p *Parsed) {
+func (c *crossChecker) checkReferences(p *Parsed) {
 	for _, m := range p.models {
-		c.poolOf(p.Team, m)
+		c.checkPool(p.Team, m)
 	}
 	for _, w := range p.windows {
-		// A window bounds the load of a whole data centre, so only the team
+		// A window limits the load of a whole data centre, so only the team
 		// that owns the data centre may set one.
 		if c.dataCentres[string(w.DataCentre)] != p.Team || p.Team == "" {
-			c.fault(p.Team, title("window", w.Name), "dataCentre",
+			c.addFault(p.Team, subsectionTitle("window", w.Name), "dataCentre",
 				fmt.Sprintf("%q is not a data centre of this section", w.DataCentre))
 		}
 	}
 }
 
-func (c *crossCheck) poolOf(team fleet.TeamID, m document.Model) {
-	o, ok := c.pools[m.Pool]
-	if ok && o.Kind == document.EnginePool {
+func (c *crossChecker) checkPool(team fleet.TeamID, m document.Model) {
+	pool, ok := c.pools[m.Pool]
+	if ok && pool.Kind == document.EnginePool {
 		return
 	}
 	if c.submitter != "" && team != c.submitter {
-		// The submitter removed or changed its pool. The model of the other
-		// team is not named.
-		c.fault(c.submitter, title("pool", string(m.Pool)), "", "is in use by another section as a pool of kind engine")
+		// The submitter removed or changed a pool that another team uses. The
+		// message does not contain the model of that team.
+		c.addFault(c.submitter, subsectionTitle("pool", string(m.Pool)), "", "is in use by another section as a pool of kind engine")
 		return
 	}
 	message := fmt.Sprintf("pool %q does not exist", m.Pool)
 	if ok {
 		message = fmt.Sprintf("pool %q is not of kind engine", m.Pool)
 	}
-	c.fault(team, title("model", string(m.ID)), "pool", message)
+	c.addFault(team, subsectionTitle("model", string(m.ID)), "pool", message)
 }
 
-// Build returns the Config of checked sections. It loads the time zones and
-// fails with Faults when a zone is unknown.
+// Build returns the Config of sections that passed CrossCheck. It loads the time
+// zones and fails with Faults when a zone is unknown.
 func Build(r fleet.Revision, list []*Parsed) (*document.Config, error) {
 	accounts := 0
 	for _, p := range list {
@@ -198,15 +199,15 @@
 	}
 	for _, a := range p.accounts {
 		c.Accounts[a.ID] = a.Account
-		for _, h := range a.keys {
-			c.Keys[h] = a.ID
+		for _, hash := range a.keys {
+			c.Keys[hash] = a.ID
 		}
 	}
 	for _, d := range p.dataCentres {
 		c.DataCentres[d.ID] = d
 	}
-	for _, o := range p.pools {
-		c.Pools[o.ID] = o
+	for _, pool := range p.pools {
+		c.Pools[pool.ID] = pool
 	}
 	windows, err := p.Windows()
 	for _, w := range windows {
@@ -226,7 +227,7 @@
 	for _, w := range p.windows {
 		zone, err := time.LoadLocation(w.zone)
 		if err != nil {
-			faults = append(faults, Fault{p.Team, title("window", w.Name), "timeZone", fmt.Sprintf("%q is not a known time zone", w.zone)})
+			faults = append(faults, Fault{p.Team, subsectionTitle("window", w.Name), "timeZone", fmt.Sprintf("%q is not a known time zone", w.zone)})
 			continue
 		}
 		w.Zone = zone
@@ -235,18 +236,18 @@
 	return list, faults.asError()
 }
 
-// NewWindows returns the names of the windows of p that old does not have in the
-// same form. Old may be nil.
-func (p *Parsed) NewWindows(old *Parsed) []string {
-	before := make(map[string]string)
+// ChangedWindows returns the sorted names of the windows of p that old lacks or
+// has with another content. Old may be nil.
+func (p *Parsed) ChangedWindows(old *Parsed) []string {
+	oldFingerprints := make(map[string]string)
 	if old != nil {
 		for _, w := range old.windows {
-			before[w.Name] = w.fingerprint()
+			oldFingerprints[w.Name] = w.fingerprint()
 		}
 	}
 	var names []string
 	for _, w := range p.windows {
-		if before[w.Name] != w.fingerprint() {
+		if oldFingerprints[w.Name] != w.fingerprint() {
 			names = append(names, w.Name)
 		}
 	}
@@ -254,6 +255,8 @@
 	return names
 }
 
+// fingerprint returns a text that is equal for windows of the same content,
+// whatever the order of their days.
 func (w window) fingerprint() string {
 	var days [7]bool
 	for _, d := range w.Days {
@@ -262,31 +265,32 @@
 	return fmt.Sprintf("%s %v %v %v %s %d", w.DataCentre, days, w.From, w.To, w.zone, w.MaxInFlight)
 }
 
-// Start returns the start of the occurrence of w that is in progress at t, or
-// else of the next one.
-func Start(w document.Window, t time.Time) time.Time {
+// OccurrenceStart returns the start of the occurrence of w that is in progress at
+// t, or else of the next one.
+func OccurrenceStart(w document.Window, t time.Time) time.Time {
 	const week = 7
 	t = t.In(w.Zone)
 	year, month, day := t.Date()
-	for n := -2; n <= week+1; n++ {
-		start := at(year, month, day+n, w.From, w.Zone)
+	for offset := -2; offset <= week+1; offset++ {
+		start := localTime(year, month, day+offset, w.From, w.Zone)
 		if !startsOn(w, start.Weekday()) {
 			continue
 		}
-		next := 0
+		endOffset := 0
 		if w.To <= w.From {
-			next = 1
+			endOffset = 1
 		}
-		if end := at(year, month, day+n+next, w.To, w.Zone); t.Before(end) {
+		if end := localTime(year, month, day+offset+endOffset, w.To, w.Zone); t.Before(end) {
 			return start
 		}
 	}
 	return time.Time{}
 }
 
-func at(year int, month time.Month, day int, offset time.Duration, zone *time.Location) time.Time {
-	hour := int(offset / time.Hour)
-	minute := int(offset % time.Hour / time.Minute)
+// localTime returns the wall-clock time timeOfDay of a date in zone.
+func localTime(year int, month time.Month, day int, timeOfDay time.Duration, zone *time.Location) time.Time {
+	hour := int(timeOfDay / time.Hour)
+	minute := int(timeOfDay % time.Hour / time.Minute)
 	return time.Date(year, month, day, hour, minute, 0, 0, zone)
 }
 
@@ -299,6 +303,7 @@
 	return false
 }
 
-func title(kind, name string) string {
+// subsectionTitle returns the title of a subsection, such as pool "plots".
+func subsectionTitle(kind, name string) string {
 	return kind + ` "` + strings.TrimSpace(name) + `"`
 }
--- a/internal/document/section/difference.go
+++ b/internal/document/section/difference.go
@@ -3,42 +3,43 @@
 import "strings"
 
 const (
-	// maxCells bounds the table of the exact difference, and with it the time
-	// that a submission takes in the register.
-	maxCells = 1 << 20
-	// maxDifference bounds the difference in bytes.
-	maxDifference = 16 << 10
+	// maxLCSCells limits the table of the longest common subsequence (LCS), and
+	// with it the time that the register spends on a submission.
+	maxLCSCells = 1 << 20
+	// maxDiffBytes limits the listed lines of a diff.
+	maxDiffBytes = 16 << 10
 )
 
-// Difference lists the lines that differ between two texts, each with a leading
-// + or -. Two texts that differ in very many lines are compared without regard
-// to the order of their lines. A long list is cut and says so.
-func Difference(old, next string) string {
-	a, b := lines(old), lines(next)
+// Diff lists the lines that differ between two texts, each with a leading + or -.
+// Texts whose LCS table would exceed maxLCSCells are compared without regard to
+// the order of their lines. A list that exceeds maxDiffBytes is truncated and
+// ends with the line (cut).
+func Difference(old, updated string) string {
+	a, b := splitLines(old), splitLines(updated)
 	for len(a) > 0 && len(b) > 0 && a[0] == b[0] {
 		a, b = a[1:], b[1:]
 	}
 	for len(a) > 0 && len(b) > 0 && a[len(a)-1] == b[len(b)-1] {
 		a, b = a[:len(a)-1], b[:len(b)-1]
 	}
-	var w writer
-	if len(a) > 0 && len(b) > maxCells/len(a) {
-		unordered(&w, a, b)
+	var w diffWriter
+	if len(a) > 0 && len(b) > maxLCSCells/len(a) {
+		writeUnorderedDiff(&w, a, b)
 	} else {
-		ordered(&w, a, b)
+		writeOrderedDiff(&w, a, b)
 	}
 	return w.String()
 }
 
-func lines(text string) []string {
+func splitLines(text string) []string {
 	if text == "" {
 		return nil
 	}
 	return strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 }
 
-// ordered writes the difference along a longest common subsequence.
-func ordered(w *writer, a, b []string) {
+// writeOrderedDiff writes the diff along a longest common subsequence.
+func writeOrderedDiff(w *diffWriter, a, b []string) {
 	width := len(b) + 1
 	// common[i*width+j] is the length of the longest common subsequence of
 	// a[i:] and b[j:].
@@ -58,51 +59,54 @@
 		case i < len(a) && j < len(b) && a[i] == b[j]:
 			i, j = i+1, j+1
 		case j == len(b) || i < len(a) && common[(i+1)*width+j] >= common[i*width+j+1]:
-			w.line('-', a[i])
+			w.writeLine('-', a[i])
 			i++
 		default:
-			w.line('+', b[j])
+			w.writeLine('+', b[j])
 			j++
 		}
 	}
 }
 
-func unordered(w *writer, a, b []string) {
-	extra := make(map[string]int)
+// writeUnorderedDiff compares the lines as multisets: it writes the removed lines
+// and then the added ones.
+func writeUnorderedDiff(w *diffWriter, a, b []string) {
+	unmatched := make(map[string]int)
 	for _, l := range b {
-		extra[l]++
+		unmatched[l]++
 	}
 	for _, l := range a {
-		if extra[l] > 0 {
-			extra[l]--
+		if unmatched[l] > 0 {
+			unmatched[l]--
 			continue
 		}
-		w.line('-', l)
+		w.writeLine('-', l)
 	}
-	clear(extra)
+	clear(unmatched)
 	for _, l := range a {
-		extra[l]++
+		unmatched[l]++
 	}
 	for _, l := range b {
-		if extra[l] > 0 {
-			extra[l]--
+		if unmatched[l] > 0 {
+			unmatched[l]--
 			continue
 		}
-		w.line('+', l)
+		w.writeLine('+', l)
 	}
 }
 
-type writer struct {
+// diffWriter collects a diff of up to maxDiffBytes.
+type diffWriter struct {
 	strings.Builder
-	full bool
+	truncated bool
 }
 
-func (w *writer) line(sign byte, l string) {
-	if w.full {
+func (w *diffWriter) writeLine(sign byte, l string) {
+	if w.truncated {
 		return
 	}
-	if w.Len()+len(l)+2 > maxDifference {
-		w.full = true
+	if w.Len()+len(l)+2 > maxDiffBytes {
+		w.truncated = true
 		w.WriteString("(cut)\n")
 		return
 	}
--- a/internal/document/section/keys.go
+++ b/internal/document/section/keys.go
@@ -14,69 +14,70 @@
 
 // Key describes one key of a kind of subsection.
 type Key struct {
-	// Section is the kind of subsection, such as "model".
+	// Kind is the kind of subsection, such as "model".
 	Section string
 	Name    string
-	// Unit is the unit or form of the value.
+	// Unit is the unit or format of the value.
 	Unit string
 	// Default is the value of a key that is not given. It is empty when the
-	// key is required or stands for nothing.
+	// key is required or has no default.
 	Default string
-	// Bound is the range of allowed values.
+	// Constraint describes the allowed values, such as a range.
 	Bound    string
 	Required bool
 }
 
-// spec is a Key of a subsection that is read into a T.
-type spec[T any] struct {
+// keySpec is a Key with the function that stores its value in a T.
+type keySpec[T any] struct {
 	Key
-	// set stores a value and returns what is wrong with it.
+	// set parses and stores a value. It returns a message when the value is
+	// invalid, or else the empty string.
 	set func(t *T, value string) string
 }
 
 const (
-	maxCount   = 1_000_000
-	maxKeys    = 8
-	maxPaths   = 64
-	maxTimeout = time.Hour
-	minTimeout = 10 * time.Millisecond
+	maxCount        = 1_000_000 // largest number or rate of requests
+	maxAccountKeys  = 8
+	maxPathPrefixes = 64
+	maxTimeout      = time.Hour
+	minTimeout      = 10 * time.Millisecond
 )
 
-var modelKeys = []spec[document.Model]{
-	text("model", "version", true, func(m *document.Model) *string { return &m.Version }),
-	text("model", "adapter", false, func(m *document.Model) *string { return &m.Adapter }),
-	required(integer("model", "layers", "layers", "", 1, 1024, func(m *document.Model) *fleet.Layer { return &m.Layers })),
-	name("model", "pool", func(m *document.Model) *fleet.PoolID { return &m.Pool }),
-	integer("model", "minHolders", "upstreams", "2", 1, 64, func(m *document.Model) *int { return &m.MinHolders }),
-	integer("model", "maxTokens", "tokens", "1024", 1, 1<<20, func(m *document.Model) *int { return &m.MaxTokens }),
+var modelKeys = []keySpec[document.Model]{
+	textKey("model", "version", true, func(m *document.Model) *string { return &m.Version }),
+	textKey("model", "adapter", false, func(m *document.Model) *string { return &m.Adapter }),
+	required(integerKey("model", "layers", "layers", "", 1, 1024, func(m *document.Model) *fleet.Layer { return &m.Layers })),
+	nameKey("model", "pool", func(m *document.Model) *fleet.PoolID { return &m.Pool }),
+	integerKey("model", "minHolders", "upstreams", "2", 1, 64, func(m *document.Model) *int { return &m.MinHolders }),
+	integerKey("model", "maxTokens", "tokens", "1024", 1, 1<<20, func(m *document.Model) *int { return &m.MaxTokens }),
 }
 
-var accountKeys = []spec[account]{
-	keyHashes(),
-	integer("account", "weight", "share", "1", 1, 1000, func(a *account) *int { return &a.Weight }),
-	integer("account", "priority", "priority", "0", 0, 9, func(a *account) *fleet.Priority { return &a.Priority }),
-	rate("account", "requestRate", func(a *account) *float64 { return &a.RequestRate }),
-	integer("account", "burst", "requests", "0", 0, maxCount, func(a *account) *int { return &a.Burst }),
-	integer("account", "maxInFlight", "requests", "0", 0, maxCount, func(a *account) *int { return &a.MaxInFlight }),
+var accountKeys = []keySpec[account]{
+	keyHashesKey(),
+	integerKey("account", "weight", "share", "1", 1, 1000, func(a *account) *int { return &a.Weight }),
+	integerKey("account", "priority", "priority", "0", 0, 9, func(a *account) *fleet.Priority { return &a.Priority }),
+	rateKey("account", "requestRate", func(a *account) *float64 { return &a.RequestRate }),
+	integerKey("account", "burst", "requests", "0", 0, maxCount, func(a *account) *int { return &a.Burst }),
+	integerKey("account", "maxInFlight", "requests", "0", 0, maxCount, func(a *account) *int { return &a.MaxInFlight }),
 }
 
-var dataCentreKeys = []spec[document.DataCentre]{
-	name("dataCentre", "region", func(d *document.DataCentre) *fleet.RegionID { return &d.Region }),
+var dataCentreKeys = []keySpec[document.DataCentre]{
+	nameKey("dataCentre", "region", func(d *document.DataCentre) *fleet.RegionID { return &d.Region }),
 }
 
-var poolKeys = []spec[document.Pool]{
-	poolKind(),
-	oncePaths(),
-	duration("pool", "timeout", "30s", minTimeout, maxTimeout, func(o *document.Pool) *time.Duration { return &o.Timeout }),
+var poolKeys = []keySpec[document.Pool]{
+	poolKindKey(),
+	oncePathsKey(),
+	durationKey("pool", "timeout", "30s", minTimeout, maxTimeout, func(p *document.Pool) *time.Duration { return &p.Timeout }),
 }
 
-var windowKeys = []spec[window]{
-	name("window", "dataCentre", func(w *window) *fleet.DataCentreID { return &w.DataCentre }),
-	weekdays(),
-	timeOfDay("window", "from", func(w *window) *time.Duration { return &w.From }),
-	timeOfDay("window", "to", func(w *window) *time.Duration { return &w.To }),
-	timeZone(),
-	required(integer("window", "maxInFlight", "requests", "", 0, maxCount, func(w *window) *int { return &w.MaxInFlight })),
+var windowKeys = []keySpec[window]{
+	nameKey("window", "dataCentre", func(w *window) *fleet.DataCentreID { return &w.DataCentre }),
+	daysKey(),
+	timeOfDayKey("window", "from", func(w *window) *time.Duration { return &w.From }),
+	timeOfDayKey("window", "to", func(w *window) *time.Duration { return &w.To }),
+	timeZoneKey(),
+	required(integerKey("window", "maxInFlight", "requests", "", 0, maxCount, func(w *window) *int { return &w.MaxInFlight })),
 }
 
 // Keys returns every key of every kind of subsection.
@@ -89,7 +90,7 @@
 	return appendKeys(all, windowKeys)
 }
 
-// Table returns Keys as a table in Markdown, for the documentation.
+// Table returns Keys as a Markdown table for the documentation.
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| subsection | key | unit or form | default | bound |\n|---|---|---|---|---|\n")
@@ -109,80 +110,82 @@
 	return k.Default
 }
 
-func appendKeys[T any](all []Key, specs []spec[T]) []Key {
+func appendKeys[T any](all []Key, specs []keySpec[T]) []Key {
 	for _, s := range specs {
 		all = append(all, s.Key)
 	}
 	return all
 }
 
-func required[T any](s spec[T]) spec[T] {
+func required[T any](s keySpec[T]) keySpec[T] {
 	s.Required = true
 	return s
 }
 
-func integer[T any, N ~int](section, key, unit, value string, low, high int, field func(*T) *N) spec[T] {
-	bound := fmt.Sprintf("%d to %d", low, high)
+// integerKey returns the spec of a whole number from low to high. The function
+// field returns the address at which the value is stored.
+func integerKey[T any, N ~int](kind, key, unit, defaultValue string, low, high int, field func(*T) *N) keySpec[T] {
+	constraint := fmt.Sprintf("%d to %d", low, high)
 	set := func(t *T, v string) string {
 		n, err := strconv.Atoi(v)
 		if err != nil {
 			return "must be a whole number of " + unit + " without a unit"
 		}
 		if n < low || n > high {
-			return "must be from " + bound
+			return "must be from " + constraint
 		}
 		*field(t) = N(n)
 		return ""
 	}
-	return spec[T]{Key{section, key, unit, value, bound, false}, set}
+	return keySpec[T]{Key{kind, key, unit, defaultValue, constraint, false}, set}
 }
 
-func rate[T any](section, key string, field func(*T) *float64) spec[T] {
-	bound := fmt.Sprintf("0 to %d", maxCount)
+func rateKey[T any](kind, key string, field func(*T) *float64) keySpec[T] {
+	constraint := fmt.Sprintf("0 to %d", maxCount)
 	set := func(t *T, v string) string {
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil {
 			return "must be a number of requests a second without a unit"
 		}
 		if math.IsNaN(n) || n < 0 || n > maxCount {
-			return "must be from " + bound
+			return "must be from " + constraint
 		}
 		*field(t) = n
 		return ""
 	}
-	return spec[T]{Key{section, key, "requests a second", "0", bound, false}, set}
+	return keySpec[T]{Key{kind, key, "requests a second", "0", constraint, false}, set}
 }
 
-func duration[T any](section, key, value string, low, high time.Duration, field func(*T) *time.Duration) spec[T] {
-	bound := fmt.Sprintf("%v to %v", low, high)
+func durationKey[T any](kind, key, defaultValue string, low, high time.Duration, field func(*T) *time.Duration) keySpec[T] {
+	constraint := fmt.Sprintf("%v to %v", low, high)
 	set := func(t *T, v string) string {
 		d, err := time.ParseDuration(v)
 		if err != nil {
 			return "must be a duration with a unit, such as 500ms or 30s"
 		}
 		if d < low || d > high {
-			return "must be from " + bound
+			return "must be from " + constraint
 		}
 		*field(t) = d
 		return ""
 	}
-	return spec[T]{Key{section, key, "duration", value, bound, false}, set}
+	return keySpec[T]{Key{kind, key, "duration", defaultValue, constraint, false}, set}
 }
 
-func text[T any](section, key string, needed bool, field func(*T) *string) spec[T] {
-	const longest = 128
-	bound := fmt.Sprintf("1 to %d characters without spaces", longest)
+func textKey[T any](kind, key string, isRequired bool, field func(*T) *string) keySpec[T] {
+	const maxBytes = 128
+	constraint := fmt.Sprintf("1 to %d characters without spaces", maxBytes)
 	set := func(t *T, v string) string {
-		if v == "" || len(v) > longest || strings.ContainsAny(v, " \t") {
-			return "must have " + bound
+		if v == "" || len(v) > maxBytes || strings.ContainsAny(v, " \t") {
+			return "must have " + constraint
 		}
 		*field(t) = v
 		return ""
 	}
-	return spec[T]{Key{section, key, "text", "", bound, needed}, set}
+	return keySpec[T]{Key{kind, key, "text", "", constraint, isRequired}, set}
 }
 
-func name[T any, N ~string](section, key string, field func(*T) *N) spec[T] {
+func nameKey[T any, N ~string](kind, key string, field func(*T) *N) keySpec[T] {
 	set := func(t *T, v string) string {
 		if message := checkName(v); message != "" {
 			return message
@@ -190,66 +193,66 @@
 		*field(t) = N(v)
 		return ""
 	}
-	bound := fmt.Sprintf("1 to %d letters, digits, dots, dashes and underscores", maxNameLength)
-	return spec[T]{Key{section, key, "name", "", bound, true}, set}
+	constraint := fmt.Sprintf("1 to %d letters, digits, dots, dashes and underscores", maxNameBytes)
+	return keySpec[T]{Key{kind, key, "name", "", constraint, true}, set}
 }
 
-func keyHashes() spec[account] {
-	bound := fmt.Sprintf("1 to %d hashes of 64 lower-case digits", maxKeys)
+func keyHashesKey() keySpec[account] {
+	constraint := fmt.Sprintf("1 to %d hashes of 64 lower-case digits", maxAccountKeys)
 	set := func(a *account, v string) string {
 		list := splitList(v)
-		if len(list) == 0 || len(list) > maxKeys {
-			return "must have " + bound
+		if len(list) == 0 || len(list) > maxAccountKeys {
+			return "must have " + constraint
 		}
-		for _, h := range list {
-			if b, err := hex.DecodeString(h); err != nil || len(b) != 32 || h != strings.ToLower(h) {
-				return "must have " + bound
+		for _, hash := range list {
+			if b, err := hex.DecodeString(hash); err != nil || len(b) != 32 || hash != strings.ToLower(hash) {
+				return "must have " + constraint
 			}
 		}
 		a.keys = list
 		return ""
 	}
-	return spec[account]{Key{"account", "keySha256", "list of SHA-256 in hexadecimal", "", bound, true}, set}
+	return keySpec[account]{Key{"account", "keySha256", "list of SHA-256 in hexadecimal", "", constraint, true}, set}
 }
 
-func poolKind() spec[document.Pool] {
-	set := func(o *document.Pool, v string) string {
-		if o.Kind.UnmarshalText([]byte(v)) != nil {
+func poolKindKey() keySpec[document.Pool] {
+	set := func(p *document.Pool, v string) string {
+		if p.Kind.UnmarshalText([]byte(v)) != nil {
 			return "must be engine or service"
 		}
 		return ""
 	}
-	return spec[document.Pool]{Key{"pool", "kind", "name", "", "engine or service", true}, set}
+	return keySpec[document.Pool]{Key{"pool", "kind", "name", "", "engine or service", true}, set}
 }
 
-func oncePaths() spec[document.Pool] {
-	bound := fmt.Sprintf("up to %d path prefixes that begin with /", maxPaths)
-	set := func(o *document.Pool, v string) string {
+func oncePathsKey() keySpec[document.Pool] {
+	constraint := fmt.Sprintf("up to %d path prefixes that begin with /", maxPathPrefixes)
+	set := func(p *document.Pool, v string) string {
 		list := splitList(v)
-		if len(list) > maxPaths {
-			return "must be " + bound
+		if len(list) > maxPathPrefixes {
+			return "must be " + constraint
 		}
 		for _, path := range list {
 			if !strings.HasPrefix(path, "/") || strings.ContainsAny(path, " \t?#") {
-				return "must be " + bound
+				return "must be " + constraint
 			}
 		}
-		o.OncePaths = list
+		p.OncePaths = list
 		return ""
 	}
-	return spec[document.Pool]{Key{"pool", "oncePaths", "list of paths", "", bound, false}, set}
+	return keySpec[document.Pool]{Key{"pool", "oncePaths", "list of paths", "", constraint, false}, set}
 }
 
-// dayNames are in the order of time.Weekday.
+// dayNames is indexed by time.Weekday.
 var dayNames = []string{"sunday", "monday", "tuesday", "wednesday", "thursday", "friday", "saturday"}
 
-func weekdays() spec[window] {
+func daysKey() keySpec[window] {
 	all := strings.Join(dayNames, ", ")
 	set := func(w *window, v string) string {
 		var seen [7]bool
 		var days []time.Weekday
 		for _, name := range splitList(v) {
-			d, ok := weekday(name)
+			d, ok := parseWeekday(name)
 			if !ok || seen[d] {
 				return "must list different days out of " + all
 			}
@@ -262,10 +265,10 @@
 		w.Days = days
 		return ""
 	}
-	return spec[window]{Key{"window", "days", "list of days", all, "1 to 7 different days", false}, set}
+	return keySpec[window]{Key{"window", "days", "list of days", all, "1 to 7 different days", false}, set}
 }
 
-func weekday(name string) (time.Weekday, bool) {
+func parseWeekday(name string) (time.Weekday, bool) {
 	for i, n := range dayNames {
 		if n == name {
 			return time.Weekday(i), true
@@ -274,7 +277,7 @@
 	return 0, false
 }
 
-func timeOfDay(section, key string, field func(*window) *time.Duration) spec[window] {
+func timeOfDayKey(kind, key string, field func(*window) *time.Duration) keySpec[window] {
 	set := func(w *window, v string) string {
 		t, err := time.Parse("15:04", v)
 		if err != nil || len(v) != len("15:04") {
@@ -283,39 +286,39 @@
 		*field(w) = time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 		return ""
 	}
-	return spec[window]{Key{section, key, "time of day", "", "00:00 to 23:59", true}, set}
+	return keySpec[window]{Key{kind, key, "time of day", "", "00:00 to 23:59", true}, set}
 }
 
-// timeZone checks the form of a zone name only. Build loads the zone.
-func timeZone() spec[window] {
-	const bound = "name of the IANA time zone database"
+// timeZoneKey checks only the syntax of a zone name. Build loads the zone.
+func timeZoneKey() keySpec[window] {
+	const constraint = "name of the IANA time zone database"
 	set := func(w *window, v string) string {
 		if v == "UTC" {
 			w.zone = v
 			return ""
 		}
-		for _, part := range strings.Split(v, "/") {
-			if !zonePart(part) {
-				return "must be a " + bound + ", such as Europe/London"
+		for _, component := range strings.Split(v, "/") {
+			if !isZoneComponent(component) {
+				return "must be a " + constraint + ", such as Europe/London"
 			}
 		}
-		if !strings.Contains(v, "/") || len(v) > maxNameLength {
-			return "must be a " + bound + ", such as Europe/London"
+		if !strings.Contains(v, "/") || len(v) > maxNameBytes {
+			return "must be a " + constraint + ", such as Europe/London"
 		}
 		w.zone = v
 		return ""
 	}
-	return spec[window]{Key{"window", "timeZone", "name", "", bound, true}, set}
+	return keySpec[window]{Key{"window", "timeZone", "name", "", constraint, true}, set}
 }
 
-func zonePart(part string) bool {
-	for _, c := range part {
+func isZoneComponent(component string) bool {
+	for _, c := range component {
 		letter := 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
 		if !letter && c != '_' && c != '-' && c != '+' {
 			return false
 		}
 	}
-	return part != ""
+	return component != ""
 }
 
 func splitList(v string) []string {
--- a/internal/document/section/section.go
+++ b/internal/document/section/section.go
@@ -1,19 +1,19 @@
 // Package section parses and checks the sections that teams submit.
 //
-// A section is a text in INI with named subsections:
+// A section is a text in INI format with named subsections:
 //
 //	[pool "plots"]
 //	kind = service
 //	timeout = 5s
 //
-// Parse checks one section alone. Cross checks the sections of all teams against
-// each other. Check does both for a document and builds the Config that an
-// instance puts into force. Every check covers the whole text and reports all
-// faults, each with its section and key.
+// Parse checks one section on its own. CrossCheck checks the sections of all
+// teams against each other. Check does both for a document and builds the Config
+// that an instance activates. Every check covers the whole text and reports all
+// faults, each with its subsection and key.
 //
-// Parse and Cross depend on their arguments only, so that every replica of the
-// register reaches the same verdict. Time zones are loaded by Build, because the
-// zone data differ between machines.
+// Parse and CrossCheck depend on their arguments only, so that every replica of
+// the register reaches the same verdict. Time zones are loaded by Build, because
+// the zone data differ between machines.
 package section
 
 import (
@@ -29,54 +29,55 @@
 )
 
 const (
-	// MaxText is the largest section in bytes. Encoded as JSON it fits into
+	// MaxTextBytes is the largest size of a section. Encoded as JSON it fits into
 	// the 4 MiB that the operators' listener and gRPC accept.
-	MaxText = 3 << 20
-	// MaxDocument is the largest sum of all sections in bytes.
-	MaxDocument = 16 << 20
+	MaxTextBytes = 3 << 20
+	// MaxDocumentBytes is the largest total size of all sections.
+	MaxDocumentBytes = 16 << 20
 	// MaxTeams is the largest number of sections of a document.
 	MaxTeams = 256
 
-	// MaxLines and MaxSubsections bound the time that a section takes: 786,000
+	// MaxLines and MaxSubsections limit the processing time of a section: 786,000
 	// empty subsections in 3 MiB took 1 s.
 	MaxLines       = 300_000
 	MaxSubsections = 30_000
 
-	maxNameLength   = 64 // bytes
-	maxPrintedFault = 20
+	maxNameBytes     = 64
+	maxPrintedFaults = 20
 )
 
-// Fault is one error in a section.
+// Fault is one error found in a section.
 type Fault struct {
 	Team fleet.TeamID
-	// Section is the kind and name of the subsection, empty for the text as a
-	// whole.
-	Section string
+	// Subsection is the kind and name of the subsection. It is empty when the
+	// fault concerns the text as a whole.
+	Subsection string
 	// Key is empty when the fault concerns the subsection as a whole.
 	Key     string
 	Message string
 }
 
-// String returns the fault with its section and key.
+// String returns the message with its subsection and key.
 func (f Fault) String() string {
 	switch {
-	case f.Section == "":
+	case f.Subsection == "":
 		return f.Message
 	case f.Key == "":
-		return fmt.Sprintf("[%s]: %s", f.Section, f.Message)
+		return fmt.Sprintf("[%s]: %s", f.Subsection, f.Message)
 	default:
-		return fmt.Sprintf("[%s] %s: %s", f.Section, f.Key, f.Message)
+		return fmt.Sprintf("[%s] %s: %s", f.Subsection, f.Key, f.Message)
 	}
 }
 
 // Faults lists all faults of a document. It is an error when it is not empty.
 type Faults []Fault
 
-// Error returns one line for each fault, up to a bound.
+// Error returns one line per fault. After maxPrintedFaults faults, it only counts
+// the others.
 func (f Faults) Error() string {
 	var lines []string
 	for i, x := range f {
-		if i == maxPrintedFault {
+		if i == maxPrintedFaults {
 			lines = append(lines, fmt.Sprintf("and %d more faults", len(f)-i))
 			break
 		}
@@ -92,10 +93,10 @@
 	return f
 }
 
-// Parsed is the checked content of one section.
+// Parsed is the content of one section that passed Parse.
 type Parsed struct {
 	Team        fleet.TeamID
-	size        int
+	textBytes   int
 	models      []document.Model
 	accounts    []account
 	dataCentres []document.DataCentre
@@ -103,21 +104,21 @@
 	windows     []window
 }
 
-// account is an account with the hashes of its API keys.
+// account is an account with the hashes of its account keys.
 type account struct {
 	document.Account
 	keys []string
 }
 
-// window is a window whose time zone is not loaded yet.
+// window is a quiet-hours window whose time zone is not loaded yet.
 type window struct {
 	document.Window
 	zone string
 }
 
-// ini.v1 joins sections and keys of equal names by default. The options keep
-// them apart, so that Parse can refuse duplicates.
-var options = ini.LoadOptions{
+// iniOptions keep sections and keys of equal names apart, so that Parse can
+// reject duplicates. By default, ini.v1 merges them.
+var iniOptions = ini.LoadOptions{
 	AllowNonUniqueSections:     true,
 	AllowShadows:               true,
 	AllowDuplicateShadowValues: true,
@@ -128,18 +129,18 @@
 
 // Parse checks the section of a team. The error is of type Faults.
 func Parse(team fleet.TeamID, text string) (*Parsed, error) {
-	p := parser{parsed: &Parsed{Team: team, size: len(text)}, seen: make(map[string]bool)}
+	p := parser{parsed: &Parsed{Team: team, textBytes: len(text)}, seen: make(map[string]bool)}
 	if message := checkText(text); message != "" {
-		p.fault("", "", message)
+		p.addFault("", "", message)
 		return nil, p.faults
 	}
-	file, err := ini.LoadSources(options, []byte(text))
+	file, err := ini.LoadSources(iniOptions, []byte(text))
 	if err != nil {
-		p.fault("", "", "is not valid INI: "+truncate(err.Error()))
+		p.addFault("", "", "is not valid INI: "+truncate(err.Error()))
 		return nil, p.faults
 	}
 	for _, s := range file.Sections() {
-		p.section(s)
+		p.parseSubsection(s)
 	}
 	if len(p.faults) > 0 {
 		return nil, p.faults
@@ -147,10 +148,11 @@
 	return p.parsed, nil
 }
 
-// checkText returns what is wrong with the text before it is parsed.
+// checkText checks the text before it is parsed. It returns a message when the
+// text must not be parsed, or else the empty string.
 func checkText(text string) string {
-	if len(text) > MaxText {
-		return fmt.Sprintf("section has %d bytes, the bound is %d", len(text), MaxText)
+	if len(text) > MaxTextBytes {
+		return fmt.Sprintf("section has %d bytes, the bound is %d", len(text), MaxTextBytes)
 	}
 	if !utf8.ValidString(text) {
 		return "section is not valid UTF-8"
@@ -170,7 +172,8 @@
 	return ""
 }
 
-// checkLine refuses what ini.v1 would ignore without an error.
+// checkLine returns a message for input that ini.v1 would silently ignore, or
+// else the empty string.
 func checkLine(line []byte) string {
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	for _, b := range line {
@@ -195,110 +198,111 @@
 	faults Faults
 }
 
-func (p *parser) fault(section, key, message string) {
-	p.faults = append(p.faults, Fault{Team: p.parsed.Team, Section: section, Key: key, Message: message})
+func (p *parser) addFault(subsection, key, message string) {
+	p.faults = append(p.faults, Fault{Team: p.parsed.Team, Subsection: subsection, Key: key, Message: message})
 }
 
-func (p *parser) section(s *ini.Section) {
+func (p *parser) parseSubsection(s *ini.Section) {
 	if s.Name() == ini.DefaultSection {
 		for _, k := range s.Keys() {
-			p.fault(truncate(s.Name()), truncate(k.Name()), "key outside of a subsection")
+			p.addFault(truncate(s.Name()), truncate(k.Name()), "key outside of a subsection")
 		}
 		return
 	}
 	title := truncate(s.Name())
 	kind, name, ok := splitTitle(s.Name())
 	if !ok || truncate(kind) != kind {
-		p.fault(title, "", `must be a kind and a quoted name, such as [pool "plots"]`)
+		p.addFault(title, "", `must be a kind and a quoted name, such as [pool "plots"]`)
 		return
 	}
 	if message := checkName(name); message != "" {
-		p.fault(title, "", message)
+		p.addFault(title, "", message)
 		return
 	}
 	title = kind + ` "` + name + `"`
 	if p.seen[title] {
-		p.fault(title, "", "appears twice")
+		p.addFault(title, "", "appears twice")
 		return
 	}
 	p.seen[title] = true
-	p.entity(kind, title, name, s)
+	p.parseEntity(kind, title, name, s)
 }
 
-func (p *parser) entity(kind, title, name string, s *ini.Section) {
-	r := p.parsed
+func (p *parser) parseEntity(kind, title, name string, s *ini.Section) {
+	parsed := p.parsed
 	switch kind {
 	case "model":
-		m := document.Model{ID: fleet.ModelID(name), Team: r.Team}
-		read(p, title, s, modelKeys, &m)
-		r.models = append(r.models, m)
+		m := document.Model{ID: fleet.ModelID(name), Team: parsed.Team}
+		readKeys(p, title, s, modelKeys, &m)
+		parsed.models = append(parsed.models, m)
 	case "account":
-		a := account{Account: document.Account{ID: fleet.AccountID(name), Team: r.Team}}
-		read(p, title, s, accountKeys, &a)
+		a := account{Account: document.Account{ID: fleet.AccountID(name), Team: parsed.Team}}
+		readKeys(p, title, s, accountKeys, &a)
 		p.checkAccount(title, a)
-		r.accounts = append(r.accounts, a)
+		parsed.accounts = append(parsed.accounts, a)
 	case "dataCentre":
-		d := document.DataCentre{ID: fleet.DataCentreID(name), Team: r.Team}
-		read(p, title, s, dataCentreKeys, &d)
-		r.dataCentres = append(r.dataCentres, d)
+		d := document.DataCentre{ID: fleet.DataCentreID(name), Team: parsed.Team}
+		readKeys(p, title, s, dataCentreKeys, &d)
+		parsed.dataCentres = append(parsed.dataCentres, d)
 	case "pool":
-		o := document.Pool{ID: fleet.PoolID(name), Team: r.Team}
-		read(p, title, s, poolKeys, &o)
-		p.checkPool(title, o)
-		r.pools = append(r.pools, o)
+		pool := document.Pool{ID: fleet.PoolID(name), Team: parsed.Team}
+		readKeys(p, title, s, poolKeys, &pool)
+		p.checkPool(title, pool)
+		parsed.pools = append(parsed.pools, pool)
 	case "window":
-		w := window{Window: document.Window{Name: name, Team: r.Team}}
-		read(p, title, s, windowKeys, &w)
-		r.windows = append(r.windows, w)
+		w := window{Window: document.Window{Name: name, Team: parsed.Team}}
+		readKeys(p, title, s, windowKeys, &w)
+		parsed.windows = append(parsed.windows, w)
 	default:
-		p.fault(title, "", "unknown kind of subsection")
+		p.addFault(title, "", "unknown kind of subsection")
 	}
 }
 
 func (p *parser) checkAccount(title string, a account) {
 	if a.Burst > 0 && a.RequestRate == 0 {
-		p.fault(title, "burst", "has no effect without requestRate")
+		p.addFault(title, "burst", "has no effect without requestRate")
 	}
 }
 
-func (p *parser) checkPool(title string, o document.Pool) {
-	if o.Kind == document.EnginePool && len(o.OncePaths) > 0 {
-		p.fault(title, "oncePaths", "is for pools of kind service")
+func (p *parser) checkPool(title string, pool document.Pool) {
+	if pool.Kind == document.EnginePool && len(pool.OncePaths) > 0 {
+		p.addFault(title, "oncePaths", "is for pools of kind service")
 	}
 }
 
-// read sets the fields of t from the keys of s.
-func read[T any](p *parser, title string, s *ini.Section, specs []spec[T], t *T) {
+// readKeys sets the fields of target from the keys of s and reports missing,
+// duplicate, unknown and invalid keys.
+func readKeys[T any](p *parser, title string, s *ini.Section, specs []keySpec[T], target *T) {
 	values := make(map[string]string, len(specs))
 	for _, k := range s.Keys() {
 		if len(k.ValueWithShadows()) > 1 {
-			p.fault(title, truncate(k.Name()), "appears twice")
+			p.addFault(title, truncate(k.Name()), "appears twice")
 		}
 		values[k.Name()] = k.Value()
 	}
 	for _, x := range specs {
-		p.value(title, x.Key, values, func(v string) string { return x.set(t, v) })
+		p.setValue(title, x.Key, values, func(v string) string { return x.set(target, v) })
 		delete(values, x.Name)
 	}
 	for _, name := range sortedKeys(values) {
-		p.fault(title, truncate(name), "unknown key")
+		p.addFault(title, truncate(name), "unknown key")
 	}
 }
 
-func (p *parser) value(title string, k Key, values map[string]string, set func(string) string) {
-	v, ok := values[k.Name]
-	if !ok && k.Required {
-		p.fault(title, k.Name, "is missing")
+func (p *parser) setValue(title string, key Key, values map[string]string, set func(string) string) {
+	v, ok := values[key.Name]
+	if !ok && key.Required {
+		p.addFault(title, key.Name, "is missing")
 		return
 	}
 	if !ok {
-		v = k.Default
+		v = key.Default
 	}
 	if !ok && v == "" {
 		return
 	}
 	if message := set(v); message != "" {
-		p.fault(title, k.Name, fmt.Sprintf("%s, got %q", message, truncate(v)))
+		p.addFault(title, key.Name, fmt.Sprintf("%s, got %q", message, truncate(v)))
 	}
 }
 
@@ -312,10 +316,10 @@
 	return kind, rest[1 : len(rest)-1], true
 }
 
-// checkName returns what is wrong with a name, or the empty string.
+// checkName returns a message for an invalid name, or else the empty string.
 func checkName(name string) string {
-	if name == "" || len(name) > maxNameLength {
-		return fmt.Sprintf("name must have 1 to %d characters", maxNameLength)
+	if name == "" || len(name) > maxNameBytes {
+		return fmt.Sprintf("name must have 1 to %d characters", maxNameBytes)
 	}
 	for i := range len(name) {
 		c := name[i]
@@ -327,13 +331,13 @@
 	return ""
 }
 
-// truncate bounds a text of the submitter that appears in a message.
+// truncate shortens a submitted text that appears in a message.
 func truncate(s string) string {
-	const longest = 100 // bytes
-	if len(s) <= longest {
+	const maxBytes = 100
+	if len(s) <= maxBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:longest], "") + "..."
+	return strings.ToValidUTF8(s[:maxBytes], "") + "..."
 }
 
 func sortedKeys[K ~string, V any](m map[K]V) []K {
--- a/internal/document/section/section_test.go
+++ b/internal/document/section/section_test.go
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// TestScripts guards against keys that are not checked, faults without section
-// and key, and faults that show the data of another team.
+// TestScripts guards against keys that are not checked, faults without subsection
+// and key, and faults that contain data of another team.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		texts := make(map[fleet.TeamID]string)
@@ -42,7 +42,8 @@
 	})
 }
 
-// submit replaces the section of a team when the document is sound with it.
+// submit replaces the section of a team when the document passes all checks with
+// it.
 func submit(texts map[fleet.TeamID]string, team fleet.TeamID, text string) string {
 	if _, err := Parse(team, text); err != nil {
 		return err.Error() + "\n"
@@ -57,7 +58,7 @@
 		}
 	}
 	p, _ := Parse(team, text)
-	if err := Cross(append(list, p), team); err != nil {
+	if err := CrossCheck(append(list, p), team); err != nil {
 		return err.Error() + "\n"
 	}
 	texts[team] = text
@@ -70,7 +71,8 @@
 		len(c.Models), len(c.Accounts), len(c.Keys), len(c.DataCentres), len(c.Pools), len(c.Windows))
 }
 
-// start prints the occurrence of a window at the times on the lines of input.
+// start parses a window and prints, for each time after the ==== line, the start
+// of its current or next occurrence.
 func start(input string) string {
 	text, times, _ := strings.Cut(input, "====\n")
 	p, err := Parse("t", text)
@@ -82,14 +84,14 @@
 		return err.Error() + "\n"
 	}
 	var out strings.Builder
-	for _, l := range lines(times) {
+	for _, l := range splitLines(times) {
 		at, _ := time.Parse(time.RFC3339, l)
-		fmt.Fprintf(&out, "%s: %s\n", l, Start(windows[0], at).Format(time.RFC3339))
+		fmt.Fprintf(&out, "%s: %s\n", l, OccurrenceStart(windows[0], at).Format(time.RFC3339))
 	}
 	return out.String()
 }
 
-// TestDefaultsAreAccepted guards against a default outside of its own bound.
+// TestDefaultsAreAccepted guards against a default that its own key rejects.
 func TestDefaultsAreAccepted(t *testing.T) {
 	is := is.New(t)
 	p, err := Parse("t", "[pool \"p\"]\nkind = engine\n[model \"m\"]\nversion = 1\nlayers = 4\npool = p\n")
@@ -103,10 +105,11 @@
 	}
 }
 
-// TestSizeBounds guards against a section or document that outgrows a message.
+// TestSizeBounds guards against a section or document that is too large for a
+// message.
 func TestSizeBounds(t *testing.T) {
 	is := is.New(t)
-	_, err := Parse("t", strings.Repeat("#\n", MaxText))
+	_, err := Parse("t", strings.Repeat("#\n", MaxTextBytes))
 	is.True(err != nil)
 	for text, limit := range map[string]int{"#\n": MaxLines, "[a]\n": MaxSubsections} {
 		_, err = Parse("t", strings.Repeat(text, limit+1))
@@ -115,14 +118,15 @@
 	_, err = Parse("t", "# \xff\n")
 	is.Equal(err.Error(), "section is not valid UTF-8")
 	var list []*Parsed
-	for i := range MaxDocument/MaxText + 1 {
-		list = append(list, &Parsed{Team: fleet.TeamID(fmt.Sprint(i)), size: MaxText})
+	for i := range MaxDocumentBytes/MaxTextBytes + 1 {
+		list = append(list, &Parsed{Team: fleet.TeamID(fmt.Sprint(i)), textBytes: MaxTextBytes})
 	}
-	is.True(Cross(list, "0") != nil)
+	is.True(CrossCheck(list, "0") != nil)
 }
 
-// FuzzParse guards against input that panics or that passes the checks of one
-// section and fails in building the Config for another reason than a time zone.
+// FuzzParse guards against input that causes a panic, and against input that
+// passes Parse and CrossCheck and then fails in Check for another reason than an
+// unknown time zone.
 func FuzzParse(f *testing.F) {
 	f.Add("[pool \"p\"]\nkind = engine\n[model \"m\"]\nversion = 1\nlayers = 4\npool = p\n")
 	f.Add("[window \"w\"]\ndataCentre = d\nfrom = 22:00\nto = 06:00\ntimeZone = Europe/London\nmaxInFlight = 1\n[dataCentre \"d\"]\nregion = r\n")
@@ -131,13 +135,13 @@
 		p, err := Parse("t", text)
 		again, err2 := Parse("t", text)
 		if (err == nil) != (err2 == nil) || err != nil && err.Error() != err2.Error() {
-			t.Fatalf("two verdicts: %v and %v", err, err2)
+			t.Fatalf("parsing the same text twice gave %v and %v", err, err2)
 		}
-		if err != nil || Cross([]*Parsed{p}, "t") != nil {
+		if err != nil || CrossCheck([]*Parsed{p}, "t") != nil {
 			return
 		}
-		if names := again.NewWindows(p); len(names) > 0 {
-			t.Fatalf("equal sections differ in windows %v", names)
+		if names := again.ChangedWindows(p); len(names) > 0 {
+			t.Fatalf("sections with the same text differ in windows %v", names)
 		}
 		if _, err := p.Windows(); err != nil {
 			return
@@ -148,7 +152,7 @@
 	})
 }
 
-// accounts returns a section with accounts of all keys.
+// accounts returns a section with count accounts that set all keys.
 func accounts(team string, count int) string {
 	var b strings.Builder
 	for i := range count {
@@ -157,7 +161,7 @@
 	return b.String()
 }
 
-// BenchmarkCheck measures a whole document with 42,000 accounts in 6 sections.
+// BenchmarkCheck measures Check of a document with 42,000 accounts in 6 sections.
 func BenchmarkCheck(b *testing.B) {
 	var d document.Document
 	for i := range 6 {
@@ -182,7 +186,7 @@
 	runtime.KeepAlive(d)
 }
 
-// BenchmarkDifference measures the largest exact difference.
+// BenchmarkDifference measures a diff with an LCS table near maxLCSCells.
 func BenchmarkDifference(b *testing.B) {
 	x, y := accounts("x", 140), accounts("y", 140)
 	for b.Loop() {
