--- a/cmd/bilberryrock-platform/run.go
+++ b/cmd/bilberryrock-platform/run.go
@@ -82,14 +82,14 @@
 	clock := systemclock.NewSteady()
 	client := exchange.New(clock)
 	st := state.New(clock, s.DataCentre, platform.Configuration{}, state.Limits{
-		Alive: aliveBeats * s.Heartbeat, Lease: s.Revoke - leaseMargin, Fresh: freshLimit,
+		HeartbeatTimeout: aliveBeats * s.Heartbeat, KeyLease: s.Revoke - leaseMargin, ReadinessTimeout: freshLimit,
 		Retries: budget.Limit{Share: s.RetryRatio * retryPart, Extra: s.RetryExtra * retryPart, Window: s.RetryWindow},
 	}, client, log)
 	registry := newRegistry(out)
 	handler := forward.New(clock, st, client, platform.Headers{}, platform.Engines{Client: client},
 		forward.NewMetrics(registry), log)
-	follower := feed.NewClient(s.Instance, clock, st, log, feed.Seeds(s.PeerSeeds...), feed.Home(s.DataCentre),
-		feed.Dial(dialOptions()...))
+	follower := feed.NewClient(s.Instance, clock, st, log, feed.WithSeeds(s.PeerSeeds...), feed.WithDataCentre(s.DataCentre),
+		feed.WithDialOptions(dialOptions()...))
 	defer follower.Stop()
 	servers := &servers{clock: clock, log: log, failed: make(chan error, 4)}
 	front := server(handler)
@@ -104,12 +104,12 @@
 	if err != nil {
 		return err
 	}
-	life := live(s, signals, log, func(n platform.Settings) { follower.LearnSeeds(n.PeerSeeds) })
+	life := live(s, signals, log, func(n platform.Settings) { follower.AddSeeds(n.PeerSeeds) })
 	failed := wait(life, servers.failed, log)
 	drain, end := stopTimes(s.Grace)
 	ctx, cancel := context.WithTimeout(context.Background(), end)
 	defer cancel()
-	handler.Close()
+	handler.StartDrain()
 	clients.Drain()
 	milestone(log, "The gateway drains.", zap.Int64("requests", handler.Active()), zap.Duration("grace", s.Grace))
 	time.Sleep(drain)
@@ -140,8 +140,8 @@
 func runController(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
 	clock := systemclock.NewSteady()
 	c, err := controller.New(controller.Settings{
-		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.Folder, Found: s.Found, Seeds: s.PeerSeeds,
-		Alive: aliveBeats * s.Heartbeat, Dial: dialOptions(),
+		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.Folder, Bootstrap: s.Found, Seeds: s.PeerSeeds,
+		HeartbeatTimeout: aliveBeats * s.Heartbeat, DialOptions: dialOptions(),
 	}, platform.Configuration{}, platform.Engines{Client: exchange.New(clock)}, clock, log)
 	if err != nil {
 		return err
@@ -231,7 +231,7 @@
 
 // requestID names a request of a client in the log.
 func requestID(r *http.Request) string {
-	call, err := platform.Headers{}.ReadCall(r.Header)
+	call, err := platform.Headers{}.DecodeClient(r.Header)
 	if err != nil || call.ID == "" {
 		return r.Method + " " + r.URL.Path
 	}
--- a/cmd/bilberryrockd/main.go
+++ b/cmd/bilberryrockd/main.go
@@ -135,5 +135,5 @@
 	}
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	// Without sampling, which would drop lines that an operator looks for.
-	return zap.New(output.Brief(zapcore.NewCore(encoder(config), out, level)), zap.AddCaller(), zap.AddStacktrace(trace)), nil
+	return zap.New(output.OmitStackTraces(zapcore.NewCore(encoder(config), out, level)), zap.AddCaller(), zap.AddStacktrace(trace)), nil
 }
--- a/internal/controller/tenure/tenure.go
+++ b/internal/controller/tenure/tenure.go
@@ -64,7 +64,7 @@
 			return err
 		}
 	}
-	v, err := store.VersionOf(reply)
+	v, err := store.DecodeVersion(reply)
 	if err != nil {
 		return err
 	}
--- a/internal/document/register/client.go
+++ b/internal/document/register/client.go
@@ -100,7 +100,7 @@
 }
 
 // History returns the latest audit entries of a team, newest first.
-func (c *Client) History(ctx context.Context, t fleet.TeamID, limit int) ([]document.Audit, error) {
+func (c *Client) History(ctx context.Context, t fleet.TeamID, limit int) ([]document.AuditEntry, error) {
 	r, err := c.read(ctx, query{Version: version, Kind: historyQuery, Team: t, Limit: limit})
 	return r.History, err
 }
--- a/internal/entry/caller/caller.go
+++ b/internal/entry/caller/caller.go
@@ -34,12 +34,12 @@
 // Lookups runs idempotent calls to plain services. It may try several
 // upstreams.
 type Lookups interface {
-	Lookup(ctx context.Context, r fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Answer, error)
+	Lookup(ctx context.Context, r fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Response, error)
 }
 
 // Orders runs calls that may not be repeated.
 type Orders interface {
-	Order(ctx context.Context, r fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Answer, error)
+	Order(ctx context.Context, r fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Response, error)
 }
 
 // Parts are the parts of the daemon that the API uses. All are needed.
--- a/internal/entry/caller/caller_test.go
+++ b/internal/entry/caller/caller_test.go
@@ -48,7 +48,7 @@
 	moved  chan struct{}
 }
 
-func (f *fake) Enter(context.Context, admission.Ask) (admission.Ticket, error) {
+func (f *fake) Enter(context.Context, admission.Request) (admission.Ticket, error) {
 	if f.refuse != nil {
 		return nil, f.refuse
 	}
@@ -58,7 +58,7 @@
 
 func (f *fake) Done() { f.held.Add(-1) }
 
-func (f *fake) Moved() <-chan struct{} { return f.moved }
+func (f *fake) Evicted() <-chan struct{} { return f.moved }
 
 func (f *fake) tickets() int { return int(f.held.Load()) }
 
@@ -79,17 +79,17 @@
 	return pipeline.LengthReached, nil
 }
 
-func (f *fake) Lookup(_ context.Context, _ fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+func (f *fake) Lookup(_ context.Context, _ fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Response, error) {
 	return f.answer("lookup", p, c)
 }
 
-func (f *fake) Order(_ context.Context, _ fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+func (f *fake) Order(_ context.Context, _ fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Response, error) {
 	return f.answer("order "+k.Name, p, c)
 }
 
-func (f *fake) answer(kind string, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+func (f *fake) answer(kind string, p document.Pool, c upstream.Call) (upstream.Response, error) {
 	if f.fail != nil {
-		return upstream.Answer{}, f.fail
+		return upstream.Response{}, f.fail
 	}
 	names := make([]string, 0, len(c.Header))
 	for name := range c.Header {
@@ -97,7 +97,7 @@
 	}
 	sort.Strings(names)
 	body := fmt.Sprintf("%s at %s: %s %s %q with %v\n", kind, p.ID, c.Method, c.Path, c.Body, names)
-	return upstream.Answer{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte(body)}, nil
+	return upstream.Response{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte(body)}, nil
 }
 
 type noTrail struct{}
@@ -121,7 +121,7 @@
 		Accounts: map[fleet.AccountID]document.Account{"acc": {ID: "acc", Team: "alpha", Weight: 1}},
 		Keys:     map[string]fleet.AccountID{digest("key"): "acc"},
 		Pools: map[fleet.PoolID]document.Pool{
-			"desk":  {ID: "desk", Team: "alpha", Kind: document.ServicePool, OncePaths: []string{"/orders"}},
+			"desk":  {ID: "desk", Team: "alpha", Kind: document.ServicePool, AtMostOncePaths: []string{"/orders"}},
 			"rival": {ID: "rival", Team: "beta", Kind: document.ServicePool},
 		},
 	}
--- a/internal/entry/caller/quiet.go
+++ b/internal/entry/caller/quiet.go
@@ -14,14 +14,14 @@
 // untilMoved returns a context that ends when the work of the ticket has to leave
 // for quiet hours. The returned function frees it.
 func untilMoved(ctx context.Context, t admission.Ticket) (context.Context, func()) {
-	movable, ok := t.(admission.Movable)
+	movable, ok := t.(admission.Evictable)
 	if !ok {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		select {
-		case <-movable.Moved():
+		case <-movable.Evicted():
 			cancel(errMoved)
 		case <-ctx.Done():
 		}
--- a/internal/entry/caller/request.go
+++ b/internal/entry/caller/request.go
@@ -39,9 +39,9 @@
 func (q *request) mayHaveRun() bool { return q.keyed && !q.ledgerAsked }
 
 // ask describes the request to the gate.
-func (q *request) ask(pool fleet.PoolID) admission.Ask {
-	return admission.Ask{
-		Request:  q.id,
+func (q *request) ask(pool fleet.PoolID) admission.Request {
+	return admission.Request{
+		ID:       q.id,
 		Account:  q.account.ID,
 		Weight:   q.account.Weight,
 		Priority: q.account.Priority,
@@ -56,11 +56,11 @@
 	ticket, err := a.parts.Gate.Enter(ctx, q.ask(pool))
 	now := a.parts.Clock.Now()
 	entry := report.Entry{
-		At:     now,
-		Part:   "admission",
-		Known:  fmt.Sprintf("pool %s, %s left until the deadline", pool, q.deadline.Sub(asked).Round(time.Millisecond)),
-		Chosen: "admitted",
-		Reason: fmt.Sprintf("a place was free after %s", now.Sub(asked)),
+		At:        now,
+		Component: "admission",
+		Known:     fmt.Sprintf("pool %s, %s left until the deadline", pool, q.deadline.Sub(asked).Round(time.Millisecond)),
+		Chosen:    "admitted",
+		Reason:    fmt.Sprintf("a place was free after %s", now.Sub(asked)),
 	}
 	if err != nil {
 		entry.Chosen, entry.Reason = refusal.KindOf(err).Answer().Code, err.Error()
@@ -158,7 +158,7 @@
 	}
 	a.observe(code, took)
 	a.parts.Trail.Add(string(q.id), report.Entry{
-		At: a.parts.Clock.Now(), Part: "caller", Chosen: code, Reason: reason(err),
+		At: a.parts.Clock.Now(), Component: "caller", Chosen: code, Reason: reason(err),
 	})
 	// The fields are built only for a level that is logged.
 	entry := a.parts.Log.Check(zap.DebugLevel, "Request ended.")
--- a/internal/entry/caller/service.go
+++ b/internal/entry/caller/service.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	defer ticket.Done()
-	var answer upstream.Answer
+	var answer upstream.Response
 	if once {
 		q.ledgerAsked = true
 		answer, err = a.parts.Orders.Order(r.Context(), q.id, key, pool, call)
@@ -93,7 +93,7 @@
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return false
 	}
-	for _, prefix := range p.OncePaths {
+	for _, prefix := range p.AtMostOncePaths {
 		if strings.HasPrefix(strings.ToLower(c.Path), strings.ToLower(prefix)) {
 			return true
 		}
@@ -122,7 +122,7 @@
 	"Trailer", "Transfer-Encoding", "Upgrade", "X-Request-Id",
 }
 
-func passOn(w http.ResponseWriter, answer upstream.Answer) error {
+func passOn(w http.ResponseWriter, answer upstream.Response) error {
 	header := w.Header()
 	for name, values := range answer.Header {
 		if !slices.Contains(hopByHop, textproto.CanonicalMIMEHeaderKey(name)) {
--- a/internal/entry/console/commands.go
+++ b/internal/entry/console/commands.go
@@ -128,7 +128,7 @@
 	if err := c.call(http.MethodGet, "/v1/section", nil, &s); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "# against revision %d\n%s", s.Revision, section.Difference(s.Text, text))
+	fmt.Fprintf(c.out, "# against revision %d\n%s", s.Revision, section.Diff(s.Text, text))
 	return nil
 }
 
@@ -139,7 +139,7 @@
 
 // Execute prints the newest audit entries.
 func (c *historyCommand) Execute([]string) error {
-	var entries []document.Audit
+	var entries []document.AuditEntry
 	if err := c.call(http.MethodGet, "/v1/history?limit="+strconv.Itoa(c.Limit), nil, &entries); err != nil {
 		return err
 	}
@@ -234,9 +234,9 @@
 }
 
 func (c *explainCommand) printEntry(e report.Entry) {
-	fmt.Fprintf(c.out, "%s %s: %s\n", e.At.Format("15:04:05.000"), e.Part, e.Chosen)
+	fmt.Fprintf(c.out, "%s %s: %s\n", e.At.Format("15:04:05.000"), e.Component, e.Chosen)
 	for _, line := range []struct{ label, text string }{
-		{"known", e.Known}, {"weighed", e.Weighed}, {"reason", e.Reason}, {"next", e.Next},
+		{"known", e.Known}, {"weighed", e.Alternatives}, {"reason", e.Reason}, {"next", e.Next},
 	} {
 		if line.text != "" {
 			fmt.Fprintf(c.out, "    %s: %s\n", line.label, line.text)
--- a/internal/entry/daemon/decisions.go
+++ b/internal/entry/daemon/decisions.go
@@ -59,7 +59,7 @@
 func (d *Daemon) openDecisions() error {
 	r, err := roster.New(
 		roster.WithDataCentre(d.settings.Instance.DataCentre),
-		roster.WithFreshness(d.settings.Upstreams.ConfirmationAge),
+		roster.WithHeartbeatTimeout(d.settings.Upstreams.ConfirmationAge),
 	)
 	if err != nil {
 		return errors.Wrap(err, "open roster")
@@ -70,7 +70,7 @@
 		limiter:  share.New(d.settings.Instance.FleetSize),
 		governor: governor.New(clockError),
 	}
-	c.gate = gate.New(d.clock, c.limiter, gate.WithQueue(d.settings.Requests.QueueLength), gate.WithBound(c.governor))
+	c.gate = gate.New(d.clock, c.limiter, gate.WithQueueLimit(d.settings.Requests.QueueLength), gate.WithQuietLimit(c.governor))
 	c.dispatcher = dispatch.New(r, c.dialer, d.clock, dispatch.WithBudget(budget.New()), dispatch.WithTrail(d.state.trail))
 	learned := speeds.New(firstSpeed)
 	longest := d.settings.Upstreams.StepTimeout
@@ -140,7 +140,7 @@
 // capacity returns what the pool can run.
 func (d *Daemon) capacity(id fleet.PoolID, instances int) lane.Capacity {
 	load := d.decisions.dispatcher.Pool(id).Load()
-	return lane.Capacity{Slots: load.Slots, Instances: instances, Reported: load.Reported, Known: load.Known}
+	return lane.Capacity{Slots: load.Slots, Instances: instances, ReportedLoad: load.Reported, ReportedSlots: load.ReportedSlots}
 }
 
 // aliveIn returns the live members of a data centre, or of all for "".
--- a/internal/entry/daemon/hostile_test.go
+++ b/internal/entry/daemon/hostile_test.go
@@ -54,13 +54,13 @@
 	}
 }
 
-func (f flood) Enter(context.Context, admission.Ask) (admission.Ticket, error) { return f, nil }
+func (f flood) Enter(context.Context, admission.Request) (admission.Ticket, error) { return f, nil }
 
 // Done reports the end of a call to the service, too.
 func (f flood) Done() { f.ended <- nil }
 
-func (f flood) Lookup(context.Context, fleet.RequestID, document.Pool, upstream.Call) (upstream.Answer, error) {
-	return upstream.Answer{Status: http.StatusOK, Body: make([]byte, 64<<20)}, nil
+func (f flood) Lookup(context.Context, fleet.RequestID, document.Pool, upstream.Call) (upstream.Response, error) {
+	return upstream.Response{Status: http.StatusOK, Body: make([]byte, 64<<20)}, nil
 }
 
 // open starts a callers' listener with short limits and returns its address.
--- a/internal/entry/daemon/membership.go
+++ b/internal/entry/daemon/membership.go
@@ -48,12 +48,12 @@
 func (d *Daemon) exchangeUsage(now time.Time) {
 	limiter := d.decisions.limiter
 	for id, usage := range d.node.InstanceUsages() {
-		if err := limiter.Absorb(id, usage, now); err != nil {
+		if err := limiter.ReceiveSummary(id, usage, now); err != nil {
 			d.log.Warn("The usage of an instance can't be read.", zap.String("instance", string(id)), zap.Error(err))
 		}
 	}
 	for id, usage := range d.node.CentreUsages() {
-		if err := limiter.AbsorbGroup(id, usage, now); err != nil {
+		if err := limiter.ReceiveGroupSummary(id, usage, now); err != nil {
 			d.log.Warn("The usage of a data centre can't be read.", zap.String("dataCentre", string(id)), zap.Error(err))
 		}
 	}
--- a/internal/entry/daemon/requests.go
+++ b/internal/entry/daemon/requests.go
@@ -109,7 +109,7 @@
 }
 
 // Order implements caller.Orders.
-func (r *requests) Order(ctx context.Context, id fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+func (r *requests) Order(ctx context.Context, id fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Response, error) {
 	picks := &picks{daemon: r.daemon, request: id, pool: p.ID}
 	answer, err := r.desk.Run(ctx, desk.Order{Key: k, Request: id, Call: c, Timeout: p.Timeout, Pick: picks.next})
 	r.record(id, k, picks, err)
@@ -119,10 +119,10 @@
 // record keeps what came of an order in the decision record of the request.
 func (r *requests) record(id fleet.RequestID, k order.Key, p *picks, err error) {
 	entry := report.Entry{
-		At:     r.daemon.clock.Now(),
-		Part:   "order",
-		Known:  "key " + k.Name,
-		Chosen: "sent to an upstream, answer recorded",
+		At:        r.daemon.clock.Now(),
+		Component: "order",
+		Known:     "key " + k.Name,
+		Chosen:    "sent to an upstream, answer recorded",
 	}
 	switch {
 	case err != nil:
@@ -158,7 +158,7 @@
 }
 
 // Call implements upstream.ServiceClient.
-func (l *leased) Call(ctx context.Context, c upstream.Call) (upstream.Answer, error) {
+func (l *leased) Call(ctx context.Context, c upstream.Call) (upstream.Response, error) {
 	answer, err := l.client.Call(ctx, c)
 	l.lease.Done(dispatch.Result(ctx, answer, err))
 	return answer, err
--- a/internal/entry/daemon/state.go
+++ b/internal/entry/daemon/state.go
@@ -89,11 +89,11 @@
 	}
 	return []voter.Option{
 		voter.Instance(s.Instance.ID, s.Listeners.Peers),
-		voter.Initial(peers...),
+		voter.InitialVoters(peers...),
 		voter.Clock(d.clock),
-		voter.Tick(s.Quorum.Tick),
+		voter.TickInterval(s.Quorum.Tick),
 		voter.AttemptTimeout(s.Quorum.ProposalTimeout),
-		voter.Dial(grpc.WithTransportCredentials(d.security.Client)),
+		voter.DialOptions(grpc.WithTransportCredentials(d.security.Client)),
 		voter.Logger(d.base),
 		voter.Cut(d.faults.cut),
 	}
--- a/internal/entry/daemon/status.go
+++ b/internal/entry/daemon/status.go
@@ -19,7 +19,7 @@
 	s := operator.Status{
 		Instance:     d.settings.Instance.ID,
 		Revision:     d.revision(),
-		ConfirmedAgo: operator.InSeconds(follower.Age(now)),
+		ConfirmedAgo: operator.InSeconds(follower.ConfirmationAge(now)),
 		Instances:    []operator.InstanceStatus{},
 		Changes:      d.spread.changes(members),
 		Groups:       d.groups(),
--- a/internal/entry/operator/operator.go
+++ b/internal/entry/operator/operator.go
@@ -43,7 +43,7 @@
 	// Document returns the accepted document.
 	Document(ctx context.Context) (document.Document, error)
 	// History returns the newest audit entries of a team, the newest first.
-	History(ctx context.Context, team fleet.TeamID, limit int) ([]document.Audit, error)
+	History(ctx context.Context, team fleet.TeamID, limit int) ([]document.AuditEntry, error)
 }
 
 // Finder finds decision records, also those of other instances.
@@ -285,7 +285,7 @@
 		return err
 	}
 	if entries == nil {
-		entries = []document.Audit{}
+		entries = []document.AuditEntry{}
 	}
 	writeJSON(w, http.StatusOK, entries)
 	return nil
--- a/internal/entry/operator/operator_test.go
+++ b/internal/entry/operator/operator_test.go
@@ -49,8 +49,8 @@
 	}}, nil
 }
 
-func (documents) History(_ context.Context, team fleet.TeamID, limit int) ([]document.Audit, error) {
-	return []document.Audit{{Team: team, Change: fleet.ChangeID(fmt.Sprint("limit ", limit))}}, nil
+func (documents) History(_ context.Context, team fleet.TeamID, limit int) ([]document.AuditEntry, error) {
+	return []document.AuditEntry{{Team: team, Change: fleet.ChangeID(fmt.Sprint("limit ", limit))}}, nil
 }
 
 func (documents) Find(_ context.Context, id string) (report.Record, bool) {
@@ -62,7 +62,7 @@
 	return nil, nil
 }
 
-func (documents) Settle(_ context.Context, s ledger.Settlement, _ upstream.Answer) error {
+func (documents) Settle(_ context.Context, s ledger.Settlement, _ upstream.Response) error {
 	if s.Attempt != "attempt-1" {
 		return refusal.New(refusal.Conflict, "the attempt holds no open claim")
 	}
--- a/internal/entry/operator/orders.go
+++ b/internal/entry/operator/orders.go
@@ -17,7 +17,7 @@
 	// OpenClaims returns the oldest claims of an account that have no answer.
 	OpenClaims(ctx context.Context, a fleet.AccountID, limit int) ([]ledger.Open, error)
 	// Settle ends a claim by the statement of an operator.
-	Settle(ctx context.Context, s ledger.Settlement, answer upstream.Answer) error
+	Settle(ctx context.Context, s ledger.Settlement, answer upstream.Response) error
 }
 
 // Settlement is the body of POST /v1/settlements.
@@ -91,10 +91,10 @@
 	return nil
 }
 
-func (s Settlement) answer() upstream.Answer {
+func (s Settlement) answer() upstream.Response {
 	header := make(http.Header)
 	if s.ContentType != "" {
 		header.Set("Content-Type", s.ContentType)
 	}
-	return upstream.Answer{Status: s.Status, Header: header, Body: []byte(s.Body)}
+	return upstream.Response{Status: s.Status, Header: header, Body: []byte(s.Body)}
 }
--- a/internal/membership/gossip/schedule_test.go
+++ b/internal/membership/gossip/schedule_test.go
@@ -151,7 +151,7 @@
 	late.State = upstream.Serving
 	late.Sequence--
 	is.New(s.t).True(a.host.roster.Announce(late, s.now) != nil)
-	a.host.roster.Merge([]roster.Confirmation{{Announcement: late}}, s.now)
+	a.host.roster.Merge([]roster.AgedAnnouncement{{Announcement: late}}, s.now)
 }
 
 // restartUpstream starts an upstream again that left at least 5 s ago.
@@ -196,7 +196,7 @@
 // checkUpstream also looks at frozen hosts, as if they ran on at this moment.
 func (s *schedule) checkUpstream(h *host, a *announcer) {
 	silent := s.now.Sub(a.said)
-	if silent <= roster.MaxFreshness+unnoticed {
+	if silent <= roster.MaxHeartbeatTimeout+unnoticed {
 		return
 	}
 	for _, u := range h.roster.Usable("p", s.now) {
--- a/internal/membership/gossip/world_test.go
+++ b/internal/membership/gossip/world_test.go
@@ -115,7 +115,7 @@
 		Gossip: h.address(), Peers: "127.0.0.1:1", Voter: h.index < 3,
 	}
 	h.core = gossip.New(self, []string{w.hosts[0].address(), w.hosts[1].address()}, gossip.WithRandom(uint64(h.index)))
-	h.roster.Listen(func(a upstream.Announcement, confirmed, now time.Time) {
+	h.roster.OnAnnouncement(func(a upstream.Announcement, confirmed, now time.Time) {
 		w.apply(h, h.core.Announce(a, confirmed, now))
 	})
 }
@@ -210,10 +210,10 @@
 		}
 	}
 	if e.Resumed {
-		h.roster.Resume(w.now)
+		h.roster.RecordResume(w.now)
 	}
 	for _, a := range e.Announced {
-		h.roster.Merge([]roster.Confirmation{{Announcement: a.Announcement, Age: a.Age}}, w.now)
+		h.roster.Merge([]roster.AgedAnnouncement{{Announcement: a.Announcement, Age: a.Age}}, w.now)
 	}
 	for _, r := range e.Renewed {
 		h.roster.Renew([]roster.Renewal{roster.Renewal(r)}, w.now)
--- a/internal/membership/packet/node.go
+++ b/internal/membership/packet/node.go
@@ -152,7 +152,7 @@
 	self.Gossip = n.connection.LocalAddr().String()
 	n.core = gossip.New(self, n.seeds, gossip.WithCombine(n.combine))
 	if n.roster != nil {
-		n.roster.Listen(n.announced)
+		n.roster.OnAnnouncement(n.announced)
 	}
 	n.start()
 	return n, nil
@@ -277,7 +277,7 @@
 	now := n.clock.Now()
 	if e.Resumed {
 		n.logger.Warn("The process did not run for a while.")
-		n.roster.Resume(now)
+		n.roster.RecordResume(now)
 	}
 	if len(e.Announced) > 0 {
 		n.mergeAnnounced(e.Announced, now)
@@ -288,9 +288,9 @@
 }
 
 func (n *Node) mergeAnnounced(announced []gossip.Upstream, now time.Time) {
-	all := make([]roster.Confirmation, len(announced))
+	all := make([]roster.AgedAnnouncement, len(announced))
 	for i, a := range announced {
-		all[i] = roster.Confirmation{Announcement: a.Announcement, Age: a.Age}
+		all[i] = roster.AgedAnnouncement{Announcement: a.Announcement, Age: a.Age}
 	}
 	if refused := n.roster.Merge(all, now); refused > 0 {
 		n.logger.Warn("The roster refused announcements of other instances.", zap.Int("refused", refused))
--- a/internal/order/desk/desk.go
+++ b/internal/order/desk/desk.go
@@ -97,7 +97,7 @@
 // flight is an order in progress. Requests with the same key wait for it.
 type flight struct {
 	done   chan struct{}
-	answer upstream.Answer
+	answer upstream.Response
 	err    error
 }
 
@@ -118,16 +118,16 @@
 // Run runs o, or waits for the same order in progress on this instance, or
 // replays its recorded answer. The order goes on when ctx ends; the error has
 // kind refusal.Deadline then. The answer is shared and must not be changed.
-func (d *Desk) Run(ctx context.Context, o Order) (upstream.Answer, error) {
+func (d *Desk) Run(ctx context.Context, o Order) (upstream.Response, error) {
 	f, err := d.join(o)
 	if err != nil {
-		return upstream.Answer{}, err
+		return upstream.Response{}, err
 	}
 	select {
 	case <-f.done:
 		return f.answer, f.err
 	case <-ctx.Done():
-		return upstream.Answer{}, refusal.Because(refusal.Deadline, ctx.Err(), "order is still in progress, ask again with the same key")
+		return upstream.Response{}, refusal.Because(refusal.Deadline, ctx.Err(), "order is still in progress, ask again with the same key")
 	}
 }
 
@@ -264,12 +264,12 @@
 	unfinished func(context.Context) error
 }
 
-func (t *attempt) run() (upstream.Answer, error) {
+func (t *attempt) run() (upstream.Response, error) {
 	ctx, cancel := t.bounded(claimTimeout)
 	r, err := t.ledger.Claim(ctx, t.claim)
 	cancel()
 	if err != nil {
-		return upstream.Answer{}, t.unclaimed(err)
+		return upstream.Response{}, t.unclaimed(err)
 	}
 	if r.State != order.Claimed || !r.Mine {
 		return t.other(r)
@@ -292,24 +292,24 @@
 }
 
 // other answers from a record of another attempt.
-func (t *attempt) other(r order.Record) (upstream.Answer, error) {
+func (t *attempt) other(r order.Record) (upstream.Response, error) {
 	switch {
 	case r.Reused:
-		return upstream.Answer{}, refusal.New(refusal.KeyReused, "the key was used before for another order")
+		return upstream.Response{}, refusal.New(refusal.KeyReused, "the key was used before for another order")
 	case r.State == order.Free:
-		return upstream.Answer{}, refusal.New(refusal.Overloaded, "order was not run: the claim came too late")
+		return upstream.Response{}, refusal.New(refusal.Overloaded, "order was not run: the claim came too late")
 	case r.State == order.Done && r.Answer != nil:
 		return *r.Answer, nil
 	case r.State == order.Done:
-		return upstream.Answer{}, refusal.New(refusal.OutcomeUnknown, "the order ran, its answer was too large to be kept")
+		return upstream.Response{}, refusal.New(refusal.OutcomeUnknown, "the order ran, its answer was too large to be kept")
 	case t.clock.Now().Sub(r.Claim.At) < t.timeout()+SendWithin+lateness:
-		return upstream.Answer{}, refusal.New(refusal.InProgress, "the order is in progress").After(time.Second)
+		return upstream.Response{}, refusal.New(refusal.InProgress, "the order is in progress").After(time.Second)
 	}
-	return upstream.Answer{}, refusal.New(refusal.OutcomeUnknown, "an attempt of the order has no answer, an operator must settle it")
+	return upstream.Response{}, refusal.New(refusal.OutcomeUnknown, "an attempt of the order has no answer, an operator must settle it")
 }
 
 // send calls upstreams until one of them may have processed the order.
-func (t *attempt) send() (upstream.Answer, error) {
+func (t *attempt) send() (upstream.Response, error) {
 	var last error
 	for range maxPicks {
 		answer, err := t.call()
@@ -320,27 +320,27 @@
 			t.record(answer)
 			return answer, nil
 		case refusal.KindOf(err) != refusal.NoUpstream:
-			return upstream.Answer{}, refusal.Because(refusal.OutcomeUnknown, err, "the order may have run, its answer is missing")
+			return upstream.Response{}, refusal.Because(refusal.OutcomeUnknown, err, "the order may have run, its answer is missing")
 		}
 		last = err
 	}
 	t.giveUp()
-	return upstream.Answer{}, refusal.Because(refusal.NoUpstream, last, "order was not run")
+	return upstream.Response{}, refusal.Because(refusal.NoUpstream, last, "order was not run")
 }
 
 // call picks an upstream and sends the order to it. The kind of the error is
 // refusal.NoUpstream when nothing was sent.
-func (t *attempt) call() (upstream.Answer, error) {
+func (t *attempt) call() (upstream.Response, error) {
 	ctx, cancel := t.bounded(t.timeout())
 	defer cancel()
 	// The instance may have been frozen since its claim, and an operator may
 	// have settled the claim.
 	if t.clock.Now().Sub(t.claim.At) > SendWithin {
-		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "claim is older than %v", SendWithin)
+		return upstream.Response{}, refusal.New(refusal.NoUpstream, "claim is older than %v", SendWithin)
 	}
 	client, err := t.order.Pick(ctx)
 	if err != nil {
-		return upstream.Answer{}, refusal.Because(refusal.NoUpstream, err, "no upstream")
+		return upstream.Response{}, refusal.Because(refusal.NoUpstream, err, "no upstream")
 	}
 	return client.Call(ctx, t.order.Call)
 }
@@ -353,7 +353,7 @@
 }
 
 // record keeps the answer in the ledger.
-func (t *attempt) record(answer upstream.Answer) {
+func (t *attempt) record(answer upstream.Response) {
 	t.try(func(ctx context.Context) error {
 		return t.ledger.Finish(ctx, t.claim.Key, t.claim.Attempt, answer)
 	})
@@ -418,7 +418,7 @@
 	}
 }
 
-func notProcessed(a upstream.Answer) bool {
+func notProcessed(a upstream.Response) bool {
 	return a.Status == http.StatusMisdirectedRequest || a.Status == http.StatusTooEarly
 }
 
--- a/internal/order/desk/desk_test.go
+++ b/internal/order/desk/desk_test.go
@@ -115,7 +115,7 @@
 		"slow":     {State: order.Claimed, Claim: c, Mine: true},
 		"recent":   {State: order.Claimed, Claim: recent},
 		"old":      {State: order.Claimed, Claim: old},
-		"done":     {State: order.Done, Claim: old, Answer: &upstream.Answer{Status: 201}},
+		"done":     {State: order.Done, Claim: old, Answer: &upstream.Response{Status: 201}},
 		"unkept":   {State: order.Done, Claim: old},
 		"reused":   {State: order.Done, Claim: old, Reused: true},
 		"released": {State: order.Free},
@@ -138,7 +138,7 @@
 	return nil
 }
 
-func (s *scripted) Finish(context.Context, order.Key, order.AttemptID, upstream.Answer) error {
+func (s *scripted) Finish(context.Context, order.Key, order.AttemptID, upstream.Response) error {
 	return s.change("finish")
 }
 
@@ -153,13 +153,13 @@
 	return err
 }
 
-func (s *scripted) Call(context.Context, upstream.Call) (upstream.Answer, error) {
+func (s *scripted) Call(context.Context, upstream.Call) (upstream.Response, error) {
 	s.log = append(s.log, "send")
 	var status int
 	if _, err := fmt.Sscan(s.call, &status); err == nil {
-		return upstream.Answer{Status: status}, nil
+		return upstream.Response{Status: status}, nil
 	}
-	return upstream.Answer{}, s.err(s.call)
+	return upstream.Response{}, s.err(s.call)
 }
 
 // TestKinds guards against a wrong error kind, a call without a claim, a claim
@@ -203,17 +203,17 @@
 	calls   int
 }
 
-func (w *waiting) Call(ctx context.Context, _ upstream.Call) (upstream.Answer, error) {
+func (w *waiting) Call(ctx context.Context, _ upstream.Call) (upstream.Response, error) {
 	w.mu.Lock()
 	w.calls++
 	w.mu.Unlock()
 	close(w.entered)
 	select {
 	case <-ctx.Done():
-		return upstream.Answer{}, refusal.New(refusal.UpstreamFailed, "interrupted")
+		return upstream.Response{}, refusal.New(refusal.UpstreamFailed, "interrupted")
 	case <-w.answer:
 	}
-	return upstream.Answer{Status: 200, Body: []byte("once")}, nil
+	return upstream.Response{Status: 200, Body: []byte("once")}, nil
 }
 
 // TestSharing guards against a second call by concurrent requests, a call that
--- a/internal/order/desk/fake_test.go
+++ b/internal/order/desk/fake_test.go
@@ -72,21 +72,21 @@
 	runs, lost map[string]int
 }
 
-func (s *service) Call(_ context.Context, c upstream.Call) (upstream.Answer, error) {
+func (s *service) Call(_ context.Context, c upstream.Call) (upstream.Response, error) {
 	body := string(c.Body)
 	fault := s.random.Intn(5)
 	switch {
 	case !s.calm && fault == 0:
-		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "connection refused")
+		return upstream.Response{}, refusal.New(refusal.NoUpstream, "connection refused")
 	case !s.calm && fault == 1:
-		return upstream.Answer{Status: 425}, nil
+		return upstream.Response{Status: 425}, nil
 	case !s.calm && fault == 2:
 		s.runs[body] += s.random.Intn(2)
 		s.lost[body]++
-		return upstream.Answer{}, refusal.New(refusal.UpstreamFailed, "connection reset")
+		return upstream.Response{}, refusal.New(refusal.UpstreamFailed, "connection reset")
 	}
 	s.runs[body]++
-	return upstream.Answer{Status: 200, Body: []byte(fmt.Sprintf("%s run %d", body, s.runs[body]))}, nil
+	return upstream.Response{Status: 200, Body: []byte(fmt.Sprintf("%s run %d", body, s.runs[body]))}, nil
 }
 
 // stepClock fires the pauses between retries one at a time and no timeout.
--- a/internal/order/ledger/client.go
+++ b/internal/order/ledger/client.go
@@ -97,7 +97,7 @@
 // Finish records an answer. The error has kind refusal.Conflict when the attempt
 // does not hold the claim. An answer above Limits.MaxAnswer is not kept, only
 // that the order ran.
-func (c *Client) Finish(ctx context.Context, k order.Key, a order.AttemptID, answer upstream.Answer) error {
+func (c *Client) Finish(ctx context.Context, k order.Key, a order.AttemptID, answer upstream.Response) error {
 	data, err := json.Marshal(answer)
 	if err != nil {
 		return refusal.Because(refusal.Internal, err, "encode answer of an order")
@@ -117,7 +117,7 @@
 // Settle ends the claim that s names by the statement of an operator. When the
 // order ran, answer is what callers get from then on. The error has kind
 // refusal.Conflict when the attempt does not hold an open claim.
-func (c *Client) Settle(ctx context.Context, s Settlement, answer upstream.Answer) error {
+func (c *Client) Settle(ctx context.Context, s Settlement, answer upstream.Response) error {
 	if s.Operator == "" {
 		return refusal.New(refusal.BadRequest, "settlement needs the name of an operator")
 	}
@@ -252,7 +252,7 @@
 	if len(p.Record.Answer) == 0 {
 		return r, nil
 	}
-	r.Answer = new(upstream.Answer)
+	r.Answer = new(upstream.Response)
 	if err := json.Unmarshal(p.Record.Answer, r.Answer); err != nil {
 		return r, refusal.Because(refusal.LedgerUnreachable, err, "decode recorded answer")
 	}
--- a/internal/order/ledger/codec.go
+++ b/internal/order/ledger/codec.go
@@ -103,7 +103,7 @@
 	At       time.Time        `json:"at"`
 }
 
-var _ quorum.Reader = (*Machine)(nil)
+var _ quorum.QueryableStateMachine = (*Machine)(nil)
 
 // Apply runs one command.
 func (m *Machine) Apply(_ quorum.Index, data []byte) []byte {
--- a/internal/order/ledger/ledger_test.go
+++ b/internal/order/ledger/ledger_test.go
@@ -42,7 +42,7 @@
 				skewed.offset += 48 * time.Hour
 			}
 			client := NewClient(f, skewed, fleet.InstanceID(instance), WithLimits(limits))
-			answer := upstream.Answer{Status: 200, Header: http.Header{"Order": {"7"}}, Body: []byte(body)}
+			answer := upstream.Response{Status: 200, Header: http.Header{"Order": {"7"}}, Body: []byte(body)}
 			switch d.Cmd {
 			case "claim":
 				old, _ := time.ParseDuration(age)
@@ -126,7 +126,7 @@
 			never[id] = c.Release(ctx, k, id) == nil
 		case r.Mine:
 			runs[k]++
-			_ = c.Finish(ctx, k, id, upstream.Answer{Status: 200})
+			_ = c.Finish(ctx, k, id, upstream.Response{Status: 200})
 		}
 		if runs[k] > 1 {
 			t.Fatalf("seed %d: key %s ran %d times", seed, k.Name, runs[k])
@@ -205,7 +205,7 @@
 func BenchmarkClaim(b *testing.B) {
 	m := New()
 	limits := Limits{Retention: time.Hour, MaxRecords: 1 << 30, MaxBytes: 1 << 40, MaxAnswer: 1 << 16}
-	answer, _ := json.Marshal(upstream.Answer{Status: 200, Header: http.Header{"Content-Type": {"application/json"}}, Body: make([]byte, 200)})
+	answer, _ := json.Marshal(upstream.Response{Status: 200, Header: http.Header{"Content-Type": {"application/json"}}, Body: make([]byte, 200)})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/pipeline/courier/courier.go
+++ b/internal/pipeline/courier/courier.go
@@ -173,7 +173,7 @@
 		return
 	}
 	e.At = c.clock.Now()
-	e.Part = "courier"
+	e.Component = "courier"
 	c.trail.Add(string(r), e)
 }
 
--- a/internal/pipeline/courier/local_test.go
+++ b/internal/pipeline/courier/local_test.go
@@ -282,20 +282,20 @@
 	return e.post(http.MethodPost, fmt.Sprintf("/v1/requests/%s/cancel?epoch=%d", r, epoch), nil, new(struct{}))
 }
 
-func (e *local) Export(_ context.Context, r fleet.RequestID) (upstream.KV, error) {
-	var kv upstream.KV
+func (e *local) Export(_ context.Context, r fleet.RequestID) (upstream.KVCache, error) {
+	var kv upstream.KVCache
 	err := e.post(http.MethodGet, "/v1/requests/"+string(r)+"/kv", nil, &kv)
 	e.move(kv)
 	return kv, err
 }
 
-func (e *local) Import(_ context.Context, epoch fleet.Epoch, kv upstream.KV) error {
+func (e *local) Import(_ context.Context, epoch fleet.Epoch, kv upstream.KVCache) error {
 	e.move(kv)
 	return e.post(http.MethodPut, fmt.Sprintf("/v1/requests/%s/kv?epoch=%d", kv.Request, epoch), kv, new(struct{}))
 }
 
 // move takes the time of the transfer of kv.
-func (e *local) move(kv upstream.KV) {
+func (e *local) move(kv upstream.KVCache) {
 	size := float64(kv.Layers.Len() * int(kv.Positions) * kvBytes)
 	if e.speed.BytesPerSecond > 0 {
 		e.world.clock.Advance(e.speed.Fixed + time.Duration(size/e.speed.BytesPerSecond*float64(time.Second)))
--- a/internal/pipeline/courier/recovery.go
+++ b/internal/pipeline/courier/recovery.go
@@ -174,13 +174,13 @@
 	s := r.chain.Stages[o.stage]
 	copying, computing := r.estimate(s, o)
 	e := report.Entry{
-		Known:   fmt.Sprintf("%s; %d positions of layers %d:%d", cause, o.positions, s.Layers.From, s.Layers.To),
-		Weighed: fmt.Sprintf("import not possible, compute again on %s: %v", s.Upstream.ID, computing),
-		Chosen:  fmt.Sprintf("compute again, epoch %d", r.epoch),
-		Reason:  "shorter expected time", Next: "another engine under a new epoch",
+		Known:        fmt.Sprintf("%s; %d positions of layers %d:%d", cause, o.positions, s.Layers.From, s.Layers.To),
+		Alternatives: fmt.Sprintf("import not possible, compute again on %s: %v", s.Upstream.ID, computing),
+		Chosen:       fmt.Sprintf("compute again, epoch %d", r.epoch),
+		Reason:       "shorter expected time", Next: "another engine under a new epoch",
 	}
 	if copying < never {
-		e.Weighed = fmt.Sprintf("import from %s: %v, compute again on %s: %v", o.from.ID, copying, s.Upstream.ID, computing)
+		e.Alternatives = fmt.Sprintf("import from %s: %v, compute again on %s: %v", o.from.ID, copying, s.Upstream.ID, computing)
 	}
 	if copying < computing {
 		e.Chosen = fmt.Sprintf("import, epoch %d", r.epoch)
@@ -213,7 +213,7 @@
 	size := s.Layers.Len() * o.positions * c.kvBytes
 	expected := transferTime(c.speeds.Speed(o.from), c.speeds.Speed(s.Upstream), size)
 	began := c.clock.Now()
-	kv, err := await(ctx, c, c.timeout(expected), func(ctx context.Context) (upstream.KV, error) {
+	kv, err := await(ctx, c, c.timeout(expected), func(ctx context.Context) (upstream.KVCache, error) {
 		return o.client.Export(ctx, request)
 	})
 	if err != nil {
--- a/internal/pipeline/courier/recovery_test.go
+++ b/internal/pipeline/courier/recovery_test.go
@@ -103,7 +103,7 @@
 					text = fmt.Sprintf("error %s: %v\n", refusal.KindOf(err).Answer().Code, err)
 				}
 				for _, e := range w.entries {
-					text += strings.Join([]string{e.Chosen, e.Weighed, e.Known, e.Reason}, " | ") + "\n"
+					text += strings.Join([]string{e.Chosen, e.Alternatives, e.Known, e.Reason}, " | ") + "\n"
 				}
 				return text
 			}
--- a/internal/pipeline/courier/run.go
+++ b/internal/pipeline/courier/run.go
@@ -40,8 +40,8 @@
 	r := &run{courier: c, request: g, values: make(map[fleet.Layer][]uint64)}
 	r.take(chain, make([]fleet.Position, len(chain.Stages)))
 	c.record(g.Request, report.Entry{
-		Weighed: fmt.Sprintf("chain for model %s version %s", chain.Model, chain.Version),
-		Chosen:  describe(chain), Reason: "shortest expected time to the next token",
+		Alternatives: fmt.Sprintf("chain for model %s version %s", chain.Model, chain.Version),
+		Chosen:       describe(chain), Reason: "shortest expected time to the next token",
 	})
 	return r
 }
--- a/internal/placement/placer/placer_test.go
+++ b/internal/placement/placer/placer_test.go
@@ -39,10 +39,10 @@
 // testReleases returns a release with one service whose model has four layers.
 type testReleases struct{}
 
-func (testReleases) InForce() *release.Release {
+func (testReleases) ActiveRelease() *release.Release {
 	return &release.Release{Services: []release.Service{{Pool: "model", Engine: &release.Engine{
-		Layers: 4, LayerMB: 1, UsualPrompt: 1, UsualAnswer: 1, TokenBytes: 1,
-		Cards: map[string]release.Card{"card": {MemoryMB: 100, Pace: 1, ReadFactor: 1}},
+		Layers: 4, LayerMB: 1, MeanPromptTokens: 1, MeanAnswerTokens: 1, TokenBytes: 1,
+		Cards: map[string]release.Card{"card": {MemoryMB: 100, StepFactor: 1, PrefillFactor: 1}},
 	}}}}
 }
 
@@ -76,7 +76,7 @@
 	clock := fakeclock.New(fakeclock.Start)
 	registryCatalog := catalog.New(clock)
 	entry := registry.Entry{
-		ID: "e1", Born: 1, Pool: "model", Address: "127.0.0.1:1", State: registry.Ready, Card: "card", Slots: 10,
+		ID: "e1", Incarnation: 1, Pool: "model", Address: "127.0.0.1:1", State: registry.Ready, Card: "card", Slots: 10,
 	}
 	l := &leadership{fence: 3}
 	m := &commander{beforeOrder: func() { l.set(next) }, valid: make(chan bool, 1)}
@@ -84,7 +84,7 @@
 	defer p.Stop()
 	for {
 		entry.Sequence++
-		entry.Heard = clock.Now()
+		entry.LastHeartbeat = clock.Now()
 		registryCatalog.Put(entry, true)
 		select {
 		case valid := <-m.valid:
--- a/internal/quorum/quorumtest/quorumtest.go
+++ b/internal/quorum/quorumtest/quorumtest.go
@@ -25,7 +25,7 @@
 }
 
 type group struct {
-	machine quorum.Reader
+	machine quorum.QueryableStateMachine
 	index   quorum.Index
 	faults  []Fault
 }
@@ -46,7 +46,7 @@
 }
 
 // Register makes m the state machine of a group.
-func (p *Proposer) Register(id quorum.GroupID, m quorum.Reader) {
+func (p *Proposer) Register(id quorum.GroupID, m quorum.QueryableStateMachine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.groups[id] = &group{machine: m}
--- a/internal/quorum/voter/group.go
+++ b/internal/quorum/voter/group.go
@@ -194,7 +194,7 @@
 
 func (g *group) transferTo(ctx context.Context, to quorum.VoterID) error {
 	_, err := g.do(ctx, func(m *member, d doneFunc) {
-		if err := m.replica.Transfer(to); err != nil {
+		if err := m.replica.TransferLeadership(to); err != nil {
 			d(nil, m.rejected(err))
 			return
 		}
--- a/internal/upstream/engine/call.go
+++ b/internal/upstream/engine/call.go
@@ -53,8 +53,8 @@
 // checkCallID returns an error if the response does not belong to the call with the
 // given id. Its connection is closed in that case, because the body is not read.
 func (p *pool) checkCallID(r *http.Response, id string, reused bool) error {
-	got := r.Header.Get(upstream.CallHeader)
-	r.Header.Del(upstream.CallHeader)
+	got := r.Header.Get(upstream.CallIDHeader)
+	r.Header.Del(upstream.CallIDHeader)
 	if got == id || got == "" && !reused {
 		p.echoesCallID.Store(got == id)
 		return nil
@@ -81,7 +81,7 @@
 	if header != nil {
 		request.Header = header.Clone()
 	}
-	request.Header.Set(upstream.CallHeader, id)
+	request.Header.Set(upstream.CallIDHeader, id)
 	request.Close = !p.echoesCallID.Load()
 	request.ContentLength = int64(len(body))
 	return request, nil
--- a/internal/upstream/fencing/holder.go
+++ b/internal/upstream/fencing/holder.go
@@ -25,7 +25,7 @@
 }
 
 // DefaultTiming lets a successor send commands about 11 s after the last renewal.
-var DefaultTerms = Timing{
+var DefaultTiming = Timing{
 	Duration:       5 * time.Second,
 	CommandTimeout: 5 * time.Second,
 	MaxClockDrift:  time.Second,
--- a/internal/upstream/fencing/machine.go
+++ b/internal/upstream/fencing/machine.go
@@ -75,7 +75,7 @@
 	LastUsed time.Time `json:"used"`
 }
 
-var _ quorum.Reader = (*Machine)(nil)
+var _ quorum.QueryableStateMachine = (*Machine)(nil)
 
 // NewMachine returns a Machine without leases.
 func NewMachine() *Machine {
@@ -173,7 +173,7 @@
 	switch {
 	case old.Session == c.Lease.Session:
 		return true
-	case old.Policy == upstream.RefusesOld && c.Lease.Policy == upstream.RefusesOld:
+	case old.Policy == upstream.RejectsStaleToken && c.Lease.Policy == upstream.RejectsStaleToken:
 		// The engine rejects the token of the old holder once it has seen the
 		// new one.
 		return true
--- a/internal/upstream/names.go
+++ b/internal/upstream/names.go
@@ -38,7 +38,7 @@
 
 // UnmarshalText sets the value that has the given name.
 func (v *FencePolicy) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[FencePolicy](string(text), int(RefusesOld)+1)
+	parsed, err := fleet.ParseName[FencePolicy](string(text), int(RejectsStaleToken)+1)
 	if err != nil {
 		return err
 	}
