--- a/internal/registry/feed/sums.go
+++ b/internal/registry/feed/sums.go
@@ -10,52 +10,53 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// sums encodes the sums of a table once for all followers that ask before they are added
-// up anew. Otherwise each of 60 followers would have those of 220 engines encoded for
-// itself four times a second.
-type sums struct {
+// sumsCache encodes the sums of a table once for all followers that request them before
+// they are recomputed. Otherwise the sums of 220 engines would be encoded four times per
+// second for each of 60 followers.
+type sumsCache struct {
 	table *usage.Table
 
 	mu sync.Mutex
-	// newest are those of the own gateways, and those of all.
-	newest [2]encoded
+	// cached holds the sums of the gateways that report to this controller, and of all.
+	cached [2]encodedSums
 }
 
-type encoded struct {
-	bytes []byte
-	at    time.Time
+type encodedSums struct {
+	bytes      []byte
+	computedAt time.Time
 }
 
-// encode returns the sums of the own gateways, or of all. They must not be changed.
-func (s *sums) encode(all bool) ([]byte, error) {
+// encode returns the encoded sums of the gateways that report to this controller, or of
+// all gateways. The result must not be changed.
+func (s *sumsCache) encode(all bool) ([]byte, error) {
 	r := s.table.Sums(all)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := &s.newest[0]
+	n := &s.cached[0]
 	if all {
-		n = &s.newest[1]
+		n = &s.cached[1]
 	}
-	if n.at.Equal(r.At) {
+	if n.computedAt.Equal(r.ComputedAt) {
 		return n.bytes, nil
 	}
 	b, err := proto.Marshal(&peerv1.Sums{
-		Gateways: uint32(r.Gateways), Uses: usesToProto(r.Uses), Sends: sendsToProto(r.Sends),
+		Gateways: uint32(r.Gateways), Uses: statsToProto(r.Upstreams), Sends: attemptsToProto(r.Attempts),
 	})
 	if err != nil {
 		return nil, err
 	}
-	*n = encoded{bytes: b, at: r.At}
+	*n = encodedSums{bytes: b, computedAt: r.ComputedAt}
 	return b, nil
 }
 
-// decodeSums returns nil if a message has no sums.
+// decodeSums returns nil if a message carries no sums.
 func decodeSums(b []byte) (*usage.Report, error) {
 	if len(b) == 0 {
 		return nil, nil
 	}
 	var p peerv1.Sums
 	if err := proto.Unmarshal(b, &p); err != nil {
-		return nil, errors.Wrap(err, "decode the sums")
+		return nil, errors.Wrap(err, "decode sums")
 	}
-	return &usage.Report{Gateways: int(p.GetGateways()), Uses: usesFromProto(p.GetUses()), Sends: sendsFromProto(p.GetSends())}, nil
+	return &usage.Report{Gateways: int(p.GetGateways()), Upstreams: statsFromProto(p.GetUses()), Attempts: attemptsFromProto(p.GetSends())}, nil
 }
--- a/internal/report/output/brief_test.go
+++ b/internal/report/output/brief_test.go
@@ -11,12 +11,12 @@
 	"github.com/bilberryrock/bilberryrock/internal/report/output"
 )
 
-// TestBriefErrors guards against stack traces in the log, and against errors that are
-// lost with them.
-func TestBriefErrors(t *testing.T) {
+// TestOmitStackTraces guards against stack traces in the log, and against dropping the
+// errors along with them.
+func TestOmitStackTraces(t *testing.T) {
 	is := is.New(t)
 	core, lines := observer.New(zap.InfoLevel)
-	log := zap.New(output.Brief(core)).With(zap.NamedError("earlier", errors.New("first")))
+	log := zap.New(output.OmitStackTraces(core)).With(zap.NamedError("earlier", errors.New("first")))
 	log.Info("A send failed.", zap.Int("runs", 1), zap.Error(errors.Wrap(errors.New("second"), "read")))
 	log.Debug("This line is below the level.")
 	is.Equal(lines.Len(), 1)
