--- a/internal/order/desk/desk.go
+++ b/internal/order/desk/desk.go
@@ -33,25 +33,25 @@
 )
 
 const (
-	// SendWithin is the age of a claim up to which its order is sent. It is
+	// MaxSendAge is the age of a claim up to which its order is sent. It is
 	// shorter than ledger.SettleAge.
-	SendWithin = 30 * time.Second
+	MaxSendAge = 30 * time.Second
 	// DefaultTimeout bounds a call that has no timeout of its own.
 	DefaultTimeout = 30 * time.Second
-	// MaxFlights bounds the orders in progress and the calls to the ledger that
+	// MaxInFlight bounds the orders in progress and the calls to the ledger that
 	// are repeated until they succeed.
-	MaxFlights = 4096
+	MaxInFlight = 4096
 
 	claimTimeout  = 5 * time.Second
 	recordTimeout = 5 * time.Second
 	// The pause between two calls to a ledger that can't be reached doubles from
 	// firstPause to longestPause.
-	firstPause   = 250 * time.Millisecond
-	longestPause = 8 * time.Second
-	maxPicks     = 3
-	// lateness is added to the timeout of a call before another instance takes
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 8 * time.Second
+	maxPicks   = 3
+	// outcomeMargin is added to the timeout of a call before another instance takes
 	// a claim for one that lost its attempt.
-	lateness = 5 * time.Second
+	outcomeMargin = 5 * time.Second
 )
 
 // Order is one request for an order.
@@ -74,58 +74,58 @@
 	instance fleet.InstanceID
 	log      *zap.Logger
 
-	// work ends when Close gives up.
-	work  context.Context
-	abort context.CancelFunc
-	group sync.WaitGroup
+	// workCtx ends when Close gives up.
+	workCtx    context.Context
+	cancelWork context.CancelFunc
+	wg         sync.WaitGroup
 
-	mu      sync.Mutex
-	closed  bool
-	flights map[flightKey]*flight
-	// unrecorded counts orders that are answered and still have a call to the ledger
+	mu       sync.Mutex
+	closed   bool
+	inFlight map[inFlightKey]*inFlightOrder
+	// pendingReleases counts orders that are answered and still have a call to the ledger
 	// to repeat.
-	unrecorded int
+	pendingReleases int
 }
 
-// flightKey keeps requests with another content apart, because only the ledger
+// inFlightKey keeps requests with another content apart, because only the ledger
 // knows which content the key belongs to.
-type flightKey struct {
+type inFlightKey struct {
 	key    order.Key
 	digest [32]byte
 }
 
-// flight is an order in progress. Requests with the same key wait for it.
-type flight struct {
-	done   chan struct{}
-	answer upstream.Answer
-	err    error
+// inFlightOrder is an order in progress. Requests with the same key wait for it.
+type inFlightOrder struct {
+	done     chan struct{}
+	response upstream.Answer
+	err      error
 }
 
 // New returns a Desk of an instance.
-func New(l order.Ledger, c fleet.Clock, i fleet.InstanceID, log *zap.Logger) *Desk {
-	work, abort := context.WithCancel(context.Background())
+func New(ledger order.Ledger, clock fleet.Clock, instance fleet.InstanceID, log *zap.Logger) *Desk {
+	workCtx, cancelWork := context.WithCancel(context.Background())
 	return &Desk{
-		ledger:   l,
-		clock:    c,
-		instance: i,
-		log:      log.Named("desk"),
-		work:     work,
-		abort:    abort,
-		flights:  make(map[flightKey]*flight),
+		ledger:     ledger,
+		clock:      clock,
+		instance:   instance,
+		log:        log.Named("desk"),
+		workCtx:    workCtx,
+		cancelWork: cancelWork,
+		inFlight:   make(map[inFlightKey]*inFlightOrder),
 	}
 }
 
 // Run runs o, or waits for the same order in progress on this instance, or
 // replays its recorded answer. The order goes on when ctx ends; the error has
 // kind refusal.Deadline then. The answer is shared and must not be changed.
-func (d *Desk) Run(ctx context.Context, o Order) (upstream.Answer, error) {
-	f, err := d.join(o)
+func (e *Desk) Run(ctx context.Context, o Order) (upstream.Answer, error) {
+	f, err := e.joinOrStart(o)
 	if err != nil {
 		return upstream.Answer{}, err
 	}
 	select {
 	case <-f.done:
-		return f.answer, f.err
+		return f.response, f.err
 	case <-ctx.Done():
 		return upstream.Answer{}, refusal.Because(refusal.Deadline, ctx.Err(), "order is still in progress, ask again with the same key")
 	}
@@ -134,16 +134,16 @@
 // Close lets no order in and waits until the orders in progress are answered and
 // recorded. When ctx ends first, it gives up what is left and returns the error
 // of ctx.
-func (d *Desk) Close(ctx context.Context) error {
-	d.mu.Lock()
-	d.closed = true
-	d.mu.Unlock()
+func (e *Desk) Close(ctx context.Context) error {
+	e.mu.Lock()
+	e.closed = true
+	e.mu.Unlock()
 	idle := make(chan struct{})
 	go func() {
-		d.group.Wait()
+		e.wg.Wait()
 		close(idle)
 	}()
-	defer d.abort()
+	defer e.cancelWork()
 	select {
 	case <-idle:
 		return nil
@@ -157,16 +157,16 @@
 	// Running counts the orders that have no answer yet, and those whose answer
 	// is known and not recorded yet.
 	Running int
-	// Unrecorded counts the orders that ended without an answer and whose claim
+	// PendingReleases counts the orders that ended without an answer and whose claim
 	// is not released yet. It grows while the ledger can't be reached.
-	Unrecorded int
+	PendingReleases int
 }
 
 // Load returns how much work is left, for metrics and for a stop.
-func (d *Desk) Load() Load {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return Load{Running: len(d.flights), Unrecorded: d.unrecorded}
+func (e *Desk) Load() Load {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return Load{Running: len(e.inFlight), PendingReleases: e.pendingReleases}
 }
 
 // Unconfirmed returns err unless its kind says that the request was not run and
@@ -176,75 +176,75 @@
 	if err == nil {
 		return nil
 	}
-	a := refusal.KindOf(err).Answer()
-	if !a.NotRun || !a.Resend {
+	properties := refusal.KindOf(err).Answer()
+	if !properties.NotRun || !properties.Resend {
 		return err
 	}
 	return refusal.Because(refusal.LedgerUnreachable, err, "this attempt was not run, the ledger was not asked about earlier ones")
 }
 
-// join returns the flight of o and starts it when there is none.
-func (d *Desk) join(o Order) (*flight, error) {
-	k := flightKey{key: o.Key, digest: digestOf(o.Call)}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if f, ok := d.flights[k]; ok {
+// joinOrStart returns the flight of o and starts it when there is none.
+func (e *Desk) joinOrStart(o Order) (*inFlightOrder, error) {
+	k := inFlightKey{key: o.Key, digest: digestOf(o.Call)}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if f, ok := e.inFlight[k]; ok {
 		return f, nil
 	}
-	if d.closed {
+	if e.closed {
 		return nil, Unconfirmed(refusal.New(refusal.Stopping, "instance is stopping"))
 	}
-	if len(d.flights)+d.unrecorded >= MaxFlights {
+	if len(e.inFlight)+e.pendingReleases >= MaxInFlight {
 		return nil, Unconfirmed(refusal.New(refusal.Overloaded, "too many orders in progress"))
 	}
-	f := &flight{done: make(chan struct{})}
-	d.flights[k] = f
-	d.group.Go(func() { d.execute(k, f, o) })
+	f := &inFlightOrder{done: make(chan struct{})}
+	e.inFlight[k] = f
+	e.wg.Go(func() { e.execute(k, f, o) })
 	return f, nil
 }
 
 // execute runs an order and keeps its flight until nothing of it is left to do, so
 // that requests with the same key get the answer also before it is recorded.
-func (d *Desk) execute(k flightKey, f *flight, o Order) {
-	t := &attempt{Desk: d, order: o, claim: order.Claim{
+func (e *Desk) execute(k inFlightKey, f *inFlightOrder, o Order) {
+	t := &attempt{Desk: e, order: o, claim: order.Claim{
 		Key:      o.Key,
 		Attempt:  order.AttemptID(fleet.NewRequestID()),
 		Digest:   k.digest,
 		Request:  o.Request,
-		Instance: d.instance,
-		At:       d.clock.Now(),
+		Instance: e.instance,
+		At:       e.clock.Now(),
 	}}
-	f.answer, f.err = t.run()
-	if t.unfinished != nil && f.err == nil {
+	f.response, f.err = t.run()
+	if t.pendingCall != nil && f.err == nil {
 		close(f.done)
-		t.retry()
-		d.finish(k, 0)
+		t.retryPendingCall()
+		e.updateLoad(k, 0)
 		return
 	}
 	// The result of an attempt without an answer is not kept: the next request
 	// asks the ledger.
-	d.finish(k, 1)
+	e.updateLoad(k, 1)
 	close(f.done)
-	t.retry()
-	d.finish(k, -1)
+	t.retryPendingCall()
+	e.updateLoad(k, -1)
 }
 
-// finish ends a flight and changes the number of unrecorded orders. The second call
+// updateLoad ends a flight and changes the number of unrecorded orders. The second call
 // for an order may find the flight of a later attempt, which it leaves alone.
-func (d *Desk) finish(k flightKey, unrecorded int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if unrecorded >= 0 {
-		delete(d.flights, k)
+func (e *Desk) updateLoad(k inFlightKey, pendingDelta int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if pendingDelta >= 0 {
+		delete(e.inFlight, k)
 	}
-	d.unrecorded += unrecorded
+	e.pendingReleases += pendingDelta
 }
 
-// bounded returns a context that ends after t by the clock of the desk, or when
+// withTimeout returns a context that ends after t by the clock of the desk, or when
 // Close gives up.
-func (d *Desk) bounded(t time.Duration) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithCancel(d.work)
-	timer := d.clock.After(t)
+func (e *Desk) withTimeout(timeout time.Duration) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithCancel(e.workCtx)
+	timer := e.clock.After(timeout)
 	go func() {
 		select {
 		case <-timer:
@@ -260,25 +260,25 @@
 	*Desk
 	order Order
 	claim order.Claim
-	// unfinished is a call to the ledger that did not succeed yet.
-	unfinished func(context.Context) error
+	// pendingCall is a call to the ledger that did not succeed yet.
+	pendingCall func(context.Context) error
 }
 
 func (t *attempt) run() (upstream.Answer, error) {
-	ctx, cancel := t.bounded(claimTimeout)
+	ctx, cancel := t.withTimeout(claimTimeout)
 	r, err := t.ledger.Claim(ctx, t.claim)
 	cancel()
 	if err != nil {
-		return upstream.Answer{}, t.unclaimed(err)
+		return upstream.Answer{}, t.claimError(err)
 	}
-	if r.State != order.Claimed || !r.Mine {
-		return t.other(r)
+	if r.State != order.Claimed || !r.HeldByCaller {
+		return t.recordResult(r)
 	}
 	return t.send()
 }
 
-// unclaimed returns the error of a claim that was not confirmed. Nothing is sent.
-func (t *attempt) unclaimed(err error) error {
+// claimError returns the error of a claim that was not confirmed. Nothing is sent.
+func (t *attempt) claimError(err error) error {
 	switch refusal.KindOf(err) {
 	case refusal.Overloaded, refusal.BadRequest:
 		// The ledger confirmed that the key has no claim, or the key is not
@@ -287,22 +287,22 @@
 	case refusal.NotReady:
 		return Unconfirmed(err)
 	}
-	t.giveUp()
+	t.releaseClaim()
 	return refusal.Because(refusal.LedgerUnreachable, err, "outcome of the claim is unknown, nothing was sent by this attempt")
 }
 
-// other answers from a record of another attempt.
-func (t *attempt) other(r order.Record) (upstream.Answer, error) {
+// recordResult answers from a record of another attempt.
+func (t *attempt) recordResult(r order.Record) (upstream.Answer, error) {
 	switch {
-	case r.Reused:
+	case r.DigestMismatch:
 		return upstream.Answer{}, refusal.New(refusal.KeyReused, "the key was used before for another order")
 	case r.State == order.Free:
 		return upstream.Answer{}, refusal.New(refusal.Overloaded, "order was not run: the claim came too late")
-	case r.State == order.Done && r.Answer != nil:
-		return *r.Answer, nil
+	case r.State == order.Done && r.Response != nil:
+		return *r.Response, nil
 	case r.State == order.Done:
 		return upstream.Answer{}, refusal.New(refusal.OutcomeUnknown, "the order ran, its answer was too large to be kept")
-	case t.clock.Now().Sub(r.Claim.At) < t.timeout()+SendWithin+lateness:
+	case t.clock.Now().Sub(r.Claim.At) < t.timeout()+MaxSendAge+outcomeMargin:
 		return upstream.Answer{}, refusal.New(refusal.InProgress, "the order is in progress").After(time.Second)
 	}
 	return upstream.Answer{}, refusal.New(refusal.OutcomeUnknown, "an attempt of the order has no answer, an operator must settle it")
@@ -310,33 +310,33 @@
 
 // send calls upstreams until one of them may have processed the order.
 func (t *attempt) send() (upstream.Answer, error) {
-	var last error
+	var lastErr error
 	for range maxPicks {
-		answer, err := t.call()
+		response, err := t.call()
 		switch {
-		case err == nil && notProcessed(answer):
-			err = refusal.New(refusal.NoUpstream, "the upstream answered %d", answer.Status)
+		case err == nil && notProcessed(response):
+			err = refusal.New(refusal.NoUpstream, "the upstream answered %d", response.Status)
 		case err == nil:
-			t.record(answer)
-			return answer, nil
+			t.recordResponse(response)
+			return response, nil
 		case refusal.KindOf(err) != refusal.NoUpstream:
 			return upstream.Answer{}, refusal.Because(refusal.OutcomeUnknown, err, "the order may have run, its answer is missing")
 		}
-		last = err
+		lastErr = err
 	}
-	t.giveUp()
-	return upstream.Answer{}, refusal.Because(refusal.NoUpstream, last, "order was not run")
+	t.releaseClaim()
+	return upstream.Answer{}, refusal.Because(refusal.NoUpstream, lastErr, "order was not run")
 }
 
 // call picks an upstream and sends the order to it. The kind of the error is
 // refusal.NoUpstream when nothing was sent.
 func (t *attempt) call() (upstream.Answer, error) {
-	ctx, cancel := t.bounded(t.timeout())
+	ctx, cancel := t.withTimeout(t.timeout())
 	defer cancel()
 	// The instance may have been frozen since its claim, and an operator may
 	// have settled the claim.
-	if t.clock.Now().Sub(t.claim.At) > SendWithin {
-		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "claim is older than %v", SendWithin)
+	if t.clock.Now().Sub(t.claim.At) > MaxSendAge {
+		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "claim is older than %v", MaxSendAge)
 	}
 	client, err := t.order.Pick(ctx)
 	if err != nil {
@@ -352,65 +352,65 @@
 	return DefaultTimeout
 }
 
-// record keeps the answer in the ledger.
-func (t *attempt) record(answer upstream.Answer) {
-	t.try(func(ctx context.Context) error {
-		return t.ledger.Finish(ctx, t.claim.Key, t.claim.Attempt, answer)
+// recordResponse keeps the answer in the ledger.
+func (t *attempt) recordResponse(response upstream.Answer) {
+	t.callLedger(func(ctx context.Context) error {
+		return t.ledger.Finish(ctx, t.claim.Key, t.claim.Attempt, response)
 	})
 }
 
-// giveUp releases the claim. It is called only when nothing was processed.
-func (t *attempt) giveUp() {
-	t.try(func(ctx context.Context) error {
+// releaseClaim releases the claim. It is called only when nothing was processed.
+func (t *attempt) releaseClaim() {
+	t.callLedger(func(ctx context.Context) error {
 		return t.ledger.Release(ctx, t.claim.Key, t.claim.Attempt)
 	})
 }
 
-// try calls the ledger once and leaves the call to retry when it fails.
-func (t *attempt) try(call func(context.Context) error) {
-	ctx, cancel := t.bounded(recordTimeout)
+// callLedger calls the ledger once and leaves the call to retry when it fails.
+func (t *attempt) callLedger(call func(context.Context) error) {
+	ctx, cancel := t.withTimeout(recordTimeout)
 	defer cancel()
 	err := call(ctx)
-	if final(err) {
-		t.warn(err)
+	if isFinal(err) {
+		t.warnConflict(err)
 		return
 	}
-	t.unfinished = call
+	t.pendingCall = call
 }
 
-// retry repeats the call that failed until it succeeds or Close gives up.
-func (t *attempt) retry() {
-	call := t.unfinished
-	for pause := firstPause; call != nil; pause = min(2*pause, longestPause) {
+// retryPendingCall repeats the call that failed until it succeeds or Close gives up.
+func (t *attempt) retryPendingCall() {
+	call := t.pendingCall
+	for backoff := minBackoff; call != nil; backoff = min(2*backoff, maxBackoff) {
 		select {
-		case <-t.work.Done():
-			t.log.Error("Order left without its entry in the ledger.", t.fields()...)
+		case <-t.workCtx.Done():
+			t.log.Error("Order left without its entry in the ledger.", t.logFields()...)
 			return
-		case <-t.clock.After(pause):
+		case <-t.clock.After(backoff):
 		}
-		ctx, cancel := t.bounded(recordTimeout)
+		ctx, cancel := t.withTimeout(recordTimeout)
 		err := call(ctx)
 		cancel()
-		if final(err) {
-			t.warn(err)
+		if isFinal(err) {
+			t.warnConflict(err)
 			return
 		}
 	}
 }
 
-// final tells whether a call to the ledger is over: it took effect, or it never
+// isFinal tells whether a call to the ledger is over: it took effect, or it never
 // will.
-func final(err error) bool {
+func isFinal(err error) bool {
 	return err == nil || refusal.KindOf(err) == refusal.Conflict
 }
 
-func (t *attempt) warn(err error) {
+func (t *attempt) warnConflict(err error) {
 	if err != nil {
-		t.log.Warn("Ledger holds another outcome of the order.", append(t.fields(), zap.Error(err))...)
+		t.log.Warn("Ledger holds another outcome of the order.", append(t.logFields(), zap.Error(err))...)
 	}
 }
 
-func (t *attempt) fields() []zap.Field {
+func (t *attempt) logFields() []zap.Field {
 	return []zap.Field{
 		zap.String("account", string(t.claim.Key.Account)),
 		zap.String("request", string(t.claim.Request)),
@@ -418,18 +418,18 @@
 	}
 }
 
-func notProcessed(a upstream.Answer) bool {
-	return a.Status == http.StatusMisdirectedRequest || a.Status == http.StatusTooEarly
+func notProcessed(response upstream.Answer) bool {
+	return response.Status == http.StatusMisdirectedRequest || response.Status == http.StatusTooEarly
 }
 
 // digestOf returns the SHA-256 of method, path and body, each with its length.
 func digestOf(c upstream.Call) [32]byte {
 	h := sha256.New()
-	for _, part := range [][]byte{[]byte(c.Method), []byte(c.Path), c.Body} {
+	for _, field := range [][]byte{[]byte(c.Method), []byte(c.Path), c.Body} {
 		var length [8]byte
-		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
+		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 		h.Write(length[:])
-		h.Write(part)
+		h.Write(field)
 	}
 	var digest [32]byte
 	h.Sum(digest[:0])
--- a/internal/order/desk/desk_test.go
+++ b/internal/order/desk/desk_test.go
@@ -28,27 +28,27 @@
 // although nothing was sent.
 func TestSchedules(t *testing.T) {
 	for seed := range int64(150) {
-		schedule(t, seed)
+		runSchedule(t, seed)
 	}
 }
 
-func schedule(t *testing.T, seed int64) {
+func runSchedule(t *testing.T, seed int64) {
 	random := rand.New(rand.NewSource(seed))
 	clock := &stepClock{}
-	f := &faulty{random: random, machine: ledger.New()}
-	s := &service{random: random, runs: make(map[string]int), lost: make(map[string]int)}
-	var desks []*Desk
+	f := &faultyProposer{random: random, machine: ledger.New()}
+	s := &faultyService{random: random, runs: make(map[string]int), lostResponses: make(map[string]int)}
+	var executors []*Desk
 	for i := range 3 {
 		id := fleet.InstanceID(fmt.Sprint("i", i))
-		client := ledger.NewClient(f, instantClock{clock}, id, ledger.WithAttempts(3))
-		desks = append(desks, New(client, clock, id, zap.NewNop()))
+		client := ledger.NewClient(f, instantClock{clock}, id, ledger.WithMaxProposals(3))
+		executors = append(executors, New(client, clock, id, zap.NewNop()))
 	}
-	answers := make(map[string]string)
+	responses := make(map[string]string)
 	for range 60 {
 		name := fmt.Sprint(random.Intn(10))
 		body := name + []string{"x", "x", "x", "y"}[random.Intn(4)]
-		a, err := desks[random.Intn(3)].Run(context.Background(), orderOf(name, body, s))
-		clock.quiesce(desks)
+		a, err := executors[random.Intn(3)].Run(context.Background(), orderOf(name, body, s))
+		clock.quiesce(executors)
 		total := s.runs[name+"x"] + s.runs[name+"y"]
 		if total > 1 {
 			t.Fatalf("seed %d: key %s ran %d times", seed, name, total)
@@ -58,34 +58,34 @@
 			t.Fatalf("seed %d: key %s ran, the error says it did not: %v", seed, name, err)
 		}
 		if err == nil {
-			if first, ok := answers[body]; ok && first != string(a.Body) {
+			if first, ok := responses[body]; ok && first != string(a.Body) {
 				t.Fatalf("seed %d: key %s has answers %q and %q", seed, name, first, a.Body)
 			}
-			answers[body] = string(a.Body)
+			responses[body] = string(a.Body)
 		}
 		if random.Intn(2) == 0 && clock.step() {
-			clock.quiesce(desks)
+			clock.quiesce(executors)
 		}
 	}
 	f.mu.Lock()
-	f.calm = true
-	f.settle(1)
+	f.noFaults = true
+	f.applyDelayed(1)
 	f.mu.Unlock()
 	for clock.step() {
-		clock.quiesce(desks)
+		clock.quiesce(executors)
 	}
 	checkClaims(t, seed, f, s)
 }
 
 // checkClaims checks that every open claim has a reason.
-func checkClaims(t *testing.T, seed int64, f *faulty, s *service) {
+func checkClaims(t *testing.T, seed int64, f *faultyProposer, s *faultyService) {
 	client := ledger.NewClient(f, &stepClock{}, "check")
 	open, err := client.OpenClaims(context.Background(), "a", 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, o := range open {
-		if s.lost[o.Key.Name+"x"]+s.lost[o.Key.Name+"y"] == 0 {
+		if s.lostResponses[o.Key.Name+"x"]+s.lostResponses[o.Key.Name+"y"] == 0 {
 			t.Fatalf("seed %d: key %s is claimed and nothing was sent", seed, o.Key.Name)
 		}
 	}
@@ -99,37 +99,37 @@
 	}
 }
 
-// scripted is a ledger and service whose behaviour a script sets.
-type scripted struct {
-	claim, call, finish string
-	clock               *stepClock
-	log                 []string
+// scriptedFake is a ledger and service whose behaviour a script sets.
+type scriptedFake struct {
+	claimResult, callResult, updateResult string
+	clock                                 *stepClock
+	calls                                 []string
 }
 
-func (s *scripted) Claim(_ context.Context, c order.Claim) (order.Record, error) {
-	s.log = append(s.log, "claim")
+func (s *scriptedFake) Claim(_ context.Context, c order.Claim) (order.Record, error) {
+	s.calls = append(s.calls, "claim")
 	old := order.Claim{Key: c.Key, Attempt: "other", At: c.At.Add(-2 * time.Minute)}
 	recent := order.Claim{Key: c.Key, Attempt: "other", At: c.At}
 	records := map[string]order.Record{
-		"mine":     {State: order.Claimed, Claim: c, Mine: true},
-		"slow":     {State: order.Claimed, Claim: c, Mine: true},
+		"mine":     {State: order.Claimed, Claim: c, HeldByCaller: true},
+		"slow":     {State: order.Claimed, Claim: c, HeldByCaller: true},
 		"recent":   {State: order.Claimed, Claim: recent},
 		"old":      {State: order.Claimed, Claim: old},
-		"done":     {State: order.Done, Claim: old, Answer: &upstream.Answer{Status: 201}},
+		"done":     {State: order.Done, Claim: old, Response: &upstream.Answer{Status: 201}},
 		"unkept":   {State: order.Done, Claim: old},
-		"reused":   {State: order.Done, Claim: old, Reused: true},
+		"reused":   {State: order.Done, Claim: old, DigestMismatch: true},
 		"released": {State: order.Free},
 	}
-	if s.claim == "slow" {
-		s.clock.offset += SendWithin + time.Second
+	if s.claimResult == "slow" {
+		s.clock.offset += MaxSendAge + time.Second
 	}
-	if r, ok := records[s.claim]; ok {
+	if r, ok := records[s.claimResult]; ok {
 		return r, nil
 	}
-	return order.Record{}, s.err(s.claim)
+	return order.Record{}, s.scriptedError(s.claimResult)
 }
 
-func (s *scripted) err(code string) error {
+func (s *scriptedFake) scriptedError(code string) error {
 	for _, k := range refusal.Kinds() {
 		if k.Answer().Code == code {
 			return refusal.New(k, "scripted")
@@ -138,28 +138,28 @@
 	return nil
 }
 
-func (s *scripted) Finish(context.Context, order.Key, order.AttemptID, upstream.Answer) error {
-	return s.change("finish")
+func (s *scriptedFake) Finish(context.Context, order.Key, order.AttemptID, upstream.Answer) error {
+	return s.update("finish")
 }
 
-func (s *scripted) Release(context.Context, order.Key, order.AttemptID) error {
-	return s.change("release")
+func (s *scriptedFake) Release(context.Context, order.Key, order.AttemptID) error {
+	return s.update("release")
 }
 
-func (s *scripted) change(name string) error {
-	s.log = append(s.log, name)
-	err := s.err(s.finish)
-	s.finish = ""
+func (s *scriptedFake) update(name string) error {
+	s.calls = append(s.calls, name)
+	err := s.scriptedError(s.updateResult)
+	s.updateResult = ""
 	return err
 }
 
-func (s *scripted) Call(context.Context, upstream.Call) (upstream.Answer, error) {
-	s.log = append(s.log, "send")
+func (s *scriptedFake) Call(context.Context, upstream.Call) (upstream.Answer, error) {
+	s.calls = append(s.calls, "send")
 	var status int
-	if _, err := fmt.Sscan(s.call, &status); err == nil {
+	if _, err := fmt.Sscan(s.callResult, &status); err == nil {
 		return upstream.Answer{Status: status}, nil
 	}
-	return upstream.Answer{}, s.err(s.call)
+	return upstream.Answer{}, s.scriptedError(s.callResult)
 }
 
 // TestKinds guards against a wrong error kind, a call without a claim, a claim
@@ -169,41 +169,41 @@
 	datadriven.RunTest(t, "testdata/kinds.txt", func(t *testing.T, d *datadriven.TestData) string {
 		var out strings.Builder
 		for _, line := range strings.Split(d.Input, "\n") {
-			s := &scripted{clock: &stepClock{}}
-			_, _ = fmt.Sscan(line, &s.claim, &s.call, &s.finish)
-			desk := New(s, s.clock, "i", zap.NewNop())
+			s := &scriptedFake{clock: &stepClock{}}
+			_, _ = fmt.Sscan(line, &s.claimResult, &s.callResult, &s.updateResult)
+			executor := New(s, s.clock, "i", zap.NewNop())
 			o := orderOf("k", "x", s)
 			o.Pick = func(context.Context) (upstream.ServiceClient, error) {
-				s.log = append(s.log, "pick")
+				s.calls = append(s.calls, "pick")
 				return s, nil
 			}
-			a, err := desk.Run(context.Background(), o)
-			for s.clock.quiesce([]*Desk{desk}); s.clock.step(); {
-				s.clock.quiesce([]*Desk{desk})
+			a, err := executor.Run(context.Background(), o)
+			for s.clock.quiesce([]*Desk{executor}); s.clock.step(); {
+				s.clock.quiesce([]*Desk{executor})
 			}
-			if err := desk.Close(context.Background()); err != nil {
+			if err := executor.Close(context.Background()); err != nil {
 				t.Fatal(err)
 			}
 			if err == nil {
-				fmt.Fprintf(&out, "%s: answer %d, %s\n", line, a.Status, strings.Join(s.log, " "))
+				fmt.Fprintf(&out, "%s: answer %d, %s\n", line, a.Status, strings.Join(s.calls, " "))
 				continue
 			}
 			kind := refusal.KindOf(err).Answer()
-			fmt.Fprintf(&out, "%s: %s notRun=%v, %s\n", line, kind.Code, kind.NotRun, strings.Join(s.log, " "))
+			fmt.Fprintf(&out, "%s: %s notRun=%v, %s\n", line, kind.Code, kind.NotRun, strings.Join(s.calls, " "))
 		}
 		return out.String()
 	})
 }
 
-// waiting is a service that answers once it is told to.
-type waiting struct {
+// blockingService is a service that answers once it is told to.
+type blockingService struct {
 	entered chan struct{}
-	answer  chan struct{}
+	proceed chan struct{}
 	mu      sync.Mutex
 	calls   int
 }
 
-func (w *waiting) Call(ctx context.Context, _ upstream.Call) (upstream.Answer, error) {
+func (w *blockingService) Call(ctx context.Context, _ upstream.Call) (upstream.Answer, error) {
 	w.mu.Lock()
 	w.calls++
 	w.mu.Unlock()
@@ -211,7 +211,7 @@
 	select {
 	case <-ctx.Done():
 		return upstream.Answer{}, refusal.New(refusal.UpstreamFailed, "interrupted")
-	case <-w.answer:
+	case <-w.proceed:
 	}
 	return upstream.Answer{Status: 200, Body: []byte("once")}, nil
 }
@@ -221,63 +221,63 @@
 func TestSharing(t *testing.T) {
 	is := is.New(t)
 	clock := &stepClock{}
-	f := &faulty{calm: true, random: rand.New(rand.NewSource(1)), machine: ledger.New()}
-	d := New(ledger.NewClient(f, clock, "i"), clock, "i", zap.NewNop())
-	w := &waiting{entered: make(chan struct{}), answer: make(chan struct{})}
-	gone, leave := context.WithCancel(context.Background())
-	var flights []*flight
+	f := &faultyProposer{noFaults: true, random: rand.New(rand.NewSource(1)), machine: ledger.New()}
+	e := New(ledger.NewClient(f, clock, "i"), clock, "i", zap.NewNop())
+	w := &blockingService{entered: make(chan struct{}), proceed: make(chan struct{})}
+	canceled, cancel := context.WithCancel(context.Background())
+	var joined []*inFlightOrder
 	for range 10 {
-		f, err := d.join(orderOf("k", "x", w))
+		f, err := e.joinOrStart(orderOf("k", "x", w))
 		is.NoErr(err)
-		flights = append(flights, f)
+		joined = append(joined, f)
 	}
 	<-w.entered
-	leave()
-	_, err := d.Run(gone, orderOf("k", "x", w))
+	cancel()
+	_, err := e.Run(canceled, orderOf("k", "x", w))
 	is.Equal(refusal.KindOf(err), refusal.Deadline)
 
 	closed := make(chan error)
-	go func() { closed <- d.Close(context.Background()) }()
-	for !isClosed(d) {
+	go func() { closed <- e.Close(context.Background()) }()
+	for !isClosed(e) {
 		runtime.Gosched()
 	}
-	_, err = d.Run(context.Background(), orderOf("new", "x", w))
+	_, err = e.Run(context.Background(), orderOf("new", "x", w))
 	is.Equal(refusal.KindOf(err), refusal.LedgerUnreachable) // "stopping" would say that no attempt has run
 	select {
 	case <-closed:
 		t.Fatal("Close did not wait for the order")
 	default:
 	}
-	close(w.answer)
+	close(w.proceed)
 	is.NoErr(<-closed)
-	for _, f := range flights {
+	for _, f := range joined {
 		<-f.done
 		is.NoErr(f.err)
-		is.Equal(string(f.answer.Body), "once")
+		is.Equal(string(f.response.Body), "once")
 	}
 	is.Equal(w.calls, 1)
 	r, err := ledger.NewClient(f, clock, "j").Claim(context.Background(), order.Claim{Key: order.Key{Account: "a", Name: "k"}, Digest: digestOf(orderOf("k", "x", w).Call)})
 	is.NoErr(err)
-	is.Equal(string(r.Answer.Body), "once")
+	is.Equal(string(r.Response.Body), "once")
 }
 
-func isClosed(d *Desk) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.closed
+func isClosed(e *Desk) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.closed
 }
 
 // TestCloseGivesUp guards against a Close that never returns when the ledger
 // can't be reached.
 func TestCloseGivesUp(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{claim: "ledgerUnreachable", finish: "ledgerUnreachable", clock: &stepClock{}}
-	d := New(s, s.clock, "i", zap.NewNop())
-	_, err := d.Run(context.Background(), orderOf("k", "x", s))
+	s := &scriptedFake{claimResult: "ledgerUnreachable", updateResult: "ledgerUnreachable", clock: &stepClock{}}
+	e := New(s, s.clock, "i", zap.NewNop())
+	_, err := e.Run(context.Background(), orderOf("k", "x", s))
 	is.Equal(refusal.KindOf(err), refusal.LedgerUnreachable)
-	s.clock.quiesce([]*Desk{d})
+	s.clock.quiesce([]*Desk{e})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.Equal(d.Close(ctx), context.Canceled)
-	d.group.Wait()
+	is.Equal(e.Close(ctx), context.Canceled)
+	e.wg.Wait()
 }
--- a/internal/order/desk/fake_test.go
+++ b/internal/order/desk/fake_test.go
@@ -15,21 +15,21 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// faulty is a proposer over one state machine. It loses commands and replies and
+// faultyProposer is a proposer over one state machine. It loses commands and replies and
 // applies commands late or twice.
-type faulty struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	calm    bool
-	machine *ledger.Machine
-	late    [][]byte
+type faultyProposer struct {
+	mu       sync.Mutex
+	random   *rand.Rand
+	noFaults bool
+	machine  *ledger.Machine
+	delayed  [][]byte
 }
 
-func (f *faulty) Propose(_ context.Context, _ quorum.GroupID, command []byte) ([]byte, error) {
+func (f *faultyProposer) Propose(_ context.Context, _ quorum.GroupID, command []byte) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle(3)
-	if f.calm {
+	f.applyDelayed(3)
+	if f.noFaults {
 		return f.machine.Apply(0, command), nil
 	}
 	switch f.random.Intn(6) {
@@ -39,7 +39,7 @@
 		f.machine.Apply(0, command)
 		return nil, refusal.New(refusal.OutcomeUnknown, "reply lost")
 	case 2, 3:
-		f.late = append(f.late, command)
+		f.delayed = append(f.delayed, command)
 		return nil, refusal.New(refusal.OutcomeUnknown, "leader lost")
 	case 4:
 		f.machine.Apply(0, command)
@@ -47,42 +47,42 @@
 	return f.machine.Apply(0, command), nil
 }
 
-func (f *faulty) Read(_ context.Context, _ quorum.GroupID, q []byte) ([]byte, error) {
+func (f *faultyProposer) Read(_ context.Context, _ quorum.GroupID, q []byte) ([]byte, error) {
 	return f.machine.Query(q), nil
 }
 
-// settle applies each late command with a chance of one in n.
-func (f *faulty) settle(n int) {
-	kept := f.late[:0]
-	for _, c := range f.late {
+// applyDelayed applies each late command with a chance of one in n.
+func (f *faultyProposer) applyDelayed(n int) {
+	stillDelayed := f.delayed[:0]
+	for _, c := range f.delayed {
 		if f.random.Intn(n) > 0 {
-			kept = append(kept, c)
+			stillDelayed = append(stillDelayed, c)
 			continue
 		}
 		f.machine.Apply(0, c)
 	}
-	f.late = kept
+	f.delayed = stillDelayed
 }
 
-// service counts what it runs and may lose calls and answers.
-type service struct {
-	random *rand.Rand
-	calm   bool
+// faultyService counts what it runs and may lose calls and answers.
+type faultyService struct {
+	random   *rand.Rand
+	noFaults bool
 	// runs counts executions of a body, lost those without an answer.
-	runs, lost map[string]int
+	runs, lostResponses map[string]int
 }
 
-func (s *service) Call(_ context.Context, c upstream.Call) (upstream.Answer, error) {
+func (s *faultyService) Call(_ context.Context, c upstream.Call) (upstream.Answer, error) {
 	body := string(c.Body)
 	fault := s.random.Intn(5)
 	switch {
-	case !s.calm && fault == 0:
+	case !s.noFaults && fault == 0:
 		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "connection refused")
-	case !s.calm && fault == 1:
+	case !s.noFaults && fault == 1:
 		return upstream.Answer{Status: 425}, nil
-	case !s.calm && fault == 2:
+	case !s.noFaults && fault == 2:
 		s.runs[body] += s.random.Intn(2)
-		s.lost[body]++
+		s.lostResponses[body]++
 		return upstream.Answer{}, refusal.New(refusal.UpstreamFailed, "connection reset")
 	}
 	s.runs[body]++
@@ -126,17 +126,17 @@
 }
 
 // quiesce waits until every order that is not over waits in a pause.
-func (c *stepClock) quiesce(desks []*Desk) {
+func (c *stepClock) quiesce(executors []*Desk) {
 	for {
-		open := 0
-		for _, d := range desks {
-			l := d.Load()
-			open += l.Running + l.Unrecorded
+		unfinished := 0
+		for _, e := range executors {
+			l := e.Load()
+			unfinished += l.Running + l.PendingReleases
 		}
 		c.mu.Lock()
-		rest := open == len(c.waiters)
+		idle := unfinished == len(c.waiters)
 		c.mu.Unlock()
-		if rest {
+		if idle {
 			return
 		}
 		runtime.Gosched()
--- a/internal/order/ledger/codec.go
+++ b/internal/order/ledger/codec.go
@@ -23,7 +23,7 @@
 	finishKind      kind = "finish"
 	releaseKind     kind = "release"
 	settleKind      kind = "settle"
-	openKind        kind = "open"
+	openClaimsKind  kind = "open"
 	settlementsKind kind = "settlements"
 	usageKind       kind = "usage"
 )
@@ -39,8 +39,8 @@
 	Instance fleet.InstanceID `json:"instance,omitempty"`
 	At       time.Time        `json:"at"`
 	Limits   Limits           `json:"limits"`
-	// Answer is an encoded upstream.Answer.
-	Answer []byte `json:"answer,omitempty"`
+	// Response is an encoded upstream.Answer.
+	Response []byte `json:"answer,omitempty"`
 	// Operator, Note and Ran are for settle.
 	Operator string `json:"operator,omitempty"`
 	Note     string `json:"note,omitempty"`
@@ -51,18 +51,18 @@
 
 // reply answers a command or a query.
 type reply struct {
-	Version int         `json:"version"`
-	Error   string      `json:"error,omitempty"`
-	State   order.State `json:"state"`
-	Record  *record     `json:"record,omitempty"`
-	Mine    bool        `json:"mine,omitempty"`
-	Reused  bool        `json:"reused,omitempty"`
-	// Full names the bound that kept a claim from being made.
-	Full string `json:"full,omitempty"`
-	// Lost tells that the attempt does not hold the claim.
-	Lost        bool         `json:"lost,omitempty"`
-	Settled     *Settlement  `json:"settled,omitempty"`
-	Open        []Open       `json:"open,omitempty"`
+	Version        int         `json:"version"`
+	Error          string      `json:"error,omitempty"`
+	State          order.State `json:"state"`
+	Record         *record     `json:"record,omitempty"`
+	HeldByCaller   bool        `json:"mine,omitempty"`
+	DigestMismatch bool        `json:"reused,omitempty"`
+	// RejectReason names the bound that kept a claim from being made.
+	RejectReason string `json:"full,omitempty"`
+	// NotHeld tells that the attempt does not hold the claim.
+	NotHeld     bool         `json:"lost,omitempty"`
+	Settlement  *Settlement  `json:"settled,omitempty"`
+	OpenClaims  []Open       `json:"open,omitempty"`
 	Settlements []Settlement `json:"settlements,omitempty"`
 	Usage       *Usage       `json:"usage,omitempty"`
 }
@@ -71,12 +71,12 @@
 type Usage struct {
 	// Records counts keys and released attempts, Open the keys without an
 	// answer.
-	Records int `json:"records"`
-	Open    int `json:"open"`
+	Records    int `json:"records"`
+	OpenClaims int `json:"open"`
 	// Bytes counts recorded answers and what open claims reserve.
 	Bytes int `json:"bytes"`
-	// Oldest is the time of the oldest claim without an answer.
-	Oldest time.Time `json:"oldest"`
+	// OldestOpen is the time of the oldest claim without an answer.
+	OldestOpen time.Time `json:"oldest"`
 }
 
 // Settlement is the statement of an operator about an order whose outcome was
@@ -90,8 +90,8 @@
 	// free again.
 	Ran bool      `json:"ran"`
 	At  time.Time `json:"at"`
-	// AnsweredLater tells that the answer of the attempt arrived afterwards.
-	AnsweredLater bool `json:"answeredLater,omitempty"`
+	// LateResponse tells that the answer of the attempt arrived afterwards.
+	LateResponse bool `json:"answeredLater,omitempty"`
 }
 
 // Open is a claim without an answer.
@@ -111,19 +111,19 @@
 	defer m.mu.Unlock()
 	c, err := decodeCommand(data)
 	if err != nil {
-		return encode(reply{Error: err.Error()})
+		return encodeReply(reply{Error: err.Error()})
 	}
 	switch c.Kind {
 	case claimKind:
-		return encode(m.claim(c))
+		return encodeReply(m.claim(c))
 	case finishKind:
-		return encode(m.finish(c))
+		return encodeReply(m.finish(c))
 	case releaseKind:
-		return encode(m.release(c))
+		return encodeReply(m.release(c))
 	case settleKind:
-		return encode(m.settle(c))
+		return encodeReply(m.settle(c))
 	}
-	return encode(reply{Error: "unknown kind of command"})
+	return encodeReply(reply{Error: "unknown kind of command"})
 }
 
 // Query answers a query.
@@ -132,21 +132,21 @@
 	defer m.mu.RUnlock()
 	c, err := decodeCommand(data)
 	if err != nil {
-		return encode(reply{Error: err.Error()})
+		return encodeReply(reply{Error: err.Error()})
 	}
 	switch c.Kind {
-	case openKind:
-		return encode(reply{Open: m.open(c)})
+	case openClaimsKind:
+		return encodeReply(reply{OpenClaims: m.openClaims(c)})
 	case settlementsKind:
-		return encode(reply{Settlements: m.settled(c)})
+		return encodeReply(reply{Settlements: m.accountSettlements(c)})
 	case usageKind:
-		return encode(reply{Usage: m.usage()})
+		return encodeReply(reply{Usage: m.usage()})
 	}
-	return encode(reply{Error: "unknown kind of query"})
+	return encodeReply(reply{Error: "unknown kind of query"})
 }
 
-// open lists the oldest claims without an answer of an account.
-func (m *Machine) open(c command) []Open {
+// openClaims lists the oldest claims without an answer of an account.
+func (m *Machine) openClaims(c command) []Open {
 	var list []Open
 	for k, r := range m.records {
 		if k.Account == c.Key.Account && r.State == order.Claimed {
@@ -156,7 +156,7 @@
 	slices.SortFunc(list, func(a, b Open) int {
 		return cmp.Or(a.At.Compare(b.At), strings.Compare(a.Key.Name, b.Key.Name))
 	})
-	return list[:min(len(list), max(c.Limit, 0), MaxPage)]
+	return list[:min(len(list), max(c.Limit, 0), MaxPageEntries)]
 }
 
 func (m *Machine) usage() *Usage {
@@ -165,18 +165,18 @@
 		if r.State != order.Claimed {
 			continue
 		}
-		u.Open++
-		if u.Oldest.IsZero() || r.At.Before(u.Oldest) {
-			u.Oldest = r.At
+		u.OpenClaims++
+		if u.OldestOpen.IsZero() || r.At.Before(u.OldestOpen) {
+			u.OldestOpen = r.At
 		}
 	}
 	return u
 }
 
-// settled lists the newest settlements of an account, the newest first.
-func (m *Machine) settled(c command) []Settlement {
+// accountSettlements lists the newest settlements of an account, the newest first.
+func (m *Machine) accountSettlements(c command) []Settlement {
 	var list []Settlement
-	for i := len(m.settlements) - 1; i >= 0 && len(list) < min(c.Limit, MaxPage); i-- {
+	for i := len(m.settlements) - 1; i >= 0 && len(list) < min(c.Limit, MaxPageEntries); i-- {
 		if s := m.settlements[i]; s.Key.Account == c.Key.Account {
 			list = append(list, s)
 		}
@@ -195,8 +195,8 @@
 	return c, nil
 }
 
-// encode returns p in JSON. A reply always encodes.
-func encode(p reply) []byte {
+// encodeReply returns p in JSON. A reply always encodes.
+func encodeReply(p reply) []byte {
 	p.Version = version
 	data, err := json.Marshal(p)
 	if err != nil {
--- a/internal/order/ledger/fake_test.go
+++ b/internal/order/ledger/fake_test.go
@@ -11,68 +11,68 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// faulty is a proposer over replicas in process. It loses commands and replies,
+// faultyProposer is a proposer over replicas in process. It loses commands and replies,
 // applies commands late or twice, and restarts replicas from snapshots. With
 // calm it only applies commands.
-type faulty struct {
+type faultyProposer struct {
 	t        *testing.T
 	random   *rand.Rand
-	calm     bool
+	noFaults bool
 	replicas []*Machine
-	late     [][]byte
-	past     [][]byte
+	delayed  [][]byte
+	history  [][]byte
 }
 
-func newFaulty(t *testing.T, seed int64) *faulty {
-	f := &faulty{t: t, random: rand.New(rand.NewSource(seed))}
+func newFaultyProposer(t *testing.T, seed int64) *faultyProposer {
+	f := &faultyProposer{t: t, random: rand.New(rand.NewSource(seed))}
 	for range 3 {
 		f.replicas = append(f.replicas, New())
 	}
 	return f
 }
 
-func (f *faulty) Propose(_ context.Context, _ quorum.GroupID, command []byte) ([]byte, error) {
-	if f.calm {
+func (f *faultyProposer) Propose(_ context.Context, _ quorum.GroupID, command []byte) ([]byte, error) {
+	if f.noFaults {
 		return f.apply(command), nil
 	}
-	f.settle(3)
-	f.past = append(f.past, command)
+	f.applyDelayed(3)
+	f.history = append(f.history, command)
 	switch f.random.Intn(7) {
 	case 0:
-		f.past = f.past[:len(f.past)-1]
+		f.history = f.history[:len(f.history)-1]
 		return nil, refusal.New(refusal.NotReady, "no leader")
 	case 1:
 		f.apply(command)
 		return nil, refusal.New(refusal.OutcomeUnknown, "reply lost")
 	case 2:
-		f.late = append(f.late, command)
+		f.delayed = append(f.delayed, command)
 		return nil, refusal.New(refusal.OutcomeUnknown, "leader lost")
 	case 3:
 		f.apply(command)
 	case 4:
-		f.apply(f.past[f.random.Intn(len(f.past))])
+		f.apply(f.history[f.random.Intn(len(f.history))])
 	}
 	return f.apply(command), nil
 }
 
-func (f *faulty) Read(_ context.Context, _ quorum.GroupID, query []byte) ([]byte, error) {
+func (f *faultyProposer) Read(_ context.Context, _ quorum.GroupID, query []byte) ([]byte, error) {
 	return f.replicas[f.random.Intn(len(f.replicas))].Query(query), nil
 }
 
-// settle applies each late command with a chance of one in n.
-func (f *faulty) settle(n int) {
-	kept := f.late[:0]
-	for _, c := range f.late {
+// applyDelayed applies each late command with a chance of one in n.
+func (f *faultyProposer) applyDelayed(n int) {
+	stillDelayed := f.delayed[:0]
+	for _, c := range f.delayed {
 		if f.random.Intn(n) > 0 {
-			kept = append(kept, c)
+			stillDelayed = append(stillDelayed, c)
 			continue
 		}
 		f.apply(c)
 	}
-	f.late = kept
+	f.delayed = stillDelayed
 }
 
-func (f *faulty) apply(command []byte) []byte {
+func (f *faultyProposer) apply(command []byte) []byte {
 	var reply []byte
 	for _, m := range f.replicas {
 		reply = m.Apply(0, command)
@@ -83,7 +83,7 @@
 	return reply
 }
 
-func (f *faulty) restart(i int) {
+func (f *faultyProposer) restart(i int) {
 	data, err := f.replicas[i].Snapshot()
 	if err != nil {
 		f.t.Fatal(err)
@@ -94,12 +94,12 @@
 	}
 }
 
-// movingClock does not wait.
-type movingClock struct{ offset time.Duration }
+// manualClock does not wait.
+type manualClock struct{ offset time.Duration }
 
-func (c *movingClock) Now() time.Time { return fakeclock.Start.Add(c.offset) }
+func (c *manualClock) Now() time.Time { return fakeclock.Start.Add(c.offset) }
 
-func (c *movingClock) After(time.Duration) <-chan time.Time {
+func (c *manualClock) After(time.Duration) <-chan time.Time {
 	ch := make(chan time.Time, 1)
 	ch <- c.Now()
 	return ch
--- a/internal/order/ledger/ledger.go
+++ b/internal/order/ledger/ledger.go
@@ -56,23 +56,23 @@
 }
 
 const (
-	// MaxKey is the longest key name in bytes.
-	MaxKey = 256
+	// MaxKeyBytes is the longest key name in bytes.
+	MaxKeyBytes = 256
 	// MaxSettlements is the number of settlements that are kept, the newest.
 	MaxSettlements = 10_000
-	// MaxPage is the largest number of entries of one answer to a query.
-	MaxPage = 500
+	// MaxPageEntries is the largest number of entries of one answer to a query.
+	MaxPageEntries = 500
 
-	// ClaimAge is the age from which on a claim is refused. A released attempt
+	// MaxClaimAge is the age from which on a claim is refused. A released attempt
 	// is remembered as long, so that its claim can't take effect afterwards.
-	ClaimAge = 10 * time.Minute
+	MaxClaimAge = 10 * time.Minute
 
-	// SettleAge is the age of a claim from which on an operator may settle it. It
+	// MinSettleAge is the age of a claim from which on an operator may settle it. It
 	// is longer than the time after which an instance no longer sends the order
 	// of a claim, so that a thawed instance can't run a settled order.
-	SettleAge = 5 * time.Minute
+	MinSettleAge = 5 * time.Minute
 
-	accountShare = 2 // an account may use one part in accountShare
+	accountDivisor = 2 // an account may use one part in accountShare
 )
 
 // GroupOf returns the group of an account.
@@ -87,9 +87,9 @@
 	records map[order.Key]*record
 	// released holds the attempts that may not claim any more.
 	released    map[order.AttemptID]released
-	accounts    map[fleet.AccountID]use
-	total       use
-	expiries    expiries
+	accounts    map[fleet.AccountID]totals
+	total       totals
+	expiries    expiryHeap
 	settlements []Settlement
 }
 
@@ -103,13 +103,13 @@
 	At       time.Time        `json:"at"`
 	// Reserved is the size that the claim counts until it has an answer.
 	Reserved int `json:"reserved,omitempty"`
-	// Answer is an encoded upstream.Answer.
-	Answer []byte `json:"answer,omitempty"`
+	// Response is an encoded upstream.Answer.
+	Response []byte `json:"answer,omitempty"`
 	// Expires is set when the state is order.Done.
 	Expires time.Time `json:"expires"`
 }
 
-func (r *record) size() int { return r.Reserved + len(r.Answer) }
+func (r *record) size() int { return r.Reserved + len(r.Response) }
 
 // released is an attempt that was released.
 type released struct {
@@ -117,8 +117,8 @@
 	Until   time.Time       `json:"until"`
 }
 
-// use counts records and bytes.
-type use struct {
+// totals counts records and bytes.
+type totals struct {
 	records, bytes int
 }
 
@@ -127,24 +127,24 @@
 	return &Machine{
 		records:  make(map[order.Key]*record),
 		released: make(map[order.AttemptID]released),
-		accounts: make(map[fleet.AccountID]use),
+		accounts: make(map[fleet.AccountID]totals),
 	}
 }
 
 func (m *Machine) claim(c command) reply {
-	m.advance(c)
+	m.advanceTime(c)
 	r, ok := m.records[c.Key]
 	if ok {
-		return m.show(r, c)
+		return m.recordReply(r, c)
 	}
-	if _, late := m.released[c.Attempt]; late {
+	if _, wasReleased := m.released[c.Attempt]; wasReleased {
 		return reply{State: order.Free}
 	}
-	if !c.At.Add(ClaimAge).After(m.time.Now()) {
-		return reply{Full: "the claim came too late, or the clock of the instance is behind"}
+	if !c.At.Add(MaxClaimAge).After(m.time.Now()) {
+		return reply{RejectReason: "the claim came too late, or the clock of the instance is behind"}
 	}
-	if reason := m.full(c); reason != "" {
-		return reply{Full: reason}
+	if reason := m.reachedLimit(c); reason != "" {
+		return reply{RejectReason: reason}
 	}
 	r = &record{
 		State:    order.Claimed,
@@ -156,78 +156,78 @@
 		Reserved: c.Limits.MaxAnswer,
 	}
 	m.records[c.Key] = r
-	m.count(c.Key.Account, 1, r.size())
-	return m.show(r, c)
+	m.addTotals(c.Key.Account, 1, r.size())
+	return m.recordReply(r, c)
 }
 
-// show returns a record as the attempt of c sees it. The answer of another
+// recordReply returns a record as the attempt of c sees it. The answer of another
 // content is not shown.
-func (m *Machine) show(r *record, c command) reply {
-	p := reply{State: r.State, Record: r, Mine: r.Attempt == c.Attempt}
+func (m *Machine) recordReply(r *record, c command) reply {
+	p := reply{State: r.State, Record: r, HeldByCaller: r.Attempt == c.Attempt}
 	if !slices.Equal(r.Digest, c.Digest) {
-		hidden := *r
-		hidden.Answer = nil
-		p.Record, p.Reused, p.Mine = &hidden, true, false
+		redacted := *r
+		redacted.Response = nil
+		p.Record, p.DigestMismatch, p.HeldByCaller = &redacted, true, false
 	}
 	return p
 }
 
-// full tells which bound a new claim would exceed.
-func (m *Machine) full(c command) string {
-	l, reserve := c.Limits, c.Limits.MaxAnswer
-	a := m.accounts[c.Key.Account]
+// reachedLimit tells which bound a new claim would exceed.
+func (m *Machine) reachedLimit(c command) string {
+	limits, reserved := c.Limits, c.Limits.MaxAnswer
+	account := m.accounts[c.Key.Account]
 	switch {
-	case m.total.records >= l.MaxRecords:
+	case m.total.records >= limits.MaxRecords:
 		return "the ledger holds its largest number of keys"
-	case m.total.bytes+reserve > l.MaxBytes:
+	case m.total.bytes+reserved > limits.MaxBytes:
 		return "the ledger holds its largest number of bytes"
-	case a.records >= l.MaxRecords/accountShare:
+	case account.records >= limits.MaxRecords/accountDivisor:
 		return "the account holds its largest number of keys"
-	case a.bytes+reserve > l.MaxBytes/accountShare:
+	case account.bytes+reserved > limits.MaxBytes/accountDivisor:
 		return "the account holds its largest number of bytes"
 	}
 	return ""
 }
 
 func (m *Machine) finish(c command) reply {
-	m.advance(c)
+	m.advanceTime(c)
 	r, ok := m.records[c.Key]
 	if !ok || r.Attempt != c.Attempt {
-		m.noteLateAnswer(c)
-		return reply{Lost: true}
+		m.markLateResponse(c)
+		return reply{NotHeld: true}
 	}
 	if r.State == order.Done {
-		m.noteLateAnswer(c)
+		m.markLateResponse(c)
 		return reply{State: r.State}
 	}
-	m.complete(c, r, c.Answer)
+	m.complete(c, r, c.Response)
 	return reply{State: r.State}
 }
 
 // complete records the answer of a claim.
-func (m *Machine) complete(c command, r *record, answer []byte) {
-	before := r.size()
-	if len(answer) > r.Reserved {
-		answer = nil
+func (m *Machine) complete(c command, r *record, response []byte) {
+	oldSize := r.size()
+	if len(response) > r.Reserved {
+		response = nil
 	}
-	r.State, r.Answer, r.Reserved = order.Done, answer, 0
-	r.Expires = m.time.From(c.At).Add(max(c.Limits.Retention, ClaimAge))
-	m.count(c.Key.Account, 0, r.size()-before)
+	r.State, r.Response, r.Reserved = order.Done, response, 0
+	r.Expires = m.time.From(c.At).Add(max(c.Limits.Retention, MaxClaimAge))
+	m.addTotals(c.Key.Account, 0, r.size()-oldSize)
 	heap.Push(&m.expiries, expiry{at: r.Expires, key: c.Key})
 }
 
 // release gives up a claim. The attempt is remembered also when it has no claim,
 // because the command of the claim may still be under way.
 func (m *Machine) release(c command) reply {
-	m.advance(c)
+	m.advanceTime(c)
 	r, ok := m.records[c.Key]
 	switch {
 	case ok && r.Attempt == c.Attempt && r.State == order.Done:
-		return reply{Lost: true}
+		return reply{NotHeld: true}
 	case ok && r.Attempt == c.Attempt:
 		m.remove(c.Key)
 	case m.total.records >= c.Limits.MaxRecords:
-		return reply{Full: "the ledger holds its largest number of keys"}
+		return reply{RejectReason: "the ledger holds its largest number of keys"}
 	}
 	m.markReleased(c)
 	return reply{State: order.Free}
@@ -235,27 +235,27 @@
 
 // markReleased keeps an attempt from claiming again.
 func (m *Machine) markReleased(c command) {
-	if _, again := m.released[c.Attempt]; !again {
-		m.count(c.Key.Account, 1, 0)
+	if _, known := m.released[c.Attempt]; !known {
+		m.addTotals(c.Key.Account, 1, 0)
 	}
-	until := m.time.From(c.At).Add(ClaimAge)
+	until := m.time.From(c.At).Add(MaxClaimAge)
 	m.released[c.Attempt] = released{Account: c.Key.Account, Until: until}
 	heap.Push(&m.expiries, expiry{at: until, attempt: c.Attempt})
 }
 
 func (m *Machine) settle(c command) reply {
-	m.advance(c)
+	m.advanceTime(c)
 	for _, s := range m.settlements {
 		if s.Attempt == c.Attempt && s.Key == c.Key {
-			return reply{Settled: &s}
+			return reply{Settlement: &s}
 		}
 	}
 	r, ok := m.records[c.Key]
 	if !ok || r.Attempt != c.Attempt || r.State != order.Claimed {
-		return reply{Lost: true}
+		return reply{NotHeld: true}
 	}
-	if c.At.Before(r.At.Add(SettleAge)) || m.time.Now().Before(r.At.Add(SettleAge)) {
-		return reply{Full: "the claim is younger than " + SettleAge.String()}
+	if c.At.Before(r.At.Add(MinSettleAge)) || m.time.Now().Before(r.At.Add(MinSettleAge)) {
+		return reply{RejectReason: "the claim is younger than " + MinSettleAge.String()}
 	}
 	s := Settlement{Key: c.Key, Attempt: c.Attempt, Operator: c.Operator, Note: c.Note, Ran: c.Ran, At: c.At}
 	m.settlements = append(m.settlements, s)
@@ -263,29 +263,29 @@
 		m.settlements = slices.Delete(m.settlements, 0, 1)
 	}
 	if c.Ran {
-		m.complete(c, r, c.Answer)
+		m.complete(c, r, c.Response)
 	} else {
 		m.remove(c.Key)
 		m.markReleased(c)
 	}
-	return reply{Settled: &s}
+	return reply{Settlement: &s}
 }
 
-// noteLateAnswer notes that an answer arrived after its claim was settled.
-func (m *Machine) noteLateAnswer(c command) {
+// markLateResponse notes that an answer arrived after its claim was settled.
+func (m *Machine) markLateResponse(c command) {
 	for i := range m.settlements {
 		if s := &m.settlements[i]; s.Attempt == c.Attempt && s.Key == c.Key {
-			s.AnsweredLater = true
+			s.LateResponse = true
 		}
 	}
 }
 
 func (m *Machine) remove(k order.Key) {
-	m.count(k.Account, -1, -m.records[k].size())
+	m.addTotals(k.Account, -1, -m.records[k].size())
 	delete(m.records, k)
 }
 
-func (m *Machine) count(a fleet.AccountID, records, bytes int) {
+func (m *Machine) addTotals(a fleet.AccountID, records, bytes int) {
 	u := m.accounts[a]
 	u.records += records
 	u.bytes += bytes
@@ -298,22 +298,22 @@
 	m.total.bytes += bytes
 }
 
-// advance takes over the time of a command and forgets what has expired.
-func (m *Machine) advance(c command) {
+// advanceTime takes over the time of a command and forgets what has expired.
+func (m *Machine) advanceTime(c command) {
 	m.time.Observe(c.Instance, c.At)
 	now := m.time.Now()
 	for len(m.expiries) > 0 && !m.expiries[0].at.After(now) {
 		e := heap.Pop(&m.expiries).(expiry)
-		m.forget(e)
+		m.expire(e)
 	}
 }
 
-// forget drops what e stands for, unless it was recorded again since.
-func (m *Machine) forget(e expiry) {
+// expire drops what e stands for, unless it was recorded again since.
+func (m *Machine) expire(e expiry) {
 	if e.attempt != "" {
-		if b, ok := m.released[e.attempt]; ok && b.Until.Equal(e.at) {
+		if r, ok := m.released[e.attempt]; ok && r.Until.Equal(e.at) {
 			delete(m.released, e.attempt)
-			m.count(b.Account, -1, 0)
+			m.addTotals(r.Account, -1, 0)
 		}
 		return
 	}
@@ -330,17 +330,17 @@
 	attempt order.AttemptID
 }
 
-type expiries []expiry
+type expiryHeap []expiry
 
-func (e expiries) Len() int           { return len(e) }
-func (e expiries) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e expiries) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e expiryHeap) Len() int           { return len(e) }
+func (e expiryHeap) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e expiryHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
 
 // Push is part of heap.Interface.
-func (e *expiries) Push(x any) { *e = append(*e, x.(expiry)) }
+func (e *expiryHeap) Push(x any) { *e = append(*e, x.(expiry)) }
 
 // Pop is part of heap.Interface.
-func (e *expiries) Pop() any {
+func (e *expiryHeap) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	(*e)[last] = expiry{}
--- a/internal/order/ledger/ledger_test.go
+++ b/internal/order/ledger/ledger_test.go
@@ -23,61 +23,61 @@
 // that are passed and answers that are not replayed whole.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		f := newFaulty(t, 1)
-		f.calm = true
-		clock := &movingClock{}
+		f := newFaultyProposer(t, 1)
+		f.noFaults = true
+		clock := &manualClock{}
 		ctx := context.Background()
 		limits := Limits{Retention: time.Hour, MaxRecords: 8, MaxBytes: 1600, MaxAnswer: 200}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			account, key, attempt, instance, content, body, operator := "a", "k", "", "i1", "x", "", ""
-			move, age, ran := "0s", "0s", false
-			for name, to := range map[string]*string{"account": &account, "key": &key, "attempt": &attempt, "instance": &instance, "content": &content, "body": &body, "operator": &operator, "by": &move, "age": &age} {
-				d.MaybeScanArgs(t, name, to)
+			account, key, attempt, instance, digest, body, operator := "a", "k", "", "i1", "x", "", ""
+			advanceBy, age, ran := "0s", "0s", false
+			for name, target := range map[string]*string{"account": &account, "key": &key, "attempt": &attempt, "instance": &instance, "content": &digest, "body": &body, "operator": &operator, "by": &advanceBy, "age": &age} {
+				d.MaybeScanArgs(t, name, target)
 			}
 			d.MaybeScanArgs(t, "ran", &ran)
 			k := order.Key{Account: fleet.AccountID(account), Name: key}
 			id := order.AttemptID(attempt)
-			skewed := &movingClock{offset: clock.offset}
+			skewed := &manualClock{offset: clock.offset}
 			if strings.HasPrefix(instance, "fast") {
 				skewed.offset += 48 * time.Hour
 			}
 			client := NewClient(f, skewed, fleet.InstanceID(instance), WithLimits(limits))
-			answer := upstream.Answer{Status: 200, Header: http.Header{"Order": {"7"}}, Body: []byte(body)}
+			response := upstream.Answer{Status: 200, Header: http.Header{"Order": {"7"}}, Body: []byte(body)}
 			switch d.Cmd {
 			case "claim":
-				old, _ := time.ParseDuration(age)
-				r, err := client.Claim(ctx, order.Claim{Key: k, Attempt: id, Digest: [32]byte{content[0]}, Instance: fleet.InstanceID(instance), At: skewed.Now().Add(-old)})
+				claimAge, _ := time.ParseDuration(age)
+				r, err := client.Claim(ctx, order.Claim{Key: k, Attempt: id, Digest: [32]byte{digest[0]}, Instance: fleet.InstanceID(instance), At: skewed.Now().Add(-claimAge)})
 				if err != nil {
 					return fmt.Sprintf("%s: %v\n", refusal.KindOf(err).Answer().Code, err)
 				}
-				out := fmt.Sprintf("%v by=%s mine=%v reused=%v", r.State, r.Claim.Attempt, r.Mine, r.Reused)
-				if r.Answer != nil {
-					out += fmt.Sprintf(" answer=%d %v %s", r.Answer.Status, r.Answer.Header, r.Answer.Body)
+				out := fmt.Sprintf("%v by=%s mine=%v reused=%v", r.State, r.Claim.Attempt, r.HeldByCaller, r.DigestMismatch)
+				if r.Response != nil {
+					out += fmt.Sprintf(" answer=%d %v %s", r.Response.Status, r.Response.Header, r.Response.Body)
 				}
 				return out + "\n"
 			case "finish":
-				return result(client.Finish(ctx, k, id, answer))
+				return formatResult(client.Finish(ctx, k, id, response))
 			case "release":
-				return result(client.Release(ctx, k, id))
+				return formatResult(client.Release(ctx, k, id))
 			case "settle":
-				return result(client.Settle(ctx, Settlement{Key: k, Attempt: id, Operator: operator, Ran: ran}, answer))
+				return formatResult(client.Settle(ctx, Settlement{Key: k, Attempt: id, Operator: operator, Ran: ran}, response))
 			case "open":
 				list, err := client.OpenClaims(ctx, k.Account, 9)
 				return fmt.Sprintf("%d %v\n", len(list), err)
 			case "usage":
 				u, err := client.Usage(ctx, k.Account)
-				return fmt.Sprintf("records=%d open=%d bytes=%d oldest=%s %v\n", u.Records, u.Open, u.Bytes, u.Oldest.Format(time.TimeOnly), err)
+				return fmt.Sprintf("records=%d open=%d bytes=%d oldest=%s %v\n", u.Records, u.OpenClaims, u.Bytes, u.OldestOpen.Format(time.TimeOnly), err)
 			case "settlements":
 				list, err := client.Settlements(ctx, k.Account, 9)
 				out := fmt.Sprintf("%v\n", err)
 				for _, s := range list {
-					out += fmt.Sprintf("%s by %s ran=%v answeredLater=%v\n", s.Attempt, s.Operator, s.Ran, s.AnsweredLater)
+					out += fmt.Sprintf("%s by %s ran=%v answeredLater=%v\n", s.Attempt, s.Operator, s.Ran, s.LateResponse)
 				}
 				return out
 			case "wait":
-				by, err := time.ParseDuration(move)
-				clock.offset += by
-				return result(err)
+				step, err := time.ParseDuration(advanceBy)
+				clock.offset += step
+				return formatResult(err)
 			case "restart":
 				f.restart(0)
 				f.restart(1)
@@ -89,7 +89,7 @@
 	})
 }
 
-func result(err error) string {
+func formatResult(err error) string {
 	if err != nil {
 		return fmt.Sprintf("%s: %v\n", refusal.KindOf(err).Answer().Code, err)
 	}
@@ -100,31 +100,31 @@
 // take effect after they were reported as not made or were released.
 func TestSchedules(t *testing.T) {
 	for seed := range int64(100) {
-		schedule(t, seed)
+		runSchedule(t, seed)
 	}
 }
 
-func schedule(t *testing.T, seed int64) {
-	f := newFaulty(t, seed)
-	clock := &movingClock{}
+func runSchedule(t *testing.T, seed int64) {
+	f := newFaultyProposer(t, seed)
+	clock := &manualClock{}
 	ctx := context.Background()
 	runs := make(map[order.Key]int)
-	never := make(map[order.AttemptID]bool) // attempts that may not hold a claim in the end
+	mustNotHold := make(map[order.AttemptID]bool) // attempts that may not hold a claim in the end
 	for n := range 80 {
 		instance := fleet.InstanceID(fmt.Sprint("i", f.random.Intn(3)))
-		c := NewClient(f, clock, instance, WithAttempts(3))
+		c := NewClient(f, clock, instance, WithMaxProposals(3))
 		k := order.Key{Account: "a", Name: fmt.Sprint(f.random.Intn(12))}
 		id := order.AttemptID(fmt.Sprint("attempt-", n))
 		clock.offset += time.Second
 		r, err := c.Claim(ctx, order.Claim{Key: k, Attempt: id, Instance: instance, At: clock.Now()})
 		switch {
 		case refusal.KindOf(err) == refusal.NotReady:
-			never[id] = true
+			mustNotHold[id] = true
 		case err != nil:
-			never[id] = c.Release(ctx, k, id) == nil
-		case r.Mine && f.random.Intn(3) == 0: // nothing was sent
-			never[id] = c.Release(ctx, k, id) == nil
-		case r.Mine:
+			mustNotHold[id] = c.Release(ctx, k, id) == nil
+		case r.HeldByCaller && f.random.Intn(3) == 0: // nothing was sent
+			mustNotHold[id] = c.Release(ctx, k, id) == nil
+		case r.HeldByCaller:
 			runs[k]++
 			_ = c.Finish(ctx, k, id, upstream.Answer{Status: 200})
 		}
@@ -132,7 +132,7 @@
 			t.Fatalf("seed %d: key %s ran %d times", seed, k.Name, runs[k])
 		}
 	}
-	f.settle(1)
+	f.applyDelayed(1)
 	first, _ := f.replicas[0].Snapshot()
 	for _, m := range f.replicas[1:] {
 		if data, _ := m.Snapshot(); string(data) != string(first) {
@@ -143,34 +143,34 @@
 		t.Fatalf("seed %d: a snapshot that lacks its end is restored", seed)
 	}
 	for k, r := range f.replicas[0].records {
-		if never[r.Attempt] {
+		if mustNotHold[r.Attempt] {
 			t.Fatalf("seed %d: %s holds key %s", seed, r.Attempt, k.Name)
 		}
 	}
 }
 
-// loser loses the first command and applies the others.
-type loser struct {
-	*faulty
-	lost bool
+// firstCommandDropper loses the first command and applies the others.
+type firstCommandDropper struct {
+	*faultyProposer
+	dropped bool
 }
 
-func (l *loser) Propose(ctx context.Context, g quorum.GroupID, c []byte) ([]byte, error) {
-	if !l.lost {
-		l.lost = true
+func (l *firstCommandDropper) Propose(ctx context.Context, g quorum.GroupID, c []byte) ([]byte, error) {
+	if !l.dropped {
+		l.dropped = true
 		return nil, refusal.New(refusal.OutcomeUnknown, "leader lost")
 	}
-	return l.faulty.Propose(ctx, g, c)
+	return l.faultyProposer.Propose(ctx, g, c)
 }
 
 // TestFullAfterLostClaim guards against a refusal as not run and not claimed
 // while an earlier command of the claim may still be applied.
 func TestFullAfterLostClaim(t *testing.T) {
-	f := newFaulty(t, 1)
-	f.calm = true
+	f := newFaultyProposer(t, 1)
+	f.noFaults = true
 	claim := order.Claim{Key: order.Key{Account: "a", Name: "k"}, Attempt: "1"}
-	for _, p := range []quorum.Proposer{f, &loser{faulty: f}} {
-		c := NewClient(p, &movingClock{}, "i", WithLimits(Limits{}))
+	for _, p := range []quorum.Proposer{f, &firstCommandDropper{faultyProposer: f}} {
+		c := NewClient(p, &manualClock{}, "i", WithLimits(Limits{}))
 		_, err := c.Claim(context.Background(), claim)
 		want := refusal.LedgerUnreachable
 		if p == f {
@@ -205,7 +205,7 @@
 func BenchmarkClaim(b *testing.B) {
 	m := New()
 	limits := Limits{Retention: time.Hour, MaxRecords: 1 << 30, MaxBytes: 1 << 40, MaxAnswer: 1 << 16}
-	answer, _ := json.Marshal(upstream.Answer{Status: 200, Header: http.Header{"Content-Type": {"application/json"}}, Body: make([]byte, 200)})
+	response, _ := json.Marshal(upstream.Answer{Status: 200, Header: http.Header{"Content-Type": {"application/json"}}, Body: make([]byte, 200)})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -214,7 +214,7 @@
 		b.StopTimer()
 		c := command{Version: version, Kind: claimKind, Key: order.Key{Account: fleet.AccountID(fmt.Sprint(n % 1000)), Name: fmt.Sprint(n)}, Attempt: order.AttemptID(fleet.NewRequestID()), Request: fleet.NewRequestID(), Instance: "i", Digest: make([]byte, 32), At: fakeclock.Start, Limits: limits}
 		claim, _ := json.Marshal(c)
-		c.Kind, c.Answer, c.Digest = finishKind, answer, nil
+		c.Kind, c.Response, c.Digest = finishKind, response, nil
 		finish, _ := json.Marshal(c)
 		n++
 		b.StartTimer()
@@ -234,7 +234,7 @@
 	m := New()
 	for n := range 100_000 {
 		k := order.Key{Account: fleet.AccountID(fmt.Sprint(n % 1000)), Name: fmt.Sprint(n)}
-		m.records[k] = &record{State: order.Done, Attempt: order.AttemptID(fmt.Sprintf("%032x", n)), Digest: make([]byte, 32), Request: "request", Answer: make([]byte, 330)}
+		m.records[k] = &record{State: order.Done, Attempt: order.AttemptID(fmt.Sprintf("%032x", n)), Digest: make([]byte, 32), Request: "request", Response: make([]byte, 330)}
 	}
 	for b.Loop() {
 		data, err := m.Snapshot()
--- a/internal/order/ledger/placement_test.go
+++ b/internal/order/ledger/placement_test.go
@@ -8,10 +8,10 @@
 // The model of the design page: three data centres, 0.25 ms one way between them.
 // The time for a sync and the latency inside a data centre are assumptions.
 const (
-	between = 0.25 // ms
-	within  = 0.05 // ms
-	sync1   = 0.50 // ms
-	sites   = 3
+	interDelay  = 0.25 // ms
+	intraDelay  = 0.05 // ms
+	syncTime    = 0.50 // ms
+	dataCentres = 3
 )
 
 // placement is a set of groups, each with the data centres of its voters. The
@@ -32,53 +32,53 @@
 
 // failure says what fails, by data centre: one that is cut off, or one whose
 // first voter lost its disk. None is -1.
-type failure struct{ cut, disk int }
+type failure struct{ cutOff, diskLost int }
 
-func delay(a, b int) float64 {
+func oneWayDelay(a, b int) float64 {
 	if a == b {
-		return within
+		return intraDelay
 	}
-	return between
+	return interDelay
 }
 
-// served returns the share of the orders that enter in a data centre whose group
+// available returns the share of the orders that enter in a data centre whose group
 // has a reachable majority.
-func (p placement) served(site int, f failure) float64 {
-	good := 0
+func (p placement) available(dataCentre int, f failure) float64 {
+	withMajority := 0
 	for _, voters := range p.groups {
-		reached, lost := 0, f.disk
+		reachable, diskLost := 0, f.diskLost
 		for _, v := range voters {
 			switch {
-			case v == lost:
-				lost = -1
-			case (v == f.cut) == (site == f.cut):
-				reached++
+			case v == diskLost:
+				diskLost = -1
+			case (v == f.cutOff) == (dataCentre == f.cutOff):
+				reachable++
 			}
 		}
-		if reached > len(voters)/2 {
-			good++
+		if reachable > len(voters)/2 {
+			withMajority++
 		}
 	}
-	return float64(good) / float64(len(p.groups))
+	return float64(withMajority) / float64(len(p.groups))
 }
 
 // latency returns the mean time that claim and finish add to an order.
 func (p placement) latency() float64 {
 	sum := 0.0
-	for site := range sites {
+	for dataCentre := range dataCentres {
 		for _, voters := range p.groups {
-			sum += 2 * (2*delay(site, voters[0]) + commit(voters))
+			sum += 2 * (2*oneWayDelay(dataCentre, voters[0]) + commitTime(voters))
 		}
 	}
-	return sum / float64(sites*len(p.groups))
+	return sum / float64(dataCentres*len(p.groups))
 }
 
-// commit returns the time until a majority has synced. The leader syncs while it
+// commitTime returns the time until a majority has synced. The leader syncs while it
 // sends.
-func commit(voters []int) float64 {
-	times := []float64{sync1}
+func commitTime(voters []int) float64 {
+	times := []float64{syncTime}
 	for _, v := range voters[1:] {
-		times = append(times, sync1+2*delay(voters[0], v))
+		times = append(times, syncTime+2*oneWayDelay(voters[0], v))
 	}
 	slices.Sort(times)
 	return times[len(times)/2]
@@ -93,9 +93,9 @@
 				_ = p.latency()
 			}
 			b.ReportMetric(p.latency(), "ms/order")
-			b.ReportMetric(100*p.served(0, failure{0, -1}), "%cutOff")
-			b.ReportMetric(100*p.served(1, failure{0, -1}), "%others")
-			b.ReportMetric(100*p.served(1, failure{-1, 0}), "%diskLost")
+			b.ReportMetric(100*p.available(0, failure{0, -1}), "%cutOff")
+			b.ReportMetric(100*p.available(1, failure{0, -1}), "%others")
+			b.ReportMetric(100*p.available(1, failure{-1, 0}), "%diskLost")
 		})
 	}
 }
--- a/internal/order/ledger/snapshot.go
+++ b/internal/order/ledger/snapshot.go
@@ -20,8 +20,8 @@
 // group of 100,000 records took 0.65 s to encode as JSON, longer than the
 // heartbeats of a leader may stop.
 
-// head is the part of a snapshot besides the records.
-type head struct {
+// snapshotHeader is the part of a snapshot besides the records.
+type snapshotHeader struct {
 	Version     int                          `json:"version"`
 	Time        timeline.Timeline            `json:"time"`
 	Released    map[order.AttemptID]released `json:"released"`
@@ -32,23 +32,23 @@
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	h, err := json.Marshal(head{Version: version, Time: m.time, Released: m.released, Settlements: m.settlements})
+	h, err := json.Marshal(snapshotHeader{Version: version, Time: m.time, Released: m.released, Settlements: m.settlements})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode snapshot of the ledger")
 	}
-	const usualRecord = 512 // bytes
-	data := make([]byte, 0, len(h)+usualRecord*len(m.records))
+	const typicalRecordBytes = 512 // bytes
+	data := make([]byte, 0, len(h)+typicalRecordBytes*len(m.records))
 	data = protowire.AppendBytes(data, h)
-	var one []byte
-	for _, k := range m.keys() {
-		one = appendRecord(one[:0], k, m.records[k])
-		data = protowire.AppendBytes(data, one)
+	var recordData []byte
+	for _, k := range m.sortedKeys() {
+		recordData = appendRecord(recordData[:0], k, m.records[k])
+		data = protowire.AppendBytes(data, recordData)
 	}
 	return data, nil
 }
 
-// keys returns the keys in order.
-func (m *Machine) keys() []order.Key {
+// sortedKeys returns the keys in order.
+func (m *Machine) sortedKeys() []order.Key {
 	keys := make([]order.Key, 0, len(m.records))
 	for k := range m.records {
 		keys = append(keys, k)
@@ -62,8 +62,8 @@
 // Restore replaces the state by a snapshot. It leaves the state as it was when
 // the snapshot is not valid.
 func (m *Machine) Restore(data []byte) error {
-	in := reader{data: data}
-	var h head
+	in := decoder{data: data}
+	var h snapshotHeader
 	if err := json.Unmarshal(in.bytes(), &h); err != nil {
 		return errors.Wrap(err, "decode snapshot of the ledger")
 	}
@@ -72,17 +72,17 @@
 	}
 	next := New()
 	for len(in.data) > 0 {
-		one := reader{data: in.bytes()}
-		k, r := one.record()
-		if in.broken || one.broken || len(one.data) > 0 {
+		recordIn := decoder{data: in.bytes()}
+		k, r := recordIn.record()
+		if in.invalid || recordIn.invalid || len(recordIn.data) > 0 {
 			return errors.Errorf("record %d in the snapshot of the ledger is not valid", len(next.records))
 		}
 		next.addRecord(k, r)
 	}
-	for a, b := range h.Released {
-		next.released[a] = b
-		next.count(b.Account, 1, 0)
-		next.expiries = append(next.expiries, expiry{at: b.Until, attempt: a})
+	for attempt, r := range h.Released {
+		next.released[attempt] = r
+		next.addTotals(r.Account, 1, 0)
+		next.expiries = append(next.expiries, expiry{at: r.Until, attempt: attempt})
 	}
 	heap.Init(&next.expiries)
 	m.mu.Lock()
@@ -95,7 +95,7 @@
 
 func (m *Machine) addRecord(k order.Key, r *record) {
 	m.records[k] = r
-	m.count(k.Account, 1, r.size())
+	m.addTotals(k.Account, 1, r.size())
 	if r.State == order.Done {
 		m.expiries = append(m.expiries, expiry{at: r.Expires, key: k})
 	}
@@ -111,7 +111,7 @@
 	b = protowire.AppendString(b, string(r.Instance))
 	b = appendTime(b, r.At)
 	b = protowire.AppendVarint(b, protowire.EncodeZigZag(int64(r.Reserved)))
-	b = protowire.AppendBytes(b, r.Answer)
+	b = protowire.AppendBytes(b, r.Response)
 	return appendTime(b, r.Expires)
 }
 
@@ -122,49 +122,49 @@
 	return protowire.AppendVarint(b, uint64(t.Nanosecond()))
 }
 
-// reader takes values from the front of data. After a value that is not valid it
+// decoder takes values from the front of data. After a value that is not valid it
 // is broken and returns zero values.
-type reader struct {
-	data   []byte
-	broken bool
+type decoder struct {
+	data    []byte
+	invalid bool
 }
 
-func (r *reader) bytes() []byte {
-	v, n := protowire.ConsumeBytes(r.data)
-	r.skip(n)
+func (d *decoder) bytes() []byte {
+	v, n := protowire.ConsumeBytes(d.data)
+	d.advance(n)
 	return slices.Clone(v)
 }
 
-func (r *reader) varint() uint64 {
-	v, n := protowire.ConsumeVarint(r.data)
-	r.skip(n)
+func (d *decoder) varint() uint64 {
+	v, n := protowire.ConsumeVarint(d.data)
+	d.advance(n)
 	return v
 }
 
-func (r *reader) skip(n int) {
+func (d *decoder) advance(n int) {
 	if n < 0 {
-		r.broken, r.data = true, nil
+		d.invalid, d.data = true, nil
 		return
 	}
-	r.data = r.data[n:]
+	d.data = d.data[n:]
 }
 
-func (r *reader) time() time.Time {
-	seconds := protowire.DecodeZigZag(r.varint())
-	return time.Unix(seconds+time.Time{}.Unix(), int64(r.varint())).UTC()
+func (d *decoder) time() time.Time {
+	seconds := protowire.DecodeZigZag(d.varint())
+	return time.Unix(seconds+time.Time{}.Unix(), int64(d.varint())).UTC()
 }
 
-func (r *reader) record() (order.Key, *record) {
-	k := order.Key{Account: fleet.AccountID(r.bytes()), Name: string(r.bytes())}
+func (d *decoder) record() (order.Key, *record) {
+	k := order.Key{Account: fleet.AccountID(d.bytes()), Name: string(d.bytes())}
 	return k, &record{
-		State:    order.State(r.varint()),
-		Attempt:  order.AttemptID(r.bytes()),
-		Digest:   r.bytes(),
-		Request:  fleet.RequestID(r.bytes()),
-		Instance: fleet.InstanceID(r.bytes()),
-		At:       r.time(),
-		Reserved: int(protowire.DecodeZigZag(r.varint())),
-		Answer:   r.bytes(),
-		Expires:  r.time(),
+		State:    order.State(d.varint()),
+		Attempt:  order.AttemptID(d.bytes()),
+		Digest:   d.bytes(),
+		Request:  fleet.RequestID(d.bytes()),
+		Instance: fleet.InstanceID(d.bytes()),
+		At:       d.time(),
+		Reserved: int(protowire.DecodeZigZag(d.varint())),
+		Response: d.bytes(),
+		Expires:  d.time(),
 	}
 }
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -52,13 +52,13 @@
 
 // Record is what the ledger holds for a key.
 type Record struct {
-	State  State            `json:"state"`
-	Claim  Claim            `json:"claim"`
-	Answer *upstream.Answer `json:"answer,omitempty"`
-	// Mine tells that the claim of the caller's attempt holds.
-	Mine bool `json:"mine"`
-	// Reused tells that the key was used before with another digest.
-	Reused bool `json:"reused"`
+	State    State            `json:"state"`
+	Claim    Claim            `json:"claim"`
+	Response *upstream.Answer `json:"answer,omitempty"`
+	// HeldByCaller tells that the claim of the caller's attempt holds.
+	HeldByCaller bool `json:"mine"`
+	// DigestMismatch tells that the key was used before with another digest.
+	DigestMismatch bool `json:"reused"`
 }
 
 // Ledger keeps claims and answers. Its methods are safe to repeat with the same
@@ -69,7 +69,7 @@
 	// returns the record.
 	Claim(ctx context.Context, c Claim) (Record, error)
 	// Finish records the answer of an attempt.
-	Finish(ctx context.Context, k Key, a AttemptID, answer upstream.Answer) error
+	Finish(ctx context.Context, k Key, a AttemptID, response upstream.Answer) error
 	// Release gives up a claim whose attempt has certainly sent nothing.
 	Release(ctx context.Context, k Key, a AttemptID) error
 }
