--- a/internal/order/ledger/client.go
+++ b/internal/order/ledger/client.go
@@ -14,15 +14,18 @@
 )
 
 const (
-	// DefaultMaxProposals is the number of times that a command is handed in. With
-	// the pauses between them it covers the election of a leader: about 4 s.
+	// DefaultMaxProposals is the number of times that a command is proposed.
+	// Together with the backoff between proposals this covers a leader election:
+	// about 4 s.
 	DefaultMaxProposals = 12
 
+	// The backoff between two proposals doubles from minBackoff to maxBackoff.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
 
-// Client uses the ledger over a quorum.Proposer. It is safe for concurrent use.
+// Client accesses the ledger through a quorum.Proposer. It is safe for concurrent
+// use.
 type Client struct {
 	proposer     quorum.Proposer
 	clock        fleet.Clock
@@ -34,11 +37,11 @@
 
 var _ order.Ledger = (*Client)(nil)
 
-// Option changes a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithShards sets the number of groups, at least 1. It must be the same on all
-// instances and must not change while keys are kept.
+// WithShards sets the number of groups, at least 1. The default is 1. The number
+// must be the same on all instances and must not change while any keys are stored.
 func WithShards(n int) Option {
 	return func(c *Client) { c.shards = max(n, 1) }
 }
@@ -48,12 +51,12 @@
 	return func(c *Client) { c.limits = l }
 }
 
-// WithMaxProposals replaces DefaultAttempts.
+// WithMaxProposals replaces DefaultMaxProposals.
 func WithMaxProposals(n int) Option {
 	return func(c *Client) { c.maxProposals = max(n, 1) }
 }
 
-// NewClient returns a Client of an instance.
+// NewClient returns a Client for an instance.
 func NewClient(proposer quorum.Proposer, clock fleet.Clock, instance fleet.InstanceID, options ...Option) *Client {
 	c := &Client{proposer: proposer, clock: clock, instance: instance, shards: 1, limits: DefaultLimits, maxProposals: DefaultMaxProposals}
 	for _, o := range options {
@@ -62,10 +65,11 @@
 	return c
 }
 
-// Claim claims the key of a. Besides refusal.LedgerUnreachable, errors have the
-// kinds refusal.Overloaded, when a bound of the ledger is reached and the key has
-// no claim, refusal.NotReady, when the claim was not made and never will be, and
-// refusal.BadRequest.
+// Claim implements order.Ledger. Besides refusal.LedgerUnreachable, errors have
+// one of these kinds: refusal.Overloaded when the ledger rejected the claim, for
+// example because a limit is reached, and the key has no claim; refusal.NotReady
+// when the claim was not made and never will be; refusal.BadRequest when the key
+// is not valid.
 func (c *Client) Claim(ctx context.Context, claim order.Claim) (order.Record, error) {
 	if claim.Key.Name == "" || len(claim.Key.Name) > MaxKeyBytes {
 		return order.Record{}, refusal.New(refusal.BadRequest, "key must have 1 to %d bytes", MaxKeyBytes)
@@ -94,9 +98,9 @@
 	return decodeRecord(claim.Key, p)
 }
 
-// Finish records an answer. The error has kind refusal.Conflict when the attempt
-// does not hold the claim. An answer above Limits.MaxAnswer is not kept, only
-// that the order ran.
+// Finish implements order.Ledger. The error has kind refusal.Conflict when the
+// attempt does not hold the claim. Of a response larger than
+// Limits.MaxResponseBytes only the fact that the order ran is kept.
 func (c *Client) Finish(ctx context.Context, k order.Key, attempt order.AttemptID, response upstream.Answer) error {
 	data, err := json.Marshal(response)
 	if err != nil {
@@ -108,14 +112,14 @@
 	return c.submit(ctx, command{Kind: finishKind, Key: k, Attempt: attempt, Response: data})
 }
 
-// Release gives up a claim. The error has kind refusal.Conflict when the order
-// has a recorded answer.
+// Release implements order.Ledger. The error has kind refusal.Conflict when the
+// outcome of the order is already recorded.
 func (c *Client) Release(ctx context.Context, k order.Key, attempt order.AttemptID) error {
 	return c.submit(ctx, command{Kind: releaseKind, Key: k, Attempt: attempt})
 }
 
-// Settle ends the claim that s names by the statement of an operator. When the
-// order ran, answer is what callers get from then on. The error has kind
+// Settle ends the claim that s identifies, with the outcome that an operator
+// states. If the order ran, callers get response from then on. The error has kind
 // refusal.Conflict when the attempt does not hold an open claim.
 func (c *Client) Settle(ctx context.Context, s Settlement, response upstream.Answer) error {
 	if s.Operator == "" {
@@ -136,19 +140,20 @@
 	})
 }
 
-// OpenClaims returns the oldest claims of an account that have no answer.
+// OpenClaims returns at most limit claims of an account that have no response, the
+// oldest first.
 func (c *Client) OpenClaims(ctx context.Context, account fleet.AccountID, limit int) ([]Open, error) {
 	p, err := c.query(ctx, command{Kind: openClaimsKind, Key: order.Key{Account: account}, Limit: limit})
 	return p.OpenClaims, err
 }
 
-// Settlements returns the newest settlements of an account, the newest first.
+// Settlements returns at most limit settlements of an account, the newest first.
 func (c *Client) Settlements(ctx context.Context, account fleet.AccountID, limit int) ([]Settlement, error) {
 	p, err := c.query(ctx, command{Kind: settlementsKind, Key: order.Key{Account: account}, Limit: limit})
 	return p.Settlements, err
 }
 
-// Usage returns how near the group of an account is to its limits.
+// Usage returns the usage of the group that holds an account.
 func (c *Client) Usage(ctx context.Context, account fleet.AccountID) (Usage, error) {
 	p, err := c.query(ctx, command{Kind: usageKind, Key: order.Key{Account: account}})
 	if err != nil || p.Usage == nil {
@@ -157,6 +162,7 @@
 	return *p.Usage, nil
 }
 
+// submit proposes a command other than a claim.
 func (c *Client) submit(ctx context.Context, cmd command) error {
 	cmd.Instance, cmd.At = c.instance, c.clock.Now()
 	p, _, err := c.propose(ctx, cmd)
@@ -172,9 +178,9 @@
 	return nil
 }
 
-// propose hands in a command up to a few times. All commands are safe to repeat.
-// The second result tells that an earlier copy of the command may still be
-// applied.
+// propose proposes a command up to maxProposals times. All commands are
+// idempotent. The second result reports whether an earlier proposal of the command
+// may still be applied.
 func (c *Client) propose(ctx context.Context, cmd command) (reply, bool, error) {
 	cmd.Version, cmd.Limits, cmd.At = version, c.limits, cmd.At.UTC()
 	data, err := json.Marshal(cmd)
@@ -202,7 +208,8 @@
 	return reply{}, mayBeApplied, refusal.Because(kind, lastErr, "order ledger did not answer")
 }
 
-// waitRetry waits before attempt n and reports whether ctx goes on.
+// waitRetry waits before proposal n, counted from 0. It returns false if ctx ends
+// first.
 func (c *Client) waitRetry(ctx context.Context, n int) bool {
 	backoff := maxBackoff
 	if doubled := minBackoff << (n - 1); n < 8 && doubled < backoff {
@@ -229,8 +236,9 @@
 	return decodeReply(replyData)
 }
 
-// decodeReply returns a reply. A reply that can't be read tells nothing about
-// the command.
+// decodeReply decodes a reply. Its errors have kind refusal.LedgerUnreachable,
+// because a reply that can't be decoded says nothing about whether the command
+// took effect.
 func decodeReply(data []byte) (reply, error) {
 	var p reply
 	if err := json.Unmarshal(data, &p); err != nil {
@@ -242,6 +250,7 @@
 	return p, nil
 }
 
+// decodeRecord converts the reply to a claim to the record of key k.
 func decodeRecord(k order.Key, p reply) (order.Record, error) {
 	r := order.Record{State: p.State, HeldByCaller: p.HeldByCaller, DigestMismatch: p.DigestMismatch}
 	if p.Record == nil {
--- a/internal/order/ledger/codec.go
+++ b/internal/order/ledger/codec.go
@@ -13,9 +13,10 @@
 	"github.com/pkg/errors"
 )
 
-// version is the version of commands, queries, replies and snapshots.
+// version is the format version of commands, queries, replies and snapshots.
 const version = 1
 
+// kind selects the operation of a command or query.
 type kind string
 
 const (
@@ -28,7 +29,7 @@
 	usageKind       kind = "usage"
 )
 
-// command is a command or a query.
+// command is a command or a query in JSON.
 type command struct {
 	Version  int              `json:"version"`
 	Kind     kind             `json:"kind"`
@@ -39,17 +40,18 @@
 	Instance fleet.InstanceID `json:"instance,omitempty"`
 	At       time.Time        `json:"at"`
 	Limits   Limits           `json:"limits"`
-	// Response is an encoded upstream.Answer.
+	// Response is an upstream.Response in JSON. It is empty when the response is
+	// too large to be kept.
 	Response []byte `json:"answer,omitempty"`
-	// Operator, Note and Ran are for settle.
+	// Operator, Note and Ran are only set for settleKind.
 	Operator string `json:"operator,omitempty"`
 	Note     string `json:"note,omitempty"`
 	Ran      bool   `json:"ran,omitempty"`
-	// Limit is for queries.
+	// Limit is the maximum number of entries in the reply to a query.
 	Limit int `json:"limit,omitempty"`
 }
 
-// reply answers a command or a query.
+// reply is the reply to a command or a query, in JSON.
 type reply struct {
 	Version        int         `json:"version"`
 	Error          string      `json:"error,omitempty"`
@@ -57,9 +59,10 @@
 	Record         *record     `json:"record,omitempty"`
 	HeldByCaller   bool        `json:"mine,omitempty"`
 	DigestMismatch bool        `json:"reused,omitempty"`
-	// RejectReason names the bound that kept a claim from being made.
+	// RejectReason says why a command was rejected, for example which limit a
+	// claim would exceed.
 	RejectReason string `json:"full,omitempty"`
-	// NotHeld tells that the attempt does not hold the claim.
+	// NotHeld reports that the attempt does not hold the claim.
 	NotHeld     bool         `json:"lost,omitempty"`
 	Settlement  *Settlement  `json:"settled,omitempty"`
 	OpenClaims  []Open       `json:"open,omitempty"`
@@ -67,34 +70,35 @@
 	Usage       *Usage       `json:"usage,omitempty"`
 }
 
-// Usage tells how near a group is to its limits.
+// Usage shows how much of its limits a group uses.
 type Usage struct {
-	// Records counts keys and released attempts, Open the keys without an
-	// answer.
-	Records    int `json:"records"`
+	// Records is the number of keys and released attempts.
+	Records int `json:"records"`
+	// OpenClaims is the number of claims without a response.
 	OpenClaims int `json:"open"`
-	// Bytes counts recorded answers and what open claims reserve.
+	// Bytes is the size of the recorded responses plus what open claims reserve.
 	Bytes int `json:"bytes"`
-	// OldestOpen is the time of the oldest claim without an answer.
+	// OldestOpen is the time of the oldest claim without a response, or zero if
+	// there is none.
 	OldestOpen time.Time `json:"oldest"`
 }
 
-// Settlement is the statement of an operator about an order whose outcome was
-// unknown.
+// Settlement is an operator's statement about an order whose outcome was unknown.
 type Settlement struct {
 	Key      order.Key       `json:"key"`
 	Attempt  order.AttemptID `json:"attempt"`
 	Operator string          `json:"operator"`
 	Note     string          `json:"note,omitempty"`
-	// Ran tells whether the order ran. The key of an order that did not run is
-	// free again.
+	// Ran reports whether the order ran. The key of an order that did not run
+	// becomes free again.
 	Ran bool      `json:"ran"`
 	At  time.Time `json:"at"`
-	// LateResponse tells that the answer of the attempt arrived afterwards.
+	// LateResponse reports whether a response of the attempt arrived after the
+	// settlement.
 	LateResponse bool `json:"answeredLater,omitempty"`
 }
 
-// Open is a claim without an answer.
+// OpenClaim is a claim without a response.
 type Open struct {
 	Key      order.Key        `json:"key"`
 	Attempt  order.AttemptID  `json:"attempt"`
@@ -105,7 +109,7 @@
 
 var _ quorum.Reader = (*Machine)(nil)
 
-// Apply runs one command.
+// Apply implements quorum.StateMachine.
 func (m *Machine) Apply(_ quorum.Index, data []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,7 +130,7 @@
 	return encodeReply(reply{Error: "unknown kind of command"})
 }
 
-// Query answers a query.
+// Query implements quorum.QueryableStateMachine.
 func (m *Machine) Query(data []byte) []byte {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -145,7 +149,8 @@
 	return encodeReply(reply{Error: "unknown kind of query"})
 }
 
-// openClaims lists the oldest claims without an answer of an account.
+// openClaims returns the claims of an account without a response, the oldest
+// first.
 func (m *Machine) openClaims(c command) []Open {
 	var list []Open
 	for k, r := range m.records {
@@ -173,7 +178,7 @@
 	return u
 }
 
-// accountSettlements lists the newest settlements of an account, the newest first.
+// accountSettlements returns the settlements of an account, the newest first.
 func (m *Machine) accountSettlements(c command) []Settlement {
 	var list []Settlement
 	for i := len(m.settlements) - 1; i >= 0 && len(list) < min(c.Limit, MaxPageEntries); i-- {
@@ -195,7 +200,8 @@
 	return c, nil
 }
 
-// encodeReply returns p in JSON. A reply always encodes.
+// encodeReply returns p in JSON. It panics on an encoding error, which can't occur
+// for a reply.
 func encodeReply(p reply) []byte {
 	p.Version = version
 	data, err := json.Marshal(p)
--- a/internal/order/ledger/ledger.go
+++ b/internal/order/ledger/ledger.go
@@ -1,22 +1,22 @@
-// Package ledger is the replicated state machine of order claims and their
-// recorded answers, and the client that implements order.Ledger over it.
+// Package ledger contains the replicated state machine that stores order claims
+// and recorded responses, and a client that implements order.Ledger on top of it.
 //
-// Claims are spread over groups by account: GroupOf names the group of an
+// Claims are sharded over groups by account: GroupOf returns the group of an
 // account, and each group has its own Machine on every voter.
 //
 //	client := ledger.NewClient(proposer, clock, instance, ledger.WithShards(8))
 //	record, err := client.Claim(ctx, claim)
 //
-// A recorded answer is kept for Limits.Retention. A claim without an answer is
+// A recorded response is kept for Limits.Retention. A claim without a response is
 // kept until it is finished, released or settled by an operator, because its
 // order may have run. When Limits.MaxRecords or Limits.MaxBytes is reached, new
-// claims are refused; no key is forgotten early. An account can use half of
-// either bound.
+// claims are refused; no key is dropped early. One account can use at most half
+// of either limit.
 //
-// The limits are part of each command, so that replicas with different settings
-// stay equal. Time comes from the commands as well: it is the second newest time
-// of any instance, so that one instance whose clock runs ahead does not make the
-// ledger forget keys early.
+// Each command carries the limits, so that replicas with different settings do
+// not diverge. Time is taken from the commands as well: it is the second newest
+// time reported by any instance, so that one instance whose clock runs ahead does
+// not make keys expire early.
 package ledger
 
 import (
@@ -33,21 +33,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits bound one group.
+// Limits are the size and retention limits of one group.
 type Limits struct {
-	// Retention is the time for which an answer is kept after it was recorded.
-	// It is at least ClaimAge.
+	// Retention is the time for which a response is kept after it was recorded.
+	// Values below MaxClaimAge act as MaxClaimAge.
 	Retention time.Duration `json:"retention"`
-	// MaxRecords bounds the keys and released attempts.
+	// MaxRecords is the maximum number of keys and released attempts together.
 	MaxRecords int `json:"maxRecords"`
-	// MaxBytes bounds the recorded answers. Each claim without an answer counts
-	// MaxAnswer bytes.
+	// MaxBytes is the maximum total size of the recorded responses in bytes. Each
+	// claim without a response reserves MaxResponseBytes.
 	MaxBytes int `json:"maxBytes"`
-	// MaxAnswer is the largest answer in bytes that is kept for replay.
+	// MaxResponseBytes is the maximum size of an encoded response that is kept
+	// for replay. Of a larger one only the fact that the order ran is kept.
 	MaxAnswer int `json:"maxAnswer"`
 }
 
-// DefaultLimits hold when a Client has no others.
+// DefaultLimits are the limits of a Client without WithLimits.
 var DefaultLimits = Limits{
 	Retention:  24 * time.Hour,
 	MaxRecords: 200_000,
@@ -56,26 +57,29 @@
 }
 
 const (
-	// MaxKeyBytes is the longest key name in bytes.
+	// MaxKeyBytes is the maximum length of a key name.
 	MaxKeyBytes = 256
-	// MaxSettlements is the number of settlements that are kept, the newest.
+	// MaxSettlements is the number of settlements that a group keeps. The oldest
+	// are dropped first.
 	MaxSettlements = 10_000
-	// MaxPageEntries is the largest number of entries of one answer to a query.
+	// MaxPageEntries is the maximum number of entries in a query reply.
 	MaxPageEntries = 500
 
-	// MaxClaimAge is the age from which on a claim is refused. A released attempt
-	// is remembered as long, so that its claim can't take effect afterwards.
+	// MaxClaimAge is the age at which a claim command is refused. A released
+	// attempt is remembered for the same time, so that a delayed claim command of
+	// that attempt can't take effect after the release.
 	MaxClaimAge = 10 * time.Minute
 
-	// MinSettleAge is the age of a claim from which on an operator may settle it. It
-	// is longer than the time after which an instance no longer sends the order
-	// of a claim, so that a thawed instance can't run a settled order.
+	// MinSettleAge is the age that a claim must reach before an operator may
+	// settle it. It is longer than desk.MaxSendAge, after which an instance no
+	// longer sends the order of a claim, so that an instance that was suspended
+	// and resumes can't run a settled order.
 	MinSettleAge = 5 * time.Minute
 
-	accountDivisor = 2 // an account may use one part in accountShare
+	accountDivisor = 2 // one account may use 1/accountDivisor of each limit
 )
 
-// GroupOf returns the group of an account.
+// GroupOf returns the group of an account when there are shards groups.
 func GroupOf(a fleet.AccountID, shards int) quorum.GroupID {
 	return quorum.GroupID(fmt.Sprintf("orders-%d", xxhash.Sum64String(string(a))%uint64(shards)))
 }
@@ -85,7 +89,7 @@
 	mu      sync.RWMutex
 	time    timeline.Timeline
 	records map[order.Key]*record
-	// released holds the attempts that may not claim any more.
+	// released holds the attempts whose claim commands no longer take effect.
 	released    map[order.AttemptID]released
 	accounts    map[fleet.AccountID]totals
 	total       totals
@@ -93,7 +97,7 @@
 	settlements []Settlement
 }
 
-// record is what is kept of a key.
+// record is the stored state of a key.
 type record struct {
 	State    order.State      `json:"state"`
 	Attempt  order.AttemptID  `json:"attempt"`
@@ -101,23 +105,26 @@
 	Request  fleet.RequestID  `json:"request"`
 	Instance fleet.InstanceID `json:"instance"`
 	At       time.Time        `json:"at"`
-	// Reserved is the size that the claim counts until it has an answer.
+	// Reserved is the size in bytes that the claim counts towards
+	// Limits.MaxBytes until it has a response.
 	Reserved int `json:"reserved,omitempty"`
-	// Response is an encoded upstream.Answer.
+	// Response is an upstream.Response in JSON. It is empty when the response
+	// was too large to be kept.
 	Response []byte `json:"answer,omitempty"`
-	// Expires is set when the state is order.Done.
+	// Expires is the time at which the record is dropped. It is set when State
+	// is order.Done.
 	Expires time.Time `json:"expires"`
 }
 
 func (r *record) size() int { return r.Reserved + len(r.Response) }
 
-// released is an attempt that was released.
+// released marks an attempt as released until a given time.
 type released struct {
 	Account fleet.AccountID `json:"account"`
 	Until   time.Time       `json:"until"`
 }
 
-// totals counts records and bytes.
+// totals holds the number of records and the bytes that they use or reserve.
 type totals struct {
 	records, bytes int
 }
@@ -160,8 +167,8 @@
 	return m.recordReply(r, c)
 }
 
-// recordReply returns a record as the attempt of c sees it. The answer of another
-// content is not shown.
+// recordReply returns the reply to claim command c when the key has record r. If
+// the digests differ, it leaves out the response.
 func (m *Machine) recordReply(r *record, c command) reply {
 	p := reply{State: r.State, Record: r, HeldByCaller: r.Attempt == c.Attempt}
 	if !slices.Equal(r.Digest, c.Digest) {
@@ -172,7 +179,8 @@
 	return p
 }
 
-// reachedLimit tells which bound a new claim would exceed.
+// reachedLimit returns a text that names the limit that a new claim would exceed,
+// or "" if there is none.
 func (m *Machine) reachedLimit(c command) string {
 	limits, reserved := c.Limits, c.Limits.MaxAnswer
 	account := m.accounts[c.Key.Account]
@@ -204,7 +212,8 @@
 	return reply{State: r.State}
 }
 
-// complete records the answer of a claim.
+// complete marks a claim as done and records its response, unless that is larger
+// than the reserved size.
 func (m *Machine) complete(c command, r *record, response []byte) {
 	oldSize := r.size()
 	if len(response) > r.Reserved {
@@ -216,8 +225,8 @@
 	heap.Push(&m.expiries, expiry{at: r.Expires, key: c.Key})
 }
 
-// release gives up a claim. The attempt is remembered also when it has no claim,
-// because the command of the claim may still be under way.
+// release removes a claim. The attempt is marked as released even if it has no
+// claim, because its claim command may still arrive.
 func (m *Machine) release(c command) reply {
 	m.advanceTime(c)
 	r, ok := m.records[c.Key]
@@ -233,7 +242,7 @@
 	return reply{State: order.Free}
 }
 
-// markReleased keeps an attempt from claiming again.
+// markReleased prevents an attempt from claiming for MaxClaimAge.
 func (m *Machine) markReleased(c command) {
 	if _, known := m.released[c.Attempt]; !known {
 		m.addTotals(c.Key.Account, 1, 0)
@@ -271,7 +280,8 @@
 	return reply{Settlement: &s}
 }
 
-// markLateResponse notes that an answer arrived after its claim was settled.
+// markLateResponse marks the settlement of an attempt, if there is one, whose
+// response arrived after the claim was settled.
 func (m *Machine) markLateResponse(c command) {
 	for i := range m.settlements {
 		if s := &m.settlements[i]; s.Attempt == c.Attempt && s.Key == c.Key {
@@ -298,7 +308,7 @@
 	m.total.bytes += bytes
 }
 
-// advanceTime takes over the time of a command and forgets what has expired.
+// advanceTime observes the time of a command and drops expired entries.
 func (m *Machine) advanceTime(c command) {
 	m.time.Observe(c.Instance, c.At)
 	now := m.time.Now()
@@ -308,7 +318,8 @@
 	}
 }
 
-// expire drops what e stands for, unless it was recorded again since.
+// expire drops the key or released attempt of e, unless its expiry time has
+// changed since e was added.
 func (m *Machine) expire(e expiry) {
 	if e.attempt != "" {
 		if r, ok := m.released[e.attempt]; ok && r.Until.Equal(e.at) {
@@ -323,23 +334,25 @@
 	}
 }
 
-// expiry is the time at which a key or a released attempt is forgotten.
+// expiry is the time at which a key or a released attempt is dropped. attempt is
+// empty for a key.
 type expiry struct {
 	at      time.Time
 	key     order.Key
 	attempt order.AttemptID
 }
 
+// expiryHeap is a min-heap ordered by time.
 type expiryHeap []expiry
 
 func (e expiryHeap) Len() int           { return len(e) }
 func (e expiryHeap) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
 func (e expiryHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (e *expiryHeap) Push(x any) { *e = append(*e, x.(expiry)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (e *expiryHeap) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
--- a/internal/order/ledger/snapshot.go
+++ b/internal/order/ledger/snapshot.go
@@ -15,12 +15,12 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// A snapshot is a head in JSON and the records ordered by key, each part with its
-// length. Records are in the wire format of protobuf without field numbers: a
-// group of 100,000 records took 0.65 s to encode as JSON, longer than the
-// heartbeats of a leader may stop.
+// A snapshot consists of a header in JSON and the records sorted by key. Each part
+// is prefixed with its length. Records are in the protobuf wire format without
+// field numbers instead of JSON: encoding a group of 100,000 records as JSON took
+// 0.65 s, longer than a leader may go without sending heartbeats.
 
-// snapshotHeader is the part of a snapshot besides the records.
+// snapshotHeader holds all state except the records.
 type snapshotHeader struct {
 	Version     int                          `json:"version"`
 	Time        timeline.Timeline            `json:"time"`
@@ -28,15 +28,15 @@
 	Settlements []Settlement                 `json:"settlements"`
 }
 
-// Snapshot returns the whole state.
+// Snapshot implements quorum.StateMachine.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	h, err := json.Marshal(snapshotHeader{Version: version, Time: m.time, Released: m.released, Settlements: m.settlements})
 	if err != nil {
-		return nil, errors.Wrap(err, "encode snapshot of the ledger")
+		return nil, errors.Wrap(err, "encode ledger snapshot")
 	}
-	const typicalRecordBytes = 512 // bytes
+	const typicalRecordBytes = 512
 	data := make([]byte, 0, len(h)+typicalRecordBytes*len(m.records))
 	data = protowire.AppendBytes(data, h)
 	var recordData []byte
@@ -47,7 +47,8 @@
 	return data, nil
 }
 
-// sortedKeys returns the keys in order.
+// sortedKeys returns the keys sorted by account and name, so that the snapshots of
+// equal states are equal.
 func (m *Machine) sortedKeys() []order.Key {
 	keys := make([]order.Key, 0, len(m.records))
 	for k := range m.records {
@@ -59,23 +60,23 @@
 	return keys
 }
 
-// Restore replaces the state by a snapshot. It leaves the state as it was when
-// the snapshot is not valid.
+// Restore implements quorum.StateMachine. If the snapshot is not valid, it leaves
+// the state unchanged.
 func (m *Machine) Restore(data []byte) error {
 	in := decoder{data: data}
 	var h snapshotHeader
 	if err := json.Unmarshal(in.bytes(), &h); err != nil {
-		return errors.Wrap(err, "decode snapshot of the ledger")
+		return errors.Wrap(err, "decode ledger snapshot")
 	}
 	if h.Version != version {
-		return errors.Errorf("snapshot version %d of the ledger is not supported", h.Version)
+		return errors.Errorf("ledger snapshot version %d is not supported", h.Version)
 	}
 	next := New()
 	for len(in.data) > 0 {
 		recordIn := decoder{data: in.bytes()}
 		k, r := recordIn.record()
 		if in.invalid || recordIn.invalid || len(recordIn.data) > 0 {
-			return errors.Errorf("record %d in the snapshot of the ledger is not valid", len(next.records))
+			return errors.Errorf("record %d of the ledger snapshot is not valid", len(next.records))
 		}
 		next.addRecord(k, r)
 	}
@@ -93,6 +94,8 @@
 	return nil
 }
 
+// addRecord adds a record of a snapshot. The caller initializes the heap
+// afterwards.
 func (m *Machine) addRecord(k order.Key, r *record) {
 	m.records[k] = r
 	m.addTotals(k.Account, 1, r.size())
@@ -115,15 +118,15 @@
 	return appendTime(b, r.Expires)
 }
 
-// appendTime writes the seconds since the year 1 and the nanoseconds, so that the
-// zero time stays zero.
+// appendTime appends t as seconds since year 1 and nanoseconds, so that the zero
+// time is restored as the zero time.
 func appendTime(b []byte, t time.Time) []byte {
 	b = protowire.AppendVarint(b, protowire.EncodeZigZag(t.Unix()-time.Time{}.Unix()))
 	return protowire.AppendVarint(b, uint64(t.Nanosecond()))
 }
 
-// decoder takes values from the front of data. After a value that is not valid it
-// is broken and returns zero values.
+// decoder consumes values from the front of data. After a malformed value, invalid
+// is set and all further values are zero.
 type decoder struct {
 	data    []byte
 	invalid bool
