--- a/internal/order/desk/desk.go
+++ b/internal/order/desk/desk.go
@@ -1,20 +1,20 @@
-// Package desk runs orders, the calls that may not be repeated.
+// Package desk executes orders, which are at-most-once calls to upstreams.
 //
-// A Desk claims the key of an order in the ledger, sends the call once, records
-// the answer and replays it to every later request with the key:
+// An Executor claims the key of an order in the ledger, sends the call once,
+// records the response and replays it to every later request with the same key:
 //
-//	answer, err := d.Run(ctx, desk.Order{Key: key, Request: id, Call: call, Pick: pick})
+//	response, err := e.Run(ctx, desk.Order{Key: key, Request: id, Call: call, Pick: pick})
 //
 // Run returns an error whose kind says "not run" only when no attempt with the
 // key has run: the ledger confirmed that the key has no other claim, and this
-// attempt sent nothing. Code that refuses an order before it reaches the desk
+// attempt sent nothing. Code that refuses an order before it reaches the Executor
 // knows nothing about earlier attempts and passes its error through Unconfirmed.
 //
-// A claim is given up when its attempt sent nothing, or when the answer has a
+// A claim is released when its attempt sent nothing, or when the response has a
 // status that HTTP defines as not processed: 421 Misdirected Request (RFC 9110,
-// 15.5.20) and 425 Too Early (RFC 8470, 5.2). Every other answer, errors of the
-// service included, is the answer of the order. Without an answer the outcome
-// is unknown and the claim stays until an operator settles it.
+// 15.5.20) and 425 Too Early (RFC 8470, 5.2). Every other response, including
+// errors of the service, is the response of the order. Without a response the
+// outcome is unknown and the claim stays until an operator settles it.
 package desk
 
 import (
@@ -33,48 +33,52 @@
 )
 
 const (
-	// MaxSendAge is the age of a claim up to which its order is sent. It is
-	// shorter than ledger.SettleAge.
+	// MaxSendAge is the maximum age of a claim at which its order is still sent.
+	// It is shorter than ledger.MinSettleAge.
 	MaxSendAge = 30 * time.Second
-	// DefaultTimeout bounds a call that has no timeout of its own.
+	// DefaultTimeout limits a call to an upstream when Order.Timeout is not set.
 	DefaultTimeout = 30 * time.Second
-	// MaxInFlight bounds the orders in progress and the calls to the ledger that
-	// are repeated until they succeed.
+	// MaxInFlight is the maximum number of orders in progress plus releases that
+	// are still being retried.
 	MaxInFlight = 4096
 
-	claimTimeout  = 5 * time.Second
+	claimTimeout = 5 * time.Second
+	// recordTimeout limits one call that records a response or releases a claim.
 	recordTimeout = 5 * time.Second
-	// The pause between two calls to a ledger that can't be reached doubles from
-	// firstPause to longestPause.
+	// The backoff between two calls to an unreachable ledger doubles from
+	// minBackoff to maxBackoff.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 8 * time.Second
-	maxPicks   = 3
-	// outcomeMargin is added to the timeout of a call before another instance takes
-	// a claim for one that lost its attempt.
+	// maxPicks is the maximum number of upstreams that one attempt tries.
+	maxPicks = 3
+	// outcomeMargin is added to MaxSendAge and the timeout of the call. A claim
+	// without a response is reported as in progress up to that age and as an
+	// unknown outcome from then on.
 	outcomeMargin = 5 * time.Second
 )
 
-// Order is one request for an order.
+// Order is a request to run an order.
 type Order struct {
 	Key     order.Key
 	Request fleet.RequestID
 	Call    upstream.Call
-	// Timeout bounds the call to the upstream. Zero stands for DefaultTimeout.
+	// Timeout limits each call to an upstream. Zero means DefaultTimeout.
 	Timeout time.Duration
-	// Pick chooses an upstream. It is called again, up to a few times, when an
-	// upstream certainly processed nothing. It must not wait, since the age of
-	// the claim is checked before it. Each client that it returns is called once.
+	// Pick chooses an upstream. It is called again, a few times at most, when an
+	// upstream certainly processed nothing. It must not block, because the age of
+	// the claim is checked before it is called. Each client that it returns is
+	// called once.
 	Pick func(ctx context.Context) (upstream.ServiceClient, error)
 }
 
-// Desk runs orders for one instance. It is safe for concurrent use.
+// Executor runs orders for one instance. It is safe for concurrent use.
 type Desk struct {
 	ledger   order.Ledger
 	clock    fleet.Clock
 	instance fleet.InstanceID
 	log      *zap.Logger
 
-	// workCtx ends when Close gives up.
+	// workCtx is canceled when Close returns.
 	workCtx    context.Context
 	cancelWork context.CancelFunc
 	wg         sync.WaitGroup
@@ -82,26 +86,27 @@
 	mu       sync.Mutex
 	closed   bool
 	inFlight map[inFlightKey]*inFlightOrder
-	// pendingReleases counts orders that are answered and still have a call to the ledger
-	// to repeat.
+	// pendingReleases is the number of orders whose callers have their result and
+	// whose last call to the ledger is still being retried.
 	pendingReleases int
 }
 
-// inFlightKey keeps requests with another content apart, because only the ledger
-// knows which content the key belongs to.
+// inFlightKey includes the digest, because requests may use the same key with
+// different content and only the ledger knows which content the key belongs to.
 type inFlightKey struct {
 	key    order.Key
 	digest [32]byte
 }
 
-// inFlightOrder is an order in progress. Requests with the same key wait for it.
+// inFlightOrder is an order in progress. Requests with the same key and content
+// share it. response and err are valid once done is closed.
 type inFlightOrder struct {
 	done     chan struct{}
 	response upstream.Answer
 	err      error
 }
 
-// New returns a Desk of an instance.
+// New returns an Executor for an instance.
 func New(ledger order.Ledger, clock fleet.Clock, instance fleet.InstanceID, log *zap.Logger) *Desk {
 	workCtx, cancelWork := context.WithCancel(context.Background())
 	return &Desk{
@@ -115,9 +120,10 @@
 	}
 }
 
-// Run runs o, or waits for the same order in progress on this instance, or
-// replays its recorded answer. The order goes on when ctx ends; the error has
-// kind refusal.Deadline then. The answer is shared and must not be changed.
+// Run runs o, waits for the same order already in progress on this instance, or
+// replays its recorded response. If ctx ends first, Run returns an error of kind
+// refusal.Deadline and the order continues. The response is shared and must not be
+// modified.
 func (e *Desk) Run(ctx context.Context, o Order) (upstream.Answer, error) {
 	f, err := e.joinOrStart(o)
 	if err != nil {
@@ -131,9 +137,9 @@
 	}
 }
 
-// Close lets no order in and waits until the orders in progress are answered and
-// recorded. When ctx ends first, it gives up what is left and returns the error
-// of ctx.
+// Close refuses new orders and waits until the orders in progress have finished
+// and their outcomes are recorded. If ctx ends first, it cancels the remaining
+// work and returns the error of ctx.
 func (e *Desk) Close(ctx context.Context) error {
 	e.mu.Lock()
 	e.closed = true
@@ -152,26 +158,28 @@
 	}
 }
 
-// Load counts the work of a Desk.
+// Load is the amount of unfinished work of an Executor.
 type Load struct {
-	// Running counts the orders that have no answer yet, and those whose answer
-	// is known and not recorded yet.
+	// Running is the number of orders that have no response yet, or whose response
+	// is not recorded yet.
 	Running int
-	// PendingReleases counts the orders that ended without an answer and whose claim
-	// is not released yet. It grows while the ledger can't be reached.
+	// PendingReleases is the number of orders that ended without a response and
+	// whose claim is not released yet. It grows while the ledger is unreachable.
 	PendingReleases int
 }
 
-// Load returns how much work is left, for metrics and for a stop.
+// Load returns the unfinished work, for metrics and for shutdown.
 func (e *Desk) Load() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return Load{Running: len(e.inFlight), PendingReleases: e.pendingReleases}
 }
 
-// Unconfirmed returns err unless its kind says that the request was not run and
-// may be sent again, as a full queue does. The ledger was not asked about earlier
-// attempts then, so the kind becomes refusal.LedgerUnreachable.
+// Unconfirmed converts an error of an order that was refused before the ledger was
+// asked about earlier attempts. If the kind of err says that the request was not
+// run and may be sent again, as for a full queue, the kind becomes
+// refusal.LedgerUnreachable, because an earlier attempt may have run. Other errors
+// are returned unchanged.
 func Unconfirmed(err error) error {
 	if err == nil {
 		return nil
@@ -183,7 +191,7 @@
 	return refusal.Because(refusal.LedgerUnreachable, err, "this attempt was not run, the ledger was not asked about earlier ones")
 }
 
-// joinOrStart returns the flight of o and starts it when there is none.
+// joinOrStart returns the order in progress that matches o, or starts o.
 func (e *Desk) joinOrStart(o Order) (*inFlightOrder, error) {
 	k := inFlightKey{key: o.Key, digest: digestOf(o.Call)}
 	e.mu.Lock()
@@ -203,8 +211,8 @@
 	return f, nil
 }
 
-// execute runs an order and keeps its flight until nothing of it is left to do, so
-// that requests with the same key get the answer also before it is recorded.
+// execute runs an order. An order with a response stays in flight until the
+// response is recorded, so that requests with the same key get it before then.
 func (e *Desk) execute(k inFlightKey, f *inFlightOrder, o Order) {
 	t := &attempt{Desk: e, order: o, claim: order.Claim{
 		Key:      o.Key,
@@ -221,16 +229,18 @@
 		e.updateLoad(k, 0)
 		return
 	}
-	// The result of an attempt without an answer is not kept: the next request
-	// asks the ledger.
+	// The error of an attempt without a response is not kept: the next request
+	// asks the ledger again.
 	e.updateLoad(k, 1)
 	close(f.done)
 	t.retryPendingCall()
 	e.updateLoad(k, -1)
 }
 
-// updateLoad ends a flight and changes the number of unrecorded orders. The second call
-// for an order may find the flight of a later attempt, which it leaves alone.
+// updateLoad adds pendingDelta to the number of pending releases. Unless
+// pendingDelta is negative, it also removes the order in flight. The second call
+// for an order, with -1, must not remove it, because by then the entry may belong
+// to a later attempt.
 func (e *Desk) updateLoad(k inFlightKey, pendingDelta int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -240,8 +250,8 @@
 	e.pendingReleases += pendingDelta
 }
 
-// withTimeout returns a context that ends after t by the clock of the desk, or when
-// Close gives up.
+// withTimeout returns a context that is canceled after timeout by the clock of the
+// Executor, or when workCtx ends.
 func (e *Desk) withTimeout(timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(e.workCtx)
 	timer := e.clock.After(timeout)
@@ -255,12 +265,12 @@
 	return ctx, cancel
 }
 
-// attempt is one try to run an order.
+// attempt is one attempt to run an order.
 type attempt struct {
 	*Desk
 	order Order
 	claim order.Claim
-	// pendingCall is a call to the ledger that did not succeed yet.
+	// pendingCall is a call to the ledger that failed and must be retried, or nil.
 	pendingCall func(context.Context) error
 }
 
@@ -277,7 +287,8 @@
 	return t.send()
 }
 
-// claimError returns the error of a claim that was not confirmed. Nothing is sent.
+// claimError converts the error of a claim that was not confirmed. Nothing is sent
+// for such a claim. If the claim may have taken effect, it is released.
 func (t *attempt) claimError(err error) error {
 	switch refusal.KindOf(err) {
 	case refusal.Overloaded, refusal.BadRequest:
@@ -291,7 +302,8 @@
 	return refusal.Because(refusal.LedgerUnreachable, err, "outcome of the claim is unknown, nothing was sent by this attempt")
 }
 
-// recordResult answers from a record of another attempt.
+// recordResult returns the result for a record whose claim this attempt does not
+// hold.
 func (t *attempt) recordResult(r order.Record) (upstream.Answer, error) {
 	switch {
 	case r.DigestMismatch:
@@ -308,7 +320,8 @@
 	return upstream.Answer{}, refusal.New(refusal.OutcomeUnknown, "an attempt of the order has no answer, an operator must settle it")
 }
 
-// send calls upstreams until one of them may have processed the order.
+// send calls up to maxPicks upstreams until one of them may have processed the
+// order.
 func (t *attempt) send() (upstream.Answer, error) {
 	var lastErr error
 	for range maxPicks {
@@ -333,8 +346,8 @@
 func (t *attempt) call() (upstream.Answer, error) {
 	ctx, cancel := t.withTimeout(t.timeout())
 	defer cancel()
-	// The instance may have been frozen since its claim, and an operator may
-	// have settled the claim.
+	// The instance may have been suspended since it made the claim, and an operator
+	// may have settled the claim in the meantime.
 	if t.clock.Now().Sub(t.claim.At) > MaxSendAge {
 		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "claim is older than %v", MaxSendAge)
 	}
@@ -352,21 +365,23 @@
 	return DefaultTimeout
 }
 
-// recordResponse keeps the answer in the ledger.
+// recordResponse records the response in the ledger.
 func (t *attempt) recordResponse(response upstream.Answer) {
 	t.callLedger(func(ctx context.Context) error {
 		return t.ledger.Finish(ctx, t.claim.Key, t.claim.Attempt, response)
 	})
 }
 
-// releaseClaim releases the claim. It is called only when nothing was processed.
+// releaseClaim releases the claim. It must only be called when no upstream has
+// processed the order.
 func (t *attempt) releaseClaim() {
 	t.callLedger(func(ctx context.Context) error {
 		return t.ledger.Release(ctx, t.claim.Key, t.claim.Attempt)
 	})
 }
 
-// callLedger calls the ledger once and leaves the call to retry when it fails.
+// callLedger calls the ledger once. If that fails, it leaves the call to
+// retryPendingCall.
 func (t *attempt) callLedger(call func(context.Context) error) {
 	ctx, cancel := t.withTimeout(recordTimeout)
 	defer cancel()
@@ -378,13 +393,14 @@
 	t.pendingCall = call
 }
 
-// retryPendingCall repeats the call that failed until it succeeds or Close gives up.
+// retryPendingCall retries the failed call, if there is one, until its outcome is
+// final or workCtx ends.
 func (t *attempt) retryPendingCall() {
 	call := t.pendingCall
 	for backoff := minBackoff; call != nil; backoff = min(2*backoff, maxBackoff) {
 		select {
 		case <-t.workCtx.Done():
-			t.log.Error("Order left without its entry in the ledger.", t.logFields()...)
+			t.log.Error("Executor closed before the outcome of an order was stored in the ledger.", t.logFields()...)
 			return
 		case <-t.clock.After(backoff):
 		}
@@ -398,15 +414,15 @@
 	}
 }
 
-// isFinal tells whether a call to the ledger is over: it took effect, or it never
-// will.
+// isFinal reports whether a call to the ledger with this error needs no retry: it
+// took effect, or it never will.
 func isFinal(err error) bool {
 	return err == nil || refusal.KindOf(err) == refusal.Conflict
 }
 
 func (t *attempt) warnConflict(err error) {
 	if err != nil {
-		t.log.Warn("Ledger holds another outcome of the order.", append(t.logFields(), zap.Error(err))...)
+		t.log.Warn("Ledger already holds a different outcome of the order.", append(t.logFields(), zap.Error(err))...)
 	}
 }
 
@@ -418,11 +434,14 @@
 	}
 }
 
+// notProcessed reports whether the status of a response guarantees that the
+// upstream did not process the request.
 func notProcessed(response upstream.Answer) bool {
 	return response.Status == http.StatusMisdirectedRequest || response.Status == http.StatusTooEarly
 }
 
-// digestOf returns the SHA-256 of method, path and body, each with its length.
+// digestOf returns the SHA-256 of method, path and body, each prefixed with its
+// length as 8 bytes.
 func digestOf(c upstream.Call) [32]byte {
 	h := sha256.New()
 	for _, field := range [][]byte{[]byte(c.Method), []byte(c.Path), c.Body} {
--- a/internal/order/desk/desk_test.go
+++ b/internal/order/desk/desk_test.go
@@ -23,9 +23,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestSchedules guards against a second execution of a key over several
-// instances, false "not run" answers, differing replays, and claims that stay
-// although nothing was sent.
+// TestSchedules guards against a second execution of a key on several instances,
+// against "not run" errors for orders that ran, against replays that differ, and
+// against claims that stay open although nothing was sent. Orders run on three
+// instances with random faults of the ledger and the upstream.
 func TestSchedules(t *testing.T) {
 	for seed := range int64(150) {
 		runSchedule(t, seed)
@@ -55,11 +56,11 @@
 		}
 		kind := refusal.KindOf(err)
 		if err != nil && kind.Answer().NotRun && (s.runs[body] > 0 || total > 0 && kind != refusal.KeyReused) {
-			t.Fatalf("seed %d: key %s ran, the error says it did not: %v", seed, name, err)
+			t.Fatalf("seed %d: key %s ran, but the error says that it did not: %v", seed, name, err)
 		}
 		if err == nil {
 			if first, ok := responses[body]; ok && first != string(a.Body) {
-				t.Fatalf("seed %d: key %s has answers %q and %q", seed, name, first, a.Body)
+				t.Fatalf("seed %d: key %s has responses %q and %q", seed, name, first, a.Body)
 			}
 			responses[body] = string(a.Body)
 		}
@@ -77,7 +78,7 @@
 	checkClaims(t, seed, f, s)
 }
 
-// checkClaims checks that every open claim has a reason.
+// checkClaims checks that every open claim belongs to a key with a lost response.
 func checkClaims(t *testing.T, seed int64, f *faultyProposer, s *faultyService) {
 	client := ledger.NewClient(f, &stepClock{}, "check")
 	open, err := client.OpenClaims(context.Background(), "a", 100)
@@ -86,7 +87,7 @@
 	}
 	for _, o := range open {
 		if s.lostResponses[o.Key.Name+"x"]+s.lostResponses[o.Key.Name+"y"] == 0 {
-			t.Fatalf("seed %d: key %s is claimed and nothing was sent", seed, o.Key.Name)
+			t.Fatalf("seed %d: key %s is claimed although nothing was sent", seed, o.Key.Name)
 		}
 	}
 }
@@ -99,7 +100,8 @@
 	}
 }
 
-// scriptedFake is a ledger and service whose behaviour a script sets.
+// scriptedFake is an order.Ledger and an upstream with scripted results. It logs
+// the calls that it receives.
 type scriptedFake struct {
 	claimResult, callResult, updateResult string
 	clock                                 *stepClock
@@ -111,14 +113,14 @@
 	old := order.Claim{Key: c.Key, Attempt: "other", At: c.At.Add(-2 * time.Minute)}
 	recent := order.Claim{Key: c.Key, Attempt: "other", At: c.At}
 	records := map[string]order.Record{
-		"mine":     {State: order.Claimed, Claim: c, HeldByCaller: true},
-		"slow":     {State: order.Claimed, Claim: c, HeldByCaller: true},
-		"recent":   {State: order.Claimed, Claim: recent},
-		"old":      {State: order.Claimed, Claim: old},
-		"done":     {State: order.Done, Claim: old, Response: &upstream.Answer{Status: 201}},
-		"unkept":   {State: order.Done, Claim: old},
-		"reused":   {State: order.Done, Claim: old, DigestMismatch: true},
-		"released": {State: order.Free},
+		"held":       {State: order.Claimed, Claim: c, HeldByCaller: true},
+		"slow":       {State: order.Claimed, Claim: c, HeldByCaller: true},
+		"recent":     {State: order.Claimed, Claim: recent},
+		"old":        {State: order.Claimed, Claim: old},
+		"done":       {State: order.Done, Claim: old, Response: &upstream.Answer{Status: 201}},
+		"noResponse": {State: order.Done, Claim: old},
+		"reused":     {State: order.Done, Claim: old, DigestMismatch: true},
+		"released":   {State: order.Free},
 	}
 	if s.claimResult == "slow" {
 		s.clock.offset += MaxSendAge + time.Second
@@ -162,9 +164,8 @@
 	return upstream.Answer{}, s.scriptedError(s.callResult)
 }
 
-// TestKinds guards against a wrong error kind, a call without a claim, a claim
-// that is released although something was sent, and a picked upstream that is not
-// called.
+// TestKinds guards against wrong error kinds, calls without a claim, releases of
+// claims although something was sent, and picked upstreams that are not called.
 func TestKinds(t *testing.T) {
 	datadriven.RunTest(t, "testdata/kinds.txt", func(t *testing.T, d *datadriven.TestData) string {
 		var out strings.Builder
@@ -185,7 +186,7 @@
 				t.Fatal(err)
 			}
 			if err == nil {
-				fmt.Fprintf(&out, "%s: answer %d, %s\n", line, a.Status, strings.Join(s.calls, " "))
+				fmt.Fprintf(&out, "%s: response %d, %s\n", line, a.Status, strings.Join(s.calls, " "))
 				continue
 			}
 			kind := refusal.KindOf(err).Answer()
@@ -195,7 +196,7 @@
 	})
 }
 
-// blockingService is a service that answers once it is told to.
+// blockingService is an upstream that responds once proceed is closed.
 type blockingService struct {
 	entered chan struct{}
 	proceed chan struct{}
@@ -216,8 +217,9 @@
 	return upstream.Answer{Status: 200, Body: []byte("once")}, nil
 }
 
-// TestSharing guards against a second call by concurrent requests, a call that
-// ends with its caller, and a Close that interrupts an order.
+// TestSharing guards against a second call by concurrent requests with the same
+// key, against a call that is canceled with its caller, and against a Close that
+// interrupts an order.
 func TestSharing(t *testing.T) {
 	is := is.New(t)
 	clock := &stepClock{}
@@ -242,7 +244,7 @@
 		runtime.Gosched()
 	}
 	_, err = e.Run(context.Background(), orderOf("new", "x", w))
-	is.Equal(refusal.KindOf(err), refusal.LedgerUnreachable) // "stopping" would say that no attempt has run
+	is.Equal(refusal.KindOf(err), refusal.LedgerUnreachable) // refusal.Stopping would say that no attempt has run
 	select {
 	case <-closed:
 		t.Fatal("Close did not wait for the order")
@@ -267,8 +269,8 @@
 	return e.closed
 }
 
-// TestCloseGivesUp guards against a Close that never returns when the ledger
-// can't be reached.
+// TestCloseGivesUp guards against a Close that does not return when its context
+// ends while the ledger is unreachable.
 func TestCloseGivesUp(t *testing.T) {
 	is := is.New(t)
 	s := &scriptedFake{claimResult: "ledgerUnreachable", updateResult: "ledgerUnreachable", clock: &stepClock{}}
--- a/internal/order/desk/fake_test.go
+++ b/internal/order/desk/fake_test.go
@@ -15,8 +15,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// faultyProposer is a proposer over one state machine. It loses commands and replies and
-// applies commands late or twice.
+// faultyProposer is a quorum.Proposer over one state machine. It drops commands and
+// replies and applies commands late or twice. With noFaults it only applies them.
 type faultyProposer struct {
 	mu       sync.Mutex
 	random   *rand.Rand
@@ -51,7 +51,7 @@
 	return f.machine.Query(q), nil
 }
 
-// applyDelayed applies each late command with a chance of one in n.
+// applyDelayed applies each delayed command with a probability of 1/n.
 func (f *faultyProposer) applyDelayed(n int) {
 	stillDelayed := f.delayed[:0]
 	for _, c := range f.delayed {
@@ -64,11 +64,13 @@
 	f.delayed = stillDelayed
 }
 
-// faultyService counts what it runs and may lose calls and answers.
+// faultyService is an upstream that counts executions and drops calls and
+// responses at random.
 type faultyService struct {
 	random   *rand.Rand
 	noFaults bool
-	// runs counts executions of a body, lost those without an answer.
+	// runs counts the executions by request body, lostResponses the calls that got
+	// no response and may have run.
 	runs, lostResponses map[string]int
 }
 
@@ -89,7 +91,8 @@
 	return upstream.Answer{Status: 200, Body: []byte(fmt.Sprintf("%s run %d", body, s.runs[body]))}, nil
 }
 
-// stepClock fires the pauses between retries one at a time and no timeout.
+// stepClock is a clock whose timers for backoff fire one at a time, at each step.
+// Timers for timeouts never fire.
 type stepClock struct {
 	mu      sync.Mutex
 	offset  time.Duration
@@ -112,7 +115,8 @@
 	return ch
 }
 
-// step ends the oldest pause and reports whether there was one.
+// step fires the oldest backoff timer and reports whether there was one. It moves
+// the clock by one second.
 func (c *stepClock) step() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +129,7 @@
 	return true
 }
 
-// quiesce waits until every order that is not over waits in a pause.
+// quiesce waits until all unfinished orders wait for a backoff timer.
 func (c *stepClock) quiesce(executors []*Desk) {
 	for {
 		unfinished := 0
@@ -143,7 +147,7 @@
 	}
 }
 
-// instantClock does not wait.
+// instantClock is a stepClock whose timers fire at once.
 type instantClock struct{ *stepClock }
 
 func (c instantClock) After(time.Duration) <-chan time.Time {
--- a/internal/order/ledger/fake_test.go
+++ b/internal/order/ledger/fake_test.go
@@ -11,9 +11,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// faultyProposer is a proposer over replicas in process. It loses commands and replies,
+// faultyProposer is a quorum.Proposer over in-process replicas. It drops commands and replies,
 // applies commands late or twice, and restarts replicas from snapshots. With
-// calm it only applies commands.
+// noFaults it applies every command exactly once, but still restarts replicas.
 type faultyProposer struct {
 	t        *testing.T
 	random   *rand.Rand
@@ -59,7 +59,7 @@
 	return f.replicas[f.random.Intn(len(f.replicas))].Query(query), nil
 }
 
-// applyDelayed applies each late command with a chance of one in n.
+// applyDelayed applies each delayed command with a probability of 1/n.
 func (f *faultyProposer) applyDelayed(n int) {
 	stillDelayed := f.delayed[:0]
 	for _, c := range f.delayed {
@@ -94,7 +94,7 @@
 	}
 }
 
-// manualClock does not wait.
+// manualClock is a clock that tests set through offset. Its timers fire at once.
 type manualClock struct{ offset time.Duration }
 
 func (c *manualClock) Now() time.Time { return fakeclock.Start.Add(c.offset) }
--- a/internal/order/ledger/ledger_test.go
+++ b/internal/order/ledger/ledger_test.go
@@ -19,8 +19,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScripts guards against a second claim of a key, forgotten keys, bounds
-// that are passed and answers that are not replayed whole.
+// TestScripts guards against a second claim of a key, keys that are dropped early,
+// exceeded limits and incomplete replays of responses.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		f := newFaultyProposer(t, 1)
@@ -31,7 +31,7 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			account, key, attempt, instance, digest, body, operator := "a", "k", "", "i1", "x", "", ""
 			advanceBy, age, ran := "0s", "0s", false
-			for name, target := range map[string]*string{"account": &account, "key": &key, "attempt": &attempt, "instance": &instance, "content": &digest, "body": &body, "operator": &operator, "by": &advanceBy, "age": &age} {
+			for name, target := range map[string]*string{"account": &account, "key": &key, "attempt": &attempt, "instance": &instance, "digest": &digest, "body": &body, "operator": &operator, "by": &advanceBy, "age": &age} {
 				d.MaybeScanArgs(t, name, target)
 			}
 			d.MaybeScanArgs(t, "ran", &ran)
@@ -50,9 +50,9 @@
 				if err != nil {
 					return fmt.Sprintf("%s: %v\n", refusal.KindOf(err).Answer().Code, err)
 				}
-				out := fmt.Sprintf("%v by=%s mine=%v reused=%v", r.State, r.Claim.Attempt, r.HeldByCaller, r.DigestMismatch)
+				out := fmt.Sprintf("%v by=%s held=%v digestMismatch=%v", r.State, r.Claim.Attempt, r.HeldByCaller, r.DigestMismatch)
 				if r.Response != nil {
-					out += fmt.Sprintf(" answer=%d %v %s", r.Response.Status, r.Response.Header, r.Response.Body)
+					out += fmt.Sprintf(" response=%d %v %s", r.Response.Status, r.Response.Header, r.Response.Body)
 				}
 				return out + "\n"
 			case "finish":
@@ -71,10 +71,10 @@
 				list, err := client.Settlements(ctx, k.Account, 9)
 				out := fmt.Sprintf("%v\n", err)
 				for _, s := range list {
-					out += fmt.Sprintf("%s by %s ran=%v answeredLater=%v\n", s.Attempt, s.Operator, s.Ran, s.LateResponse)
+					out += fmt.Sprintf("%s by %s ran=%v lateResponse=%v\n", s.Attempt, s.Operator, s.Ran, s.LateResponse)
 				}
 				return out
-			case "wait":
+			case "advance":
 				step, err := time.ParseDuration(advanceBy)
 				clock.offset += step
 				return formatResult(err)
@@ -96,8 +96,9 @@
 	return "ok\n"
 }
 
-// TestSchedules guards against two executions of a key and against claims that
-// take effect after they were reported as not made or were released.
+// TestSchedules guards against two executions of a key, and against claims that
+// take effect after they were released or reported as not made. Three clients use
+// three replicas with random faults.
 func TestSchedules(t *testing.T) {
 	for seed := range int64(100) {
 		runSchedule(t, seed)
@@ -109,7 +110,7 @@
 	clock := &manualClock{}
 	ctx := context.Background()
 	runs := make(map[order.Key]int)
-	mustNotHold := make(map[order.AttemptID]bool) // attempts that may not hold a claim in the end
+	mustNotHold := make(map[order.AttemptID]bool) // attempts that must not hold a claim at the end
 	for n := range 80 {
 		instance := fleet.InstanceID(fmt.Sprint("i", f.random.Intn(3)))
 		c := NewClient(f, clock, instance, WithMaxProposals(3))
@@ -140,16 +141,16 @@
 		}
 	}
 	if New().Restore(first[:len(first)-1]) == nil {
-		t.Fatalf("seed %d: a snapshot that lacks its end is restored", seed)
+		t.Fatalf("seed %d: a truncated snapshot was restored", seed)
 	}
 	for k, r := range f.replicas[0].records {
 		if mustNotHold[r.Attempt] {
-			t.Fatalf("seed %d: %s holds key %s", seed, r.Attempt, k.Name)
+			t.Fatalf("seed %d: attempt %s must not hold key %s", seed, r.Attempt, k.Name)
 		}
 	}
 }
 
-// firstCommandDropper loses the first command and applies the others.
+// firstCommandDropper drops the first command and applies the others.
 type firstCommandDropper struct {
 	*faultyProposer
 	dropped bool
@@ -163,8 +164,9 @@
 	return l.faultyProposer.Propose(ctx, g, c)
 }
 
-// TestFullAfterLostClaim guards against a refusal as not run and not claimed
-// while an earlier command of the claim may still be applied.
+// TestFullAfterLostClaim guards against an error that says that the claim was not
+// made while an earlier, lost command of that claim may still be applied. This can
+// occur when a repeated command is rejected because a limit is reached.
 func TestFullAfterLostClaim(t *testing.T) {
 	f := newFaultyProposer(t, 1)
 	f.noFaults = true
@@ -182,7 +184,7 @@
 	}
 }
 
-// FuzzApply guards against a command that stops a voter.
+// FuzzApply guards against commands, queries and snapshots that make a voter panic.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{"version":1,"kind":"claim","key":{"account":"a","name":"k"},"attempt":"1","limits":{"maxRecords":9,"maxBytes":-1,"maxAnswer":-9}}`))
 	f.Add([]byte(`{"version":1,"kind":"settle","attempt":"1","at":"9999-12-31T23:59:59Z","ran":true}`))
@@ -201,7 +203,7 @@
 	})
 }
 
-// BenchmarkClaim measures claim and finish in one state machine.
+// BenchmarkClaim measures a claim and its finish in one state machine.
 func BenchmarkClaim(b *testing.B) {
 	m := New()
 	limits := Limits{Retention: time.Hour, MaxRecords: 1 << 30, MaxBytes: 1 << 40, MaxAnswer: 1 << 16}
@@ -228,7 +230,7 @@
 	runtime.KeepAlive(m)
 }
 
-// BenchmarkSnapshot measures snapshot and restore of 100,000 records with answers
+// BenchmarkSnapshot measures snapshot and restore of 100,000 records with responses
 // of 200 bytes.
 func BenchmarkSnapshot(b *testing.B) {
 	m := New()
--- a/internal/order/ledger/placement_test.go
+++ b/internal/order/ledger/placement_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// The model of the design page: three data centres, 0.25 ms one way between them.
-// The time for a sync and the latency inside a data centre are assumptions.
+// The latency model of the design page: three data centres with a one-way delay of
+// 0.25 ms between them. The sync time and the one-way delay inside a data centre are
+// assumptions.
 const (
 	interDelay  = 0.25 // ms
 	intraDelay  = 0.05 // ms
@@ -14,9 +15,9 @@
 	dataCentres = 3
 )
 
-// placement is a set of groups, each with the data centres of its voters. The
-// first voter is the leader. Accounts are spread evenly over the groups, and
-// orders enter in every data centre.
+// placement is a set of groups, each given by the data centres of its voters. The
+// first voter is the leader. Accounts are distributed evenly over the groups, and
+// orders arrive in every data centre.
 type placement struct {
 	name   string
 	groups [][]int
@@ -30,8 +31,8 @@
 	{"group per data centre, 2 voters", [][]int{{0, 0}, {1, 1}, {2, 2}}},
 }
 
-// failure says what fails, by data centre: one that is cut off, or one whose
-// first voter lost its disk. None is -1.
+// failure names the data centre that is cut off, and the one where the first voter
+// of each group lost its disk. -1 means none.
 type failure struct{ cutOff, diskLost int }
 
 func oneWayDelay(a, b int) float64 {
@@ -41,7 +42,7 @@
 	return interDelay
 }
 
-// available returns the share of the orders that enter in a data centre whose group
+// available returns the fraction of the orders arriving in a data centre whose group
 // has a reachable majority.
 func (p placement) available(dataCentre int, f failure) float64 {
 	withMajority := 0
@@ -62,7 +63,7 @@
 	return float64(withMajority) / float64(len(p.groups))
 }
 
-// latency returns the mean time that claim and finish add to an order.
+// latency returns the mean time in ms that claim and finish add to an order.
 func (p placement) latency() float64 {
 	sum := 0.0
 	for dataCentre := range dataCentres {
@@ -73,8 +74,8 @@
 	return sum / float64(dataCentres*len(p.groups))
 }
 
-// commitTime returns the time until a majority has synced. The leader syncs while it
-// sends.
+// commitTime returns the time in ms until a majority of the voters has synced. The
+// leader sends to the others while it syncs.
 func commitTime(voters []int) float64 {
 	times := []float64{syncTime}
 	for _, v := range voters[1:] {
@@ -84,7 +85,7 @@
 	return times[len(times)/2]
 }
 
-// BenchmarkPlacement compares one set of groups over all voters with a group for
+// BenchmarkPlacement compares groups that span all data centres with one group for
 // each data centre.
 func BenchmarkPlacement(b *testing.B) {
 	for _, p := range placements {
