--- a/internal/order/desk/desk.go
+++ b/internal/order/desk/desk.go
@@ -52,8 +52,8 @@
 	// maxPicks is the maximum number of upstreams that one attempt tries.
 	maxPicks = 3
 	// outcomeMargin is added to MaxSendAge and the timeout of the call. A claim
-	// without a response is reported as in progress up to that age and as an
-	// unknown outcome from then on.
+	// without a response is reported as in progress up to that age. From then on
+	// its attempt is presumed lost and the outcome is reported as unknown.
 	outcomeMargin = 5 * time.Second
 )
 
@@ -87,7 +87,7 @@
 	closed   bool
 	inFlight map[inFlightKey]*inFlightOrder
 	// pendingReleases is the number of orders whose callers have their result and
-	// whose last call to the ledger is still being retried.
+	// that may still have a call to the ledger to retry.
 	pendingReleases int
 }
 
--- a/internal/order/desk/desk_test.go
+++ b/internal/order/desk/desk_test.go
@@ -48,7 +48,7 @@
 	for range 60 {
 		name := fmt.Sprint(random.Intn(10))
 		body := name + []string{"x", "x", "x", "y"}[random.Intn(4)]
-		a, err := executors[random.Intn(3)].Run(context.Background(), orderOf(name, body, s))
+		response, err := executors[random.Intn(3)].Run(context.Background(), orderOf(name, body, s))
 		clock.quiesce(executors)
 		total := s.runs[name+"x"] + s.runs[name+"y"]
 		if total > 1 {
@@ -59,10 +59,10 @@
 			t.Fatalf("seed %d: key %s ran, but the error says that it did not: %v", seed, name, err)
 		}
 		if err == nil {
-			if first, ok := responses[body]; ok && first != string(a.Body) {
-				t.Fatalf("seed %d: key %s has responses %q and %q", seed, name, first, a.Body)
+			if first, ok := responses[body]; ok && first != string(response.Body) {
+				t.Fatalf("seed %d: key %s has responses %q and %q", seed, name, first, response.Body)
 			}
-			responses[body] = string(a.Body)
+			responses[body] = string(response.Body)
 		}
 		if random.Intn(2) == 0 && clock.step() {
 			clock.quiesce(executors)
@@ -178,7 +178,7 @@
 				s.calls = append(s.calls, "pick")
 				return s, nil
 			}
-			a, err := executor.Run(context.Background(), o)
+			response, err := executor.Run(context.Background(), o)
 			for s.clock.quiesce([]*Desk{executor}); s.clock.step(); {
 				s.clock.quiesce([]*Desk{executor})
 			}
@@ -186,7 +186,7 @@
 				t.Fatal(err)
 			}
 			if err == nil {
-				fmt.Fprintf(&out, "%s: response %d, %s\n", line, a.Status, strings.Join(s.calls, " "))
+				fmt.Fprintf(&out, "%s: response %d, %s\n", line, response.Status, strings.Join(s.calls, " "))
 				continue
 			}
 			kind := refusal.KindOf(err).Answer()
@@ -204,15 +204,15 @@
 	calls   int
 }
 
-func (w *blockingService) Call(ctx context.Context, _ upstream.Call) (upstream.Answer, error) {
-	w.mu.Lock()
-	w.calls++
-	w.mu.Unlock()
-	close(w.entered)
+func (s *blockingService) Call(ctx context.Context, _ upstream.Call) (upstream.Answer, error) {
+	s.mu.Lock()
+	s.calls++
+	s.mu.Unlock()
+	close(s.entered)
 	select {
 	case <-ctx.Done():
 		return upstream.Answer{}, refusal.New(refusal.UpstreamFailed, "interrupted")
-	case <-w.proceed:
+	case <-s.proceed:
 	}
 	return upstream.Answer{Status: 200, Body: []byte("once")}, nil
 }
@@ -225,17 +225,17 @@
 	clock := &stepClock{}
 	f := &faultyProposer{noFaults: true, random: rand.New(rand.NewSource(1)), machine: ledger.New()}
 	e := New(ledger.NewClient(f, clock, "i"), clock, "i", zap.NewNop())
-	w := &blockingService{entered: make(chan struct{}), proceed: make(chan struct{})}
+	s := &blockingService{entered: make(chan struct{}), proceed: make(chan struct{})}
 	canceled, cancel := context.WithCancel(context.Background())
 	var joined []*inFlightOrder
 	for range 10 {
-		f, err := e.joinOrStart(orderOf("k", "x", w))
+		f, err := e.joinOrStart(orderOf("k", "x", s))
 		is.NoErr(err)
 		joined = append(joined, f)
 	}
-	<-w.entered
+	<-s.entered
 	cancel()
-	_, err := e.Run(canceled, orderOf("k", "x", w))
+	_, err := e.Run(canceled, orderOf("k", "x", s))
 	is.Equal(refusal.KindOf(err), refusal.Deadline)
 
 	closed := make(chan error)
@@ -243,22 +243,22 @@
 	for !isClosed(e) {
 		runtime.Gosched()
 	}
-	_, err = e.Run(context.Background(), orderOf("new", "x", w))
+	_, err = e.Run(context.Background(), orderOf("new", "x", s))
 	is.Equal(refusal.KindOf(err), refusal.LedgerUnreachable) // refusal.Stopping would say that no attempt has run
 	select {
 	case <-closed:
 		t.Fatal("Close did not wait for the order")
 	default:
 	}
-	close(w.proceed)
+	close(s.proceed)
 	is.NoErr(<-closed)
 	for _, f := range joined {
 		<-f.done
 		is.NoErr(f.err)
 		is.Equal(string(f.response.Body), "once")
 	}
-	is.Equal(w.calls, 1)
-	r, err := ledger.NewClient(f, clock, "j").Claim(context.Background(), order.Claim{Key: order.Key{Account: "a", Name: "k"}, Digest: digestOf(orderOf("k", "x", w).Call)})
+	is.Equal(s.calls, 1)
+	r, err := ledger.NewClient(f, clock, "j").Claim(context.Background(), order.Claim{Key: order.Key{Account: "a", Name: "k"}, Digest: digestOf(orderOf("k", "x", s).Call)})
 	is.NoErr(err)
 	is.Equal(string(r.Response.Body), "once")
 }
--- a/internal/order/ledger/fake_test.go
+++ b/internal/order/ledger/fake_test.go
@@ -11,9 +11,10 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// faultyProposer is a quorum.Proposer over in-process replicas. It drops commands and replies,
-// applies commands late or twice, and restarts replicas from snapshots. With
-// noFaults it applies every command exactly once, but still restarts replicas.
+// faultyProposer is a quorum.Proposer over in-process replicas. It drops commands
+// and replies, applies commands late or twice, and restarts replicas from
+// snapshots. With noFaults it applies every command exactly once, but still
+// restarts replicas.
 type faultyProposer struct {
 	t        *testing.T
 	random   *rand.Rand
--- a/internal/order/ledger/ledger.go
+++ b/internal/order/ledger/ledger.go
@@ -57,7 +57,7 @@
 }
 
 const (
-	// MaxKeyBytes is the maximum length of a key name.
+	// MaxKeyBytes is the maximum length of a key name in bytes.
 	MaxKeyBytes = 256
 	// MaxSettlements is the number of settlements that a group keeps. The oldest
 	// are dropped first.
@@ -79,7 +79,7 @@
 	accountDivisor = 2 // one account may use 1/accountDivisor of each limit
 )
 
-// GroupOf returns the group of an account when there are shards groups.
+// GroupOf returns the group, one of shards, that stores the claims of an account.
 func GroupOf(a fleet.AccountID, shards int) quorum.GroupID {
 	return quorum.GroupID(fmt.Sprintf("orders-%d", xxhash.Sum64String(string(a))%uint64(shards)))
 }
@@ -296,13 +296,13 @@
 }
 
 func (m *Machine) addTotals(a fleet.AccountID, records, bytes int) {
-	u := m.accounts[a]
-	u.records += records
-	u.bytes += bytes
-	if u.records == 0 {
+	t := m.accounts[a]
+	t.records += records
+	t.bytes += bytes
+	if t.records == 0 {
 		delete(m.accounts, a)
 	} else {
-		m.accounts[a] = u
+		m.accounts[a] = t
 	}
 	m.total.records += records
 	m.total.bytes += bytes
@@ -322,9 +322,9 @@
 // changed since e was added.
 func (m *Machine) expire(e expiry) {
 	if e.attempt != "" {
-		if r, ok := m.released[e.attempt]; ok && r.Until.Equal(e.at) {
+		if rel, ok := m.released[e.attempt]; ok && rel.Until.Equal(e.at) {
 			delete(m.released, e.attempt)
-			m.addTotals(r.Account, -1, 0)
+			m.addTotals(rel.Account, -1, 0)
 		}
 		return
 	}
--- a/internal/order/ledger/ledger_test.go
+++ b/internal/order/ledger/ledger_test.go
@@ -156,12 +156,12 @@
 	dropped bool
 }
 
-func (l *firstCommandDropper) Propose(ctx context.Context, g quorum.GroupID, c []byte) ([]byte, error) {
-	if !l.dropped {
-		l.dropped = true
+func (d *firstCommandDropper) Propose(ctx context.Context, g quorum.GroupID, c []byte) ([]byte, error) {
+	if !d.dropped {
+		d.dropped = true
 		return nil, refusal.New(refusal.OutcomeUnknown, "leader lost")
 	}
-	return l.faultyProposer.Propose(ctx, g, c)
+	return d.faultyProposer.Propose(ctx, g, c)
 }
 
 // TestFullAfterLostClaim guards against an error that says that the claim was not
--- a/internal/order/ledger/placement_test.go
+++ b/internal/order/ledger/placement_test.go
@@ -47,11 +47,11 @@
 func (p placement) available(dataCentre int, f failure) float64 {
 	withMajority := 0
 	for _, voters := range p.groups {
-		reachable, diskLost := 0, f.diskLost
+		reachable, lostDisk := 0, f.diskLost
 		for _, v := range voters {
 			switch {
-			case v == diskLost:
-				diskLost = -1
+			case v == lostDisk:
+				lostDisk = -1
 			case (v == f.cutOff) == (dataCentre == f.cutOff):
 				reachable++
 			}
--- a/internal/order/ledger/snapshot.go
+++ b/internal/order/ledger/snapshot.go
@@ -80,10 +80,10 @@
 		}
 		next.addRecord(k, r)
 	}
-	for attempt, r := range h.Released {
-		next.released[attempt] = r
-		next.addTotals(r.Account, 1, 0)
-		next.expiries = append(next.expiries, expiry{at: r.Until, attempt: attempt})
+	for attempt, rel := range h.Released {
+		next.released[attempt] = rel
+		next.addTotals(rel.Account, 1, 0)
+		next.expiries = append(next.expiries, expiry{at: rel.Until, attempt: attempt})
 	}
 	heap.Init(&next.expiries)
 	m.mu.Lock()
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -70,6 +70,6 @@
 	Claim(ctx context.Context, c Claim) (Record, error)
 	// Finish records the response of an attempt.
 	Finish(ctx context.Context, k Key, a AttemptID, response upstream.Answer) error
-	// Release frees the key of an attempt that has certainly sent nothing.
+	// Release gives up the claim of an attempt that has certainly sent nothing.
 	Release(ctx context.Context, k Key, a AttemptID) error
 }
