--- a/internal/order/desk/desk.go
+++ b/internal/order/desk/desk.go
@@ -1,20 +1,20 @@
-// Package desk runs orders, the calls that may not be repeated.
+// Package desk executes orders, which are at-most-once calls to upstreams.
 //
-// A Desk claims the key of an order in the ledger, sends the call once, records
-// the answer and replays it to every later request with the key:
+// An Executor claims the key of an order in the ledger, sends the call once,
+// records the response and replays it to every later request with the same key:
 //
-//	answer, err := d.Run(ctx, desk.Order{Key: key, Request: id, Call: call, Pick: pick})
+//	response, err := e.Run(ctx, desk.Order{Key: key, Request: id, Call: call, Pick: pick})
 //
 // Run returns an error whose kind says "not run" only when no attempt with the
 // key has run: the ledger confirmed that the key has no other claim, and this
-// attempt sent nothing. Code that refuses an order before it reaches the desk
+// attempt sent nothing. Code that refuses an order before it reaches the Executor
 // knows nothing about earlier attempts and passes its error through Unconfirmed.
 //
-// A claim is given up when its attempt sent nothing, or when the answer has a
+// A claim is released when its attempt sent nothing, or when the response has a
 // status that HTTP defines as not processed: 421 Misdirected Request (RFC 9110,
-// 15.5.20) and 425 Too Early (RFC 8470, 5.2). Every other answer, errors of the
-// service included, is the answer of the order. Without an answer the outcome
-// is unknown and the claim stays until an operator settles it.
+// 15.5.20) and 425 Too Early (RFC 8470, 5.2). Every other response, including
+// errors of the service, is the response of the order. Without a response the
+// outcome is unknown and the claim stays until an operator settles it.
 package desk
 
 import (
@@ -33,117 +33,123 @@
 )
 
 const (
-	// SendWithin is the age of a claim up to which its order is sent. It is
-	// shorter than ledger.SettleAge.
-	SendWithin = 30 * time.Second
-	// DefaultTimeout bounds a call that has no timeout of its own.
+	// MaxSendAge is the maximum age of a claim at which its order is still sent.
+	// It is shorter than ledger.MinSettleAge.
+	MaxSendAge = 30 * time.Second
+	// DefaultTimeout limits a call to an upstream when Order.Timeout is not set.
 	DefaultTimeout = 30 * time.Second
-	// MaxFlights bounds the orders in progress and the calls to the ledger that
-	// are repeated until they succeed.
-	MaxFlights = 4096
+	// MaxInFlight is the maximum number of orders in progress plus releases that
+	// are still being retried.
+	MaxInFlight = 4096
 
-	claimTimeout  = 5 * time.Second
+	claimTimeout = 5 * time.Second
+	// recordTimeout limits one call that records a response or releases a claim.
 	recordTimeout = 5 * time.Second
-	// The pause between two calls to a ledger that can't be reached doubles from
-	// firstPause to longestPause.
-	firstPause   = 250 * time.Millisecond
-	longestPause = 8 * time.Second
-	maxPicks     = 3
-	// lateness is added to the timeout of a call before another instance takes
-	// a claim for one that lost its attempt.
-	lateness = 5 * time.Second
+	// The backoff between two calls to an unreachable ledger doubles from
+	// minBackoff to maxBackoff.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 8 * time.Second
+	// maxPicks is the maximum number of upstreams that one attempt tries.
+	maxPicks = 3
+	// outcomeMargin is added to MaxSendAge and the timeout of the call. A claim
+	// without a response is reported as in progress up to that age. From then on
+	// its attempt is presumed lost and the outcome is reported as unknown.
+	outcomeMargin = 5 * time.Second
 )
 
-// Order is one request for an order.
+// Order is a request to run an order.
 type Order struct {
 	Key     order.Key
 	Request fleet.RequestID
 	Call    upstream.Call
-	// Timeout bounds the call to the upstream. Zero stands for DefaultTimeout.
+	// Timeout limits each call to an upstream. Zero means DefaultTimeout.
 	Timeout time.Duration
-	// Pick chooses an upstream. It is called again, up to a few times, when an
-	// upstream certainly processed nothing. It must not wait, since the age of
-	// the claim is checked before it. Each client that it returns is called once.
+	// Pick chooses an upstream. It is called again, a few times at most, when an
+	// upstream certainly processed nothing. It must not block, because the age of
+	// the claim is checked before it is called. Each client that it returns is
+	// called once.
 	Pick func(ctx context.Context) (upstream.ServiceClient, error)
 }
 
-// Desk runs orders for one instance. It is safe for concurrent use.
+// Executor runs orders for one instance. It is safe for concurrent use.
 type Desk struct {
 	ledger   order.Ledger
 	clock    fleet.Clock
 	instance fleet.InstanceID
 	log      *zap.Logger
 
-	// work ends when Close gives up.
-	work  context.Context
-	abort context.CancelFunc
-	group sync.WaitGroup
-
-	mu      sync.Mutex
-	closed  bool
-	flights map[flightKey]*flight
-	// unrecorded counts orders that are answered and still have a call to the ledger
-	// to repeat.
-	unrecorded int
+	// workCtx is canceled when Close returns.
+	workCtx    context.Context
+	cancelWork context.CancelFunc
+	wg         sync.WaitGroup
+
+	mu       sync.Mutex
+	closed   bool
+	inFlight map[inFlightKey]*inFlightOrder
+	// pendingReleases is the number of orders whose callers have their result and
+	// that may still have a call to the ledger to retry.
+	pendingReleases int
 }
 
-// flightKey keeps requests with another content apart, because only the ledger
-// knows which content the key belongs to.
-type flightKey struct {
+// inFlightKey includes the digest, because requests may use the same key with
+// different content and only the ledger knows which content the key belongs to.
+type inFlightKey struct {
 	key    order.Key
 	digest [32]byte
 }
 
-// flight is an order in progress. Requests with the same key wait for it.
-type flight struct {
-	done   chan struct{}
-	answer upstream.Answer
-	err    error
+// inFlightOrder is an order in progress. Requests with the same key and content
+// share it. response and err are valid once done is closed.
+type inFlightOrder struct {
+	done     chan struct{}
+	response upstream.Answer
+	err      error
 }
 
-// New returns a Desk of an instance.
-func New(l order.Ledger, c fleet.Clock, i fleet.InstanceID, log *zap.Logger) *Desk {
-	work, abort := context.WithCancel(context.Background())
+// New returns an Executor for an instance.
+func New(ledger order.Ledger, clock fleet.Clock, instance fleet.InstanceID, log *zap.Logger) *Desk {
+	workCtx, cancelWork := context.WithCancel(context.Background())
 	return &Desk{
-		ledger:   l,
-		clock:    c,
-		instance: i,
-		log:      log.Named("desk"),
-		work:     work,
-		abort:    abort,
-		flights:  make(map[flightKey]*flight),
+		ledger:     ledger,
+		clock:      clock,
+		instance:   instance,
+		log:        log.Named("desk"),
+		workCtx:    workCtx,
+		cancelWork: cancelWork,
+		inFlight:   make(map[inFlightKey]*inFlightOrder),
 	}
 }
 
-// Run runs o, or waits for the same order in progress on this instance, or
-// replays its recorded answer. The order goes on when ctx ends; the error has
-// kind refusal.Deadline then. The answer is shared and must not be changed.
-func (d *Desk) Run(ctx context.Context, o Order) (upstream.Answer, error) {
-	f, err := d.join(o)
+// Run runs o, waits for the same order already in progress on this instance, or
+// replays its recorded response. If ctx ends first, Run returns an error of kind
+// refusal.Deadline and the order continues. The response is shared and must not be
+// modified.
+func (e *Desk) Run(ctx context.Context, o Order) (upstream.Answer, error) {
+	f, err := e.joinOrStart(o)
 	if err != nil {
 		return upstream.Answer{}, err
 	}
 	select {
 	case <-f.done:
-		return f.answer, f.err
+		return f.response, f.err
 	case <-ctx.Done():
 		return upstream.Answer{}, refusal.Because(refusal.Deadline, ctx.Err(), "order is still in progress, ask again with the same key")
 	}
 }
 
-// Close lets no order in and waits until the orders in progress are answered and
-// recorded. When ctx ends first, it gives up what is left and returns the error
-// of ctx.
-func (d *Desk) Close(ctx context.Context) error {
-	d.mu.Lock()
-	d.closed = true
-	d.mu.Unlock()
+// Close refuses new orders and waits until the orders in progress have finished
+// and their outcomes are recorded. If ctx ends first, it cancels the remaining
+// work and returns the error of ctx.
+func (e *Desk) Close(ctx context.Context) error {
+	e.mu.Lock()
+	e.closed = true
+	e.mu.Unlock()
 	idle := make(chan struct{})
 	go func() {
-		d.group.Wait()
+		e.wg.Wait()
 		close(idle)
 	}()
-	defer d.abort()
+	defer e.cancelWork()
 	select {
 	case <-idle:
 		return nil
@@ -152,99 +158,103 @@
 	}
 }
 
-// Load counts the work of a Desk.
+// Load is the amount of unfinished work of an Executor.
 type Load struct {
-	// Running counts the orders that have no answer yet, and those whose answer
-	// is known and not recorded yet.
+	// Running is the number of orders that have no response yet, or whose response
+	// is not recorded yet.
 	Running int
-	// Unrecorded counts the orders that ended without an answer and whose claim
-	// is not released yet. It grows while the ledger can't be reached.
-	Unrecorded int
+	// PendingReleases is the number of orders that ended without a response and
+	// whose claim is not released yet. It grows while the ledger is unreachable.
+	PendingReleases int
 }
 
-// Load returns how much work is left, for metrics and for a stop.
-func (d *Desk) Load() Load {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return Load{Running: len(d.flights), Unrecorded: d.unrecorded}
+// Load returns the unfinished work, for metrics and for shutdown.
+func (e *Desk) Load() Load {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return Load{Running: len(e.inFlight), PendingReleases: e.pendingReleases}
 }
 
-// Unconfirmed returns err unless its kind says that the request was not run and
-// may be sent again, as a full queue does. The ledger was not asked about earlier
-// attempts then, so the kind becomes refusal.LedgerUnreachable.
+// Unconfirmed converts an error of an order that was refused before the ledger was
+// asked about earlier attempts. If the kind of err says that the request was not
+// run and may be sent again, as for a full queue, the kind becomes
+// refusal.LedgerUnreachable, because an earlier attempt may have run. Other errors
+// are returned unchanged.
 func Unconfirmed(err error) error {
 	if err == nil {
 		return nil
 	}
-	a := refusal.KindOf(err).Answer()
-	if !a.NotRun || !a.Resend {
+	properties := refusal.KindOf(err).Answer()
+	if !properties.NotRun || !properties.Resend {
 		return err
 	}
 	return refusal.Because(refusal.LedgerUnreachable, err, "this attempt was not run, the ledger was not asked about earlier ones")
 }
 
-// join returns the flight of o and starts it when there is none.
-func (d *Desk) join(o Order) (*flight, error) {
-	k := flightKey{key: o.Key, digest: digestOf(o.Call)}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if f, ok := d.flights[k]; ok {
+// joinOrStart returns the order in progress that matches o, or starts o.
+func (e *Desk) joinOrStart(o Order) (*inFlightOrder, error) {
+	k := inFlightKey{key: o.Key, digest: digestOf(o.Call)}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if f, ok := e.inFlight[k]; ok {
 		return f, nil
 	}
-	if d.closed {
+	if e.closed {
 		return nil, Unconfirmed(refusal.New(refusal.Stopping, "instance is stopping"))
 	}
-	if len(d.flights)+d.unrecorded >= MaxFlights {
+	if len(e.inFlight)+e.pendingReleases >= MaxInFlight {
 		return nil, Unconfirmed(refusal.New(refusal.Overloaded, "too many orders in progress"))
 	}
-	f := &flight{done: make(chan struct{})}
-	d.flights[k] = f
-	d.group.Go(func() { d.execute(k, f, o) })
+	f := &inFlightOrder{done: make(chan struct{})}
+	e.inFlight[k] = f
+	e.wg.Go(func() { e.execute(k, f, o) })
 	return f, nil
 }
 
-// execute runs an order and keeps its flight until nothing of it is left to do, so
-// that requests with the same key get the answer also before it is recorded.
-func (d *Desk) execute(k flightKey, f *flight, o Order) {
-	t := &attempt{Desk: d, order: o, claim: order.Claim{
+// execute runs an order. An order with a response stays in flight until the
+// response is recorded, so that requests with the same key get it before then.
+func (e *Desk) execute(k inFlightKey, f *inFlightOrder, o Order) {
+	t := &attempt{Desk: e, order: o, claim: order.Claim{
 		Key:      o.Key,
 		Attempt:  order.AttemptID(fleet.NewRequestID()),
 		Digest:   k.digest,
 		Request:  o.Request,
-		Instance: d.instance,
-		At:       d.clock.Now(),
+		Instance: e.instance,
+		At:       e.clock.Now(),
 	}}
-	f.answer, f.err = t.run()
-	if t.unfinished != nil && f.err == nil {
+	f.response, f.err = t.run()
+	if t.pendingCall != nil && f.err == nil {
 		close(f.done)
-		t.retry()
-		d.finish(k, 0)
+		t.retryPendingCall()
+		e.updateLoad(k, 0)
 		return
 	}
-	// The result of an attempt without an answer is not kept: the next request
-	// asks the ledger.
-	d.finish(k, 1)
+	// The error of an attempt without a response is not kept: the next request
+	// asks the ledger again.
+	e.updateLoad(k, 1)
 	close(f.done)
-	t.retry()
-	d.finish(k, -1)
+	t.retryPendingCall()
+	e.updateLoad(k, -1)
 }
 
-// finish ends a flight and changes the number of unrecorded orders. The second call
-// for an order may find the flight of a later attempt, which it leaves alone.
-func (d *Desk) finish(k flightKey, unrecorded int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if unrecorded >= 0 {
-		delete(d.flights, k)
+// updateLoad adds pendingDelta to the number of pending releases. Unless
+// pendingDelta is negative, it also removes the order in flight. The second call
+// for an order, with -1, must not remove it, because by then the entry may belong
+// to a later attempt.
+func (e *Desk) updateLoad(k inFlightKey, pendingDelta int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if pendingDelta >= 0 {
+		delete(e.inFlight, k)
 	}
-	d.unrecorded += unrecorded
+	e.pendingReleases += pendingDelta
 }
 
-// bounded returns a context that ends after t by the clock of the desk, or when
-// Close gives up.
-func (d *Desk) bounded(t time.Duration) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithCancel(d.work)
-	timer := d.clock.After(t)
+// withTimeout returns a context that is canceled after timeout by the clock of the
+// Executor, or when workCtx ends.
+func (e *Desk) withTimeout(timeout time.Duration) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithCancel(e.workCtx)
+	timer := e.clock.After(timeout)
 	go func() {
 		select {
 		case <-timer:
@@ -255,30 +265,31 @@
 	return ctx, cancel
 }
 
-// attempt is one try to run an order.
+// attempt is one attempt to run an order.
 type attempt struct {
 	*Desk
 	order Order
 	claim order.Claim
-	// unfinished is a call to the ledger that did not succeed yet.
-	unfinished func(context.Context) error
+	// pendingCall is a call to the ledger that failed and must be retried, or nil.
+	pendingCall func(context.Context) error
 }
 
 func (t *attempt) run() (upstream.Answer, error) {
-	ctx, cancel := t.bounded(claimTimeout)
+	ctx, cancel := t.withTimeout(claimTimeout)
 	r, err := t.ledger.Claim(ctx, t.claim)
 	cancel()
 	if err != nil {
-		return upstream.Answer{}, t.unclaimed(err)
+		return upstream.Answer{}, t.claimError(err)
 	}
-	if r.State != order.Claimed || !r.Mine {
-		return t.other(r)
+	if r.State != order.Claimed || !r.HeldByCaller {
+		return t.recordResult(r)
 	}
 	return t.send()
 }
 
-// unclaimed returns the error of a claim that was not confirmed. Nothing is sent.
-func (t *attempt) unclaimed(err error) error {
+// claimError converts the error of a claim that was not confirmed. Nothing is sent
+// for such a claim. If the claim may have taken effect, it is released.
+func (t *attempt) claimError(err error) error {
 	switch refusal.KindOf(err) {
 	case refusal.Overloaded, refusal.BadRequest:
 		// The ledger confirmed that the key has no claim, or the key is not
@@ -287,56 +298,58 @@
 	case refusal.NotReady:
 		return Unconfirmed(err)
 	}
-	t.giveUp()
+	t.releaseClaim()
 	return refusal.Because(refusal.LedgerUnreachable, err, "outcome of the claim is unknown, nothing was sent by this attempt")
 }
 
-// other answers from a record of another attempt.
-func (t *attempt) other(r order.Record) (upstream.Answer, error) {
+// recordResult returns the result for a record whose claim this attempt does not
+// hold.
+func (t *attempt) recordResult(r order.Record) (upstream.Answer, error) {
 	switch {
-	case r.Reused:
+	case r.DigestMismatch:
 		return upstream.Answer{}, refusal.New(refusal.KeyReused, "the key was used before for another order")
 	case r.State == order.Free:
 		return upstream.Answer{}, refusal.New(refusal.Overloaded, "order was not run: the claim came too late")
-	case r.State == order.Done && r.Answer != nil:
-		return *r.Answer, nil
+	case r.State == order.Done && r.Response != nil:
+		return *r.Response, nil
 	case r.State == order.Done:
 		return upstream.Answer{}, refusal.New(refusal.OutcomeUnknown, "the order ran, its answer was too large to be kept")
-	case t.clock.Now().Sub(r.Claim.At) < t.timeout()+SendWithin+lateness:
+	case t.clock.Now().Sub(r.Claim.At) < t.timeout()+MaxSendAge+outcomeMargin:
 		return upstream.Answer{}, refusal.New(refusal.InProgress, "the order is in progress").After(time.Second)
 	}
 	return upstream.Answer{}, refusal.New(refusal.OutcomeUnknown, "an attempt of the order has no answer, an operator must settle it")
 }
 
-// send calls upstreams until one of them may have processed the order.
+// send calls up to maxPicks upstreams until one of them may have processed the
+// order.
 func (t *attempt) send() (upstream.Answer, error) {
-	var last error
+	var lastErr error
 	for range maxPicks {
-		answer, err := t.call()
+		response, err := t.call()
 		switch {
-		case err == nil && notProcessed(answer):
-			err = refusal.New(refusal.NoUpstream, "the upstream answered %d", answer.Status)
+		case err == nil && notProcessed(response):
+			err = refusal.New(refusal.NoUpstream, "the upstream answered %d", response.Status)
 		case err == nil:
-			t.record(answer)
-			return answer, nil
+			t.recordResponse(response)
+			return response, nil
 		case refusal.KindOf(err) != refusal.NoUpstream:
 			return upstream.Answer{}, refusal.Because(refusal.OutcomeUnknown, err, "the order may have run, its answer is missing")
 		}
-		last = err
+		lastErr = err
 	}
-	t.giveUp()
-	return upstream.Answer{}, refusal.Because(refusal.NoUpstream, last, "order was not run")
+	t.releaseClaim()
+	return upstream.Answer{}, refusal.Because(refusal.NoUpstream, lastErr, "order was not run")
 }
 
 // call picks an upstream and sends the order to it. The kind of the error is
 // refusal.NoUpstream when nothing was sent.
 func (t *attempt) call() (upstream.Answer, error) {
-	ctx, cancel := t.bounded(t.timeout())
+	ctx, cancel := t.withTimeout(t.timeout())
 	defer cancel()
-	// The instance may have been frozen since its claim, and an operator may
-	// have settled the claim.
-	if t.clock.Now().Sub(t.claim.At) > SendWithin {
-		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "claim is older than %v", SendWithin)
+	// The instance may have been suspended since it made the claim, and an operator
+	// may have settled the claim in the meantime.
+	if t.clock.Now().Sub(t.claim.At) > MaxSendAge {
+		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "claim is older than %v", MaxSendAge)
 	}
 	client, err := t.order.Pick(ctx)
 	if err != nil {
@@ -352,65 +365,68 @@
 	return DefaultTimeout
 }
 
-// record keeps the answer in the ledger.
-func (t *attempt) record(answer upstream.Answer) {
-	t.try(func(ctx context.Context) error {
-		return t.ledger.Finish(ctx, t.claim.Key, t.claim.Attempt, answer)
+// recordResponse records the response in the ledger.
+func (t *attempt) recordResponse(response upstream.Answer) {
+	t.callLedger(func(ctx context.Context) error {
+		return t.ledger.Finish(ctx, t.claim.Key, t.claim.Attempt, response)
 	})
 }
 
-// giveUp releases the claim. It is called only when nothing was processed.
-func (t *attempt) giveUp() {
-	t.try(func(ctx context.Context) error {
+// releaseClaim releases the claim. It must only be called when no upstream has
+// processed the order.
+func (t *attempt) releaseClaim() {
+	t.callLedger(func(ctx context.Context) error {
 		return t.ledger.Release(ctx, t.claim.Key, t.claim.Attempt)
 	})
 }
 
-// try calls the ledger once and leaves the call to retry when it fails.
-func (t *attempt) try(call func(context.Context) error) {
-	ctx, cancel := t.bounded(recordTimeout)
+// callLedger calls the ledger once. If that fails, it leaves the call to
+// retryPendingCall.
+func (t *attempt) callLedger(call func(context.Context) error) {
+	ctx, cancel := t.withTimeout(recordTimeout)
 	defer cancel()
 	err := call(ctx)
-	if final(err) {
-		t.warn(err)
+	if isFinal(err) {
+		t.warnConflict(err)
 		return
 	}
-	t.unfinished = call
+	t.pendingCall = call
 }
 
-// retry repeats the call that failed until it succeeds or Close gives up.
-func (t *attempt) retry() {
-	call := t.unfinished
-	for pause := firstPause; call != nil; pause = min(2*pause, longestPause) {
+// retryPendingCall retries the failed call, if there is one, until its outcome is
+// final or workCtx ends.
+func (t *attempt) retryPendingCall() {
+	call := t.pendingCall
+	for backoff := minBackoff; call != nil; backoff = min(2*backoff, maxBackoff) {
 		select {
-		case <-t.work.Done():
-			t.log.Error("Order left without its entry in the ledger.", t.fields()...)
+		case <-t.workCtx.Done():
+			t.log.Error("Executor closed before the outcome of an order was stored in the ledger.", t.logFields()...)
 			return
-		case <-t.clock.After(pause):
+		case <-t.clock.After(backoff):
 		}
-		ctx, cancel := t.bounded(recordTimeout)
+		ctx, cancel := t.withTimeout(recordTimeout)
 		err := call(ctx)
 		cancel()
-		if final(err) {
-			t.warn(err)
+		if isFinal(err) {
+			t.warnConflict(err)
 			return
 		}
 	}
 }
 
-// final tells whether a call to the ledger is over: it took effect, or it never
-// will.
-func final(err error) bool {
+// isFinal reports whether a call to the ledger with this error needs no retry: it
+// took effect, or it never will.
+func isFinal(err error) bool {
 	return err == nil || refusal.KindOf(err) == refusal.Conflict
 }
 
-func (t *attempt) warn(err error) {
+func (t *attempt) warnConflict(err error) {
 	if err != nil {
-		t.log.Warn("Ledger holds another outcome of the order.", append(t.fields(), zap.Error(err))...)
+		t.log.Warn("Ledger already holds a different outcome of the order.", append(t.logFields(), zap.Error(err))...)
 	}
 }
 
-func (t *attempt) fields() []zap.Field {
+func (t *attempt) logFields() []zap.Field {
 	return []zap.Field{
 		zap.String("account", string(t.claim.Key.Account)),
 		zap.String("request", string(t.claim.Request)),
@@ -418,18 +434,21 @@
 	}
 }
 
-func notProcessed(a upstream.Answer) bool {
-	return a.Status == http.StatusMisdirectedRequest || a.Status == http.StatusTooEarly
+// notProcessed reports whether the status of a response guarantees that the
+// upstream did not process the request.
+func notProcessed(response upstream.Answer) bool {
+	return response.Status == http.StatusMisdirectedRequest || response.Status == http.StatusTooEarly
 }
 
-// digestOf returns the SHA-256 of method, path and body, each with its length.
+// digestOf returns the SHA-256 of method, path and body, each prefixed with its
+// length as 8 bytes.
 func digestOf(c upstream.Call) [32]byte {
 	h := sha256.New()
-	for _, part := range [][]byte{[]byte(c.Method), []byte(c.Path), c.Body} {
+	for _, field := range [][]byte{[]byte(c.Method), []byte(c.Path), c.Body} {
 		var length [8]byte
-		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
+		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 		h.Write(length[:])
-		h.Write(part)
+		h.Write(field)
 	}
 	var digest [32]byte
 	h.Sum(digest[:0])
--- a/internal/order/ledger/codec.go
+++ b/internal/order/ledger/codec.go
@@ -13,9 +13,10 @@
 	"github.com/pkg/errors"
 )
 
-// version is the version of commands, queries, replies and snapshots.
+// version is the format version of commands, queries, replies and snapshots.
 const version = 1
 
+// kind selects the operation of a command or query.
 type kind string
 
 const (
@@ -23,12 +24,12 @@
 	finishKind      kind = "finish"
 	releaseKind     kind = "release"
 	settleKind      kind = "settle"
-	openKind        kind = "open"
+	openClaimsKind  kind = "open"
 	settlementsKind kind = "settlements"
 	usageKind       kind = "usage"
 )
 
-// command is a command or a query.
+// command is a command or a query in JSON.
 type command struct {
 	Version  int              `json:"version"`
 	Kind     kind             `json:"kind"`
@@ -39,62 +40,65 @@
 	Instance fleet.InstanceID `json:"instance,omitempty"`
 	At       time.Time        `json:"at"`
 	Limits   Limits           `json:"limits"`
-	// Answer is an encoded upstream.Answer.
-	Answer []byte `json:"answer,omitempty"`
-	// Operator, Note and Ran are for settle.
+	// Response is an upstream.Response in JSON. It is empty when the response is
+	// too large to be kept.
+	Response []byte `json:"answer,omitempty"`
+	// Operator, Note and Ran are only set for settleKind.
 	Operator string `json:"operator,omitempty"`
 	Note     string `json:"note,omitempty"`
 	Ran      bool   `json:"ran,omitempty"`
-	// Limit is for queries.
+	// Limit is the maximum number of entries in the reply to a query.
 	Limit int `json:"limit,omitempty"`
 }
 
-// reply answers a command or a query.
+// reply is the reply to a command or a query, in JSON.
 type reply struct {
-	Version int         `json:"version"`
-	Error   string      `json:"error,omitempty"`
-	State   order.State `json:"state"`
-	Record  *record     `json:"record,omitempty"`
-	Mine    bool        `json:"mine,omitempty"`
-	Reused  bool        `json:"reused,omitempty"`
-	// Full names the bound that kept a claim from being made.
-	Full string `json:"full,omitempty"`
-	// Lost tells that the attempt does not hold the claim.
-	Lost        bool         `json:"lost,omitempty"`
-	Settled     *Settlement  `json:"settled,omitempty"`
-	Open        []Open       `json:"open,omitempty"`
+	Version        int         `json:"version"`
+	Error          string      `json:"error,omitempty"`
+	State          order.State `json:"state"`
+	Record         *record     `json:"record,omitempty"`
+	HeldByCaller   bool        `json:"mine,omitempty"`
+	DigestMismatch bool        `json:"reused,omitempty"`
+	// RejectReason says why a command was rejected, for example which limit a
+	// claim would exceed.
+	RejectReason string `json:"full,omitempty"`
+	// NotHeld reports that the attempt does not hold the claim.
+	NotHeld     bool         `json:"lost,omitempty"`
+	Settlement  *Settlement  `json:"settled,omitempty"`
+	OpenClaims  []Open       `json:"open,omitempty"`
 	Settlements []Settlement `json:"settlements,omitempty"`
 	Usage       *Usage       `json:"usage,omitempty"`
 }
 
-// Usage tells how near a group is to its limits.
+// Usage shows how much of its limits a group uses.
 type Usage struct {
-	// Records counts keys and released attempts, Open the keys without an
-	// answer.
+	// Records is the number of keys and released attempts.
 	Records int `json:"records"`
-	Open    int `json:"open"`
-	// Bytes counts recorded answers and what open claims reserve.
+	// OpenClaims is the number of claims without a response.
+	OpenClaims int `json:"open"`
+	// Bytes is the size of the recorded responses plus what open claims reserve.
 	Bytes int `json:"bytes"`
-	// Oldest is the time of the oldest claim without an answer.
-	Oldest time.Time `json:"oldest"`
+	// OldestOpen is the time of the oldest claim without a response, or zero if
+	// there is none.
+	OldestOpen time.Time `json:"oldest"`
 }
 
-// Settlement is the statement of an operator about an order whose outcome was
-// unknown.
+// Settlement is an operator's statement about an order whose outcome was unknown.
 type Settlement struct {
 	Key      order.Key       `json:"key"`
 	Attempt  order.AttemptID `json:"attempt"`
 	Operator string          `json:"operator"`
 	Note     string          `json:"note,omitempty"`
-	// Ran tells whether the order ran. The key of an order that did not run is
-	// free again.
+	// Ran reports whether the order ran. The key of an order that did not run
+	// becomes free again.
 	Ran bool      `json:"ran"`
 	At  time.Time `json:"at"`
-	// AnsweredLater tells that the answer of the attempt arrived afterwards.
-	AnsweredLater bool `json:"answeredLater,omitempty"`
+	// LateResponse reports whether a response of the attempt arrived after the
+	// settlement.
+	LateResponse bool `json:"answeredLater,omitempty"`
 }
 
-// Open is a claim without an answer.
+// OpenClaim is a claim without a response.
 type Open struct {
 	Key      order.Key        `json:"key"`
 	Attempt  order.AttemptID  `json:"attempt"`
@@ -105,48 +109,49 @@
 
 var _ quorum.Reader = (*Machine)(nil)
 
-// Apply runs one command.
+// Apply implements quorum.StateMachine.
 func (m *Machine) Apply(_ quorum.Index, data []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c, err := decodeCommand(data)
 	if err != nil {
-		return encode(reply{Error: err.Error()})
+		return encodeReply(reply{Error: err.Error()})
 	}
 	switch c.Kind {
 	case claimKind:
-		return encode(m.claim(c))
+		return encodeReply(m.claim(c))
 	case finishKind:
-		return encode(m.finish(c))
+		return encodeReply(m.finish(c))
 	case releaseKind:
-		return encode(m.release(c))
+		return encodeReply(m.release(c))
 	case settleKind:
-		return encode(m.settle(c))
+		return encodeReply(m.settle(c))
 	}
-	return encode(reply{Error: "unknown kind of command"})
+	return encodeReply(reply{Error: "unknown kind of command"})
 }
 
-// Query answers a query.
+// Query implements quorum.QueryableStateMachine.
 func (m *Machine) Query(data []byte) []byte {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	c, err := decodeCommand(data)
 	if err != nil {
-		return encode(reply{Error: err.Error()})
+		return encodeReply(reply{Error: err.Error()})
 	}
 	switch c.Kind {
-	case openKind:
-		return encode(reply{Open: m.open(c)})
+	case openClaimsKind:
+		return encodeReply(reply{OpenClaims: m.openClaims(c)})
 	case settlementsKind:
-		return encode(reply{Settlements: m.settled(c)})
+		return encodeReply(reply{Settlements: m.accountSettlements(c)})
 	case usageKind:
-		return encode(reply{Usage: m.usage()})
+		return encodeReply(reply{Usage: m.usage()})
 	}
-	return encode(reply{Error: "unknown kind of query"})
+	return encodeReply(reply{Error: "unknown kind of query"})
 }
 
-// open lists the oldest claims without an answer of an account.
-func (m *Machine) open(c command) []Open {
+// openClaims returns the claims of an account without a response, the oldest
+// first.
+func (m *Machine) openClaims(c command) []Open {
 	var list []Open
 	for k, r := range m.records {
 		if k.Account == c.Key.Account && r.State == order.Claimed {
@@ -156,7 +161,7 @@
 	slices.SortFunc(list, func(a, b Open) int {
 		return cmp.Or(a.At.Compare(b.At), strings.Compare(a.Key.Name, b.Key.Name))
 	})
-	return list[:min(len(list), max(c.Limit, 0), MaxPage)]
+	return list[:min(len(list), max(c.Limit, 0), MaxPageEntries)]
 }
 
 func (m *Machine) usage() *Usage {
@@ -165,18 +170,18 @@
 		if r.State != order.Claimed {
 			continue
 		}
-		u.Open++
-		if u.Oldest.IsZero() || r.At.Before(u.Oldest) {
-			u.Oldest = r.At
+		u.OpenClaims++
+		if u.OldestOpen.IsZero() || r.At.Before(u.OldestOpen) {
+			u.OldestOpen = r.At
 		}
 	}
 	return u
 }
 
-// settled lists the newest settlements of an account, the newest first.
-func (m *Machine) settled(c command) []Settlement {
+// accountSettlements returns the settlements of an account, the newest first.
+func (m *Machine) accountSettlements(c command) []Settlement {
 	var list []Settlement
-	for i := len(m.settlements) - 1; i >= 0 && len(list) < min(c.Limit, MaxPage); i-- {
+	for i := len(m.settlements) - 1; i >= 0 && len(list) < min(c.Limit, MaxPageEntries); i-- {
 		if s := m.settlements[i]; s.Key.Account == c.Key.Account {
 			list = append(list, s)
 		}
@@ -195,8 +200,9 @@
 	return c, nil
 }
 
-// encode returns p in JSON. A reply always encodes.
-func encode(p reply) []byte {
+// encodeReply returns p in JSON. It panics on an encoding error, which can't occur
+// for a reply.
+func encodeReply(p reply) []byte {
 	p.Version = version
 	data, err := json.Marshal(p)
 	if err != nil {
