--- a/internal/fleet/board/board.go
+++ b/internal/fleet/board/board.go
@@ -1,14 +1,13 @@
-// Package board holds the blackboard: shared state that controllers read and
-// write.
+// Package board provides containers for state that goroutines share.
 //
-// Shards is a map that is split into parts with one lock each, so that no lock
+// ShardedMap is a map that is split into shards with one lock each, so that no lock
 // is shared by all keys:
 //
-//	var inFlight board.Shards[fleet.UpstreamID, int]
+//	var inFlight board.ShardedMap[fleet.UpstreamID, int]
 //	inFlight.Update(id, func(n int, ok bool) (int, bool) { return n + 1, true })
 //
-// The zero value of Shards is an empty map that is ready for use. Cell holds one
-// value that is replaced whole, such as the configuration in force.
+// The zero value of ShardedMap is an empty map that is ready for use. Cell holds one
+// value that is replaced as a whole, such as the active configuration.
 package board
 
 import (
@@ -18,10 +17,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const shardCount = 64 // a power of two, so that a mask selects the shard
+const shardCount = 64 // must be a power of two, because a mask of the hash selects the shard
 
-// Shards is a map from K to V in shards, each under its own lock. It is safe for
-// concurrent use and must not be copied after first use.
+// Shards is a map from K to V that is split into shards, each with its own lock.
+// It is safe for concurrent use and must not be copied after first use.
 type Shards[K ~string, V any] struct {
 	shards [shardCount]shard[K, V]
 }
@@ -29,16 +28,16 @@
 type shard[K ~string, V any] struct {
 	mu     sync.RWMutex
 	values map[K]V
-	_      [32]byte // keeps neighbouring locks on different cache lines
+	_      [32]byte // padding that keeps neighbouring locks on different cache lines
 }
 
-func (s *Shards[K, V]) of(k K) *shard[K, V] {
+func (s *Shards[K, V]) shardFor(k K) *shard[K, V] {
 	return &s.shards[xxhash.Sum64String(string(k))&(shardCount-1)]
 }
 
-// Get returns the value of k and whether there is one.
+// Get returns the value of k and whether k is present.
 func (s *Shards[K, V]) Get(k K) (V, bool) {
-	h := s.of(k)
+	h := s.shardFor(k)
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	v, ok := h.values[k]
@@ -47,7 +46,7 @@
 
 // Put sets the value of k.
 func (s *Shards[K, V]) Put(k K, v V) {
-	h := s.of(k)
+	h := s.shardFor(k)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.put(k, v)
@@ -55,17 +54,17 @@
 
 // Delete removes k.
 func (s *Shards[K, V]) Delete(k K) {
-	h := s.of(k)
+	h := s.shardFor(k)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.values, k)
 }
 
-// Update calls f with the value of k and whether there is one, under the lock of
-// the shard. It stores the returned value, or removes k when f returns false.
-// f must not call s.
+// Update calls f with the value of k and whether k is present, while it holds the
+// lock of the shard. It stores the value that f returns, or removes k if f returns
+// false. f must not call methods of s, which would deadlock.
 func (s *Shards[K, V]) Update(k K, f func(v V, ok bool) (V, bool)) {
-	h := s.of(k)
+	h := s.shardFor(k)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old, ok := h.values[k]
@@ -77,17 +76,17 @@
 	h.put(k, v)
 }
 
-// Range calls f for every pair until f returns false. It locks one shard at a
-// time, so it is not a snapshot of the whole map. f must not write to s.
+// Range calls f for every entry until f returns false. It locks one shard at a time,
+// so it does not see a consistent snapshot of the map. f must not write to s.
 func (s *Shards[K, V]) Range(f func(k K, v V) bool) {
 	for i := range s.shards {
-		if !s.shards[i].visit(f) {
+		if !s.shards[i].forEach(f) {
 			return
 		}
 	}
 }
 
-// Len returns the number of pairs.
+// Len returns the number of entries. It locks one shard at a time.
 func (s *Shards[K, V]) Len() int {
 	n := 0
 	for i := range s.shards {
@@ -106,7 +105,7 @@
 	h.values[k] = v
 }
 
-func (h *shard[K, V]) visit(f func(k K, v V) bool) bool {
+func (h *shard[K, V]) forEach(f func(k K, v V) bool) bool {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	for k, v := range h.values {
@@ -117,21 +116,22 @@
 	return true
 }
 
-// Cell holds one value that is replaced whole. Readers never wait. The zero
-// value holds nil.
+// Cell holds a pointer to a value that is replaced as a whole. Load never blocks. The
+// zero Cell holds nil.
 type Cell[V any] struct {
 	value atomic.Pointer[V]
 }
 
-// Load returns the value, or nil. The value must not be changed.
+// Load returns the current value, or nil. The caller must not modify it.
 func (c *Cell[V]) Load() *V { return c.value.Load() }
 
-// Advance replaces the value by next when newer reports true for the current
-// value, which may be nil. It returns whether it did.
-func (c *Cell[V]) Advance(next *V, newer func(old *V) bool) bool {
+// Advance atomically replaces the value by next if condition returns true for the
+// current value, which may be nil. It reports whether the value was replaced. condition
+// may be called several times.
+func (c *Cell[V]) Advance(next *V, condition func(old *V) bool) bool {
 	for {
 		old := c.value.Load()
-		if !newer(old) {
+		if !condition(old) {
 			return false
 		}
 		if c.value.CompareAndSwap(old, next) {
--- a/internal/fleet/board/board_test.go
+++ b/internal/fleet/board/board_test.go
@@ -34,11 +34,12 @@
 	is.Equal(s.Len(), 7)
 	s.Update("0", func(int, bool) (int, bool) { return 0, false })
 	_, found := s.Get("0")
-	is.True(!found) // an update that does not keep the value removes it
+	is.True(!found) // a function that returns false removes the key
 }
 
-// TestAdvance guards against a value that goes back when writers race.
-func TestAdvance(t *testing.T) {
+// TestStoreIf guards against concurrent writers that replace a newer value by an older
+// one.
+func TestStoreIf(t *testing.T) {
 	is := is.New(t)
 	var c board.Cell[int]
 	var wg sync.WaitGroup
--- a/internal/fleet/enum.go
+++ b/internal/fleet/enum.go
@@ -2,15 +2,16 @@
 
 import "github.com/pkg/errors"
 
-// Named is an enumeration whose values start at 0 and have generated names.
-type Named interface {
+// Enum is an integer enumeration whose values start at 0 and have a generated
+// String method.
+type Enum interface {
 	~int
 	String() string
 }
 
-// ParseName returns the value of an enumeration with count values that has the
-// given name.
-func ParseName[E Named](name string, count int) (E, error) {
+// ParseName returns the value of E whose String method returns name. E has count
+// values, from 0 to count-1.
+func ParseName[E Enum](name string, count int) (E, error) {
 	for i := range count {
 		if e := E(i); e.String() == name {
 			return e, nil
--- a/internal/fleet/excerpt/excerpt_test.go
+++ b/internal/fleet/excerpt/excerpt_test.go
@@ -11,13 +11,14 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/excerpt"
 )
 
-// Guards against long log lines, and against short errors that lose their causes.
+// TestExcerpts guards against long log lines, and against short errors that lose their
+// causes.
 func TestExcerpts(t *testing.T) {
 	is := is.New(t)
 	long := strings.Repeat("x", 1<<20)
-	is.Equal(excerpt.Text(long), long[:excerpt.Max]+"...")
-	is.Equal(excerpt.Text(long[:excerpt.Max]), long[:excerpt.Max])
-	is.Equal(excerpt.Error(errors.New(long)).Error(), long[:excerpt.Max]+"...")
+	is.Equal(excerpt.Text(long), long[:excerpt.MaxBytes]+"...")
+	is.Equal(excerpt.Text(long[:excerpt.MaxBytes]), long[:excerpt.MaxBytes])
+	is.Equal(excerpt.Error(errors.New(long)).Error(), long[:excerpt.MaxBytes]+"...")
 	is.True(errors.Is(excerpt.Error(errors.Wrap(io.EOF, "read")), io.EOF))
 	is.NoErr(excerpt.Error(nil))
 }
--- a/internal/fleet/fakeclock/fakeclock.go
+++ b/internal/fleet/fakeclock/fakeclock.go
@@ -1,5 +1,5 @@
-// Package fakeclock implements fleet.Clock for tests. The time stands still
-// until Advance moves it:
+// Package fakeclock implements fleet.Clock for tests. The time changes only when
+// Advance is called:
 //
 //	c := fakeclock.New(fakeclock.Start)
 //	c.Advance(3 * time.Second)
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Start is the time that tests usually begin at.
+// Start is the usual start time of tests.
 var Start = time.Date(2026, time.January, 5, 9, 0, 0, 0, time.UTC)
 
-// Clock is a clock that only Advance moves. It is safe for concurrent use.
+// Clock is a clock whose time only Advance changes. It is safe for concurrent use.
 type Clock struct {
 	mu      sync.Mutex
 	now     time.Time
@@ -26,20 +26,20 @@
 	ch chan time.Time
 }
 
-// New returns a Clock that shows start.
+// New returns a Clock that is set to start.
 func New(start time.Time) *Clock {
 	return &Clock{now: start}
 }
 
-// Now returns the time that the clock shows.
+// Now returns the time to which the clock is set.
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-// After returns a channel that receives the time as soon as Advance has moved
-// the clock by at least d. A d of zero or less is received at once.
+// After returns a channel that receives the time once Advance has moved the clock by
+// at least d. If d is zero or negative, the channel receives the time at once.
 func (c *Clock) After(d time.Duration) <-chan time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,8 +52,8 @@
 	return ch
 }
 
-// Advance moves the clock by d and wakes the waiters whose time has come, the
-// earliest first.
+// Advance moves the clock forward by d and sends to the channels of After whose time
+// is reached, in the order of their times.
 func (c *Clock) Advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// Waiters returns the number of channels that wait for Advance.
+// Waiters returns the number of channels of After that have not received a time yet.
 func (c *Clock) Waiters() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet holds the identifiers, units and the clock interface that all
-// parts of bilberryrock share.
+// Package fleet defines the identifiers, numeric types and the clock interface that
+// all packages of bilberryrock share.
 //
-// An InstanceID names one daemon, an UpstreamID one back end that announced
-// itself, and a DataCentreID the zone that both belong to. Decision logic takes
-// a Clock instead of calling time.Now, so that tests can move the time:
+// An InstanceID identifies one daemon, an UpstreamID one upstream that announced
+// itself, and a DataCentreID the data centre of either. Code that depends on the
+// time takes a Clock instead of calling time.Now, so that tests can control it:
 //
 //	deadline := clock.Now().Add(timeout)
 //	select {
@@ -22,63 +22,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// InstanceID names one running daemon of the system. It stays the same over
+// InstanceID identifies one daemon of the system. It does not change when the daemon
 // restarts.
 type InstanceID string
 
-// DataCentreID names a data centre.
+// DataCentreID identifies a data centre.
 type DataCentreID string
 
-// RegionID names a group of data centres.
+// RegionID identifies a group of data centres.
 type RegionID string
 
-// TeamID names the owner of one section of the configuration document.
+// TeamID identifies the owner of one section of the configuration document.
 type TeamID string
 
-// AccountID names a client account.
+// AccountID identifies a client account.
 type AccountID string
 
-// UpstreamID names a model engine or a plain service that announced itself.
+// UpstreamID identifies a model engine or a plain service that announced itself.
 type UpstreamID string
 
-// PoolID names a set of interchangeable upstreams.
+// PoolID identifies a set of interchangeable upstreams.
 type PoolID string
 
-// ModelID names a model of the configuration document.
+// ModelID identifies a model in the configuration document.
 type ModelID string
 
-// RequestID names one request of a caller. It is unique over all instances.
+// RequestID identifies one request of a caller. It is unique across all instances.
 type RequestID string
 
-// ChangeID names one submission of an operator. A resent submission carries the
+// ChangeID identifies one submission of an operator. A resent submission carries the
 // same ChangeID.
 type ChangeID string
 
-// Revision numbers the accepted states of the configuration document. It only
-// grows; zero means that nothing was accepted yet.
+// Revision numbers the accepted versions of the configuration document. It never
+// decreases; zero means that no version was accepted yet.
 type Revision uint64
 
-// Incarnation tells the lives of one instance or upstream apart. A restarted
-// process uses a higher Incarnation than before.
+// Incarnation distinguishes the starts of one instance or upstream. A restarted
+// process has a higher Incarnation than before.
 type Incarnation uint64
 
-// Fence is a fencing number. A command with a lower Fence than one seen before is
-// out of date.
+// Fence increases with each new lease on an engine and each new leadership.
+// A command with a lower FencingToken than one seen before is stale.
 type Fence uint64
 
-// Epoch numbers the chains that served one request, starting at 1.
+// Epoch numbers the engine chains that have processed one request, starting at 1.
 type Epoch uint32
 
-// Position is the index of a token in the prompt and answer of one request.
+// Position is the index of a token in the sequence of prompt and generated tokens of
+// one request.
 type Position int
 
-// Layer is the index of one layer of a model, starting at 0.
+// Layer is the index of a layer of a model, starting at 0.
 type Layer int
 
-// Priority orders requests of different urgency. Higher values go first.
+// Priority orders requests by urgency. Requests with higher values are served first.
 type Priority int
 
-// Clock tells the time and waits. Implementations are safe for concurrent use.
+// Clock reads the time and starts timers. Implementations are safe for concurrent use.
 type Clock interface {
 	// Now returns the current time.
 	Now() time.Time
@@ -86,31 +87,31 @@
 	After(d time.Duration) <-chan time.Time
 }
 
-// mark is the length of the part of a RequestID that names the instance, in
-// hexadecimal digits.
-const mark = 8
+// instancePrefixLength is the number of hexadecimal digits at the start of a RequestID
+// that identify the instance.
+const instancePrefixLength = 8
 
 // NewRequestID returns a random RequestID of 128 bits in hexadecimal.
 func NewRequestID() RequestID {
 	var b [16]byte
-	// crypto/rand.Read never fails: it aborts the program when the kernel
-	// can't deliver.
+	// crypto/rand.Read never returns an error: it aborts the program if the kernel
+	// cannot provide random bytes.
 	_, _ = rand.Read(b[:])
 	return RequestID(hex.EncodeToString(b[:]))
 }
 
-// NewRequestID returns a RequestID whose first 32 bits are a hash of the instance
-// that received the request, so that its records can be found again.
+// NewRequestID returns a RequestID whose first 32 bits are a hash of i, the instance
+// that received the request, so that its records can be located by the ID.
 func (i InstanceID) NewRequestID() RequestID {
-	return RequestID(i.mark()) + NewRequestID()[mark:]
+	return RequestID(i.requestIDPrefix()) + NewRequestID()[instancePrefixLength:]
 }
 
-// MayBeOf tells whether the request may have been received by the instance. It
-// is true for the right one, and rarely for another.
+// MayBeOf reports whether instance i may have received the request. It is true for the
+// instance that did, and rarely for another one, because the prefix has only 32 bits.
 func (r RequestID) MayBeOf(i InstanceID) bool {
-	return strings.HasPrefix(string(r), i.mark())
+	return strings.HasPrefix(string(r), i.requestIDPrefix())
 }
 
-func (i InstanceID) mark() string {
-	return fmt.Sprintf("%016x", xxhash.Sum64String(string(i)))[:mark]
+func (i InstanceID) requestIDPrefix() string {
+	return fmt.Sprintf("%016x", xxhash.Sum64String(string(i)))[:instancePrefixLength]
 }
--- a/internal/fleet/refusal/refusal.go
+++ b/internal/fleet/refusal/refusal.go
@@ -1,12 +1,12 @@
-// Package refusal holds the closed list of error kinds and the table from a
-// kind to the answer that a caller or an operator gets.
+// Package refusal defines the closed list of error kinds and maps each kind to the
+// response that a caller or an operator gets.
 //
-// Code that refuses a request returns an *Error:
+// Code that rejects a request returns an *Error:
 //
 //	return refusal.New(refusal.Overloaded, "queue of account %q is full", account)
 //
-// A layer that adds context wraps it with Because or with errors.Wrap. KindOf
-// finds the kind again, however often the error was wrapped.
+// A layer that adds context wraps the error with WithCause or errors.Wrap. KindOf
+// returns the kind of an error even if it was wrapped several times.
 package refusal
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is the kind of an error. The list is closed: every error that leaves the
-// system has one of these kinds.
+// Kind classifies an error. The list is closed: every error that leaves the system has
+// one of these kinds.
 type Kind int
 
 // The error kinds.
@@ -48,20 +48,21 @@
 	kindCount
 )
 
-// Answer is what the outside sees of a Kind.
+// Answer describes how an error of a Kind is reported to a caller or an operator.
 type Answer struct {
-	// Status is the HTTP status.
+	// Status is the HTTP status code.
 	Status int
-	// Code is the code in the body, in camel case.
+	// Code is the error code in the response body, in camel case.
 	Code string
-	// NotRun tells that the request was certainly not run.
+	// NotRun reports that the request was certainly not executed.
 	NotRun bool
-	// Resend tells that the caller may safely send the same request again. For
-	// an order that may not be repeated this means: with the same key.
+	// Resend reports that the caller may safely send the same request again. An
+	// order, which must not be executed twice, must be sent again with the same
+	// idempotency key.
 	Resend bool
 }
 
-var answers = [kindCount]Answer{
+var responses = [kindCount]Answer{
 	Internal:          {http.StatusInternalServerError, "internal", false, false},
 	BadRequest:        {http.StatusBadRequest, "badRequest", true, false},
 	Unauthenticated:   {http.StatusUnauthorized, "unauthenticated", true, false},
@@ -85,16 +86,16 @@
 	HeadTooLarge:      {http.StatusRequestHeaderFieldsTooLarge, "headTooLarge", true, false},
 }
 
-// Answer returns the row of the table for k. A Kind outside of the list has the
-// row of Internal.
+// Answer returns the response for k. A Kind that is not in the list has the response of
+// Internal.
 func (k Kind) Answer() Answer {
 	if k < 0 || k >= kindCount {
-		return answers[Internal]
+		return responses[Internal]
 	}
-	return answers[k]
+	return responses[k]
 }
 
-// Kinds returns all kinds in order.
+// Kinds returns all kinds in the order of their values.
 func Kinds() []Kind {
 	all := make([]Kind, kindCount)
 	for i := range all {
@@ -105,12 +106,12 @@
 
 // Error is an error with a kind.
 type Error struct {
-	// Kind tells which answer the error leads to.
+	// Kind determines the response.
 	Kind Kind
-	// Message says what was wrong, for the person who reads the answer. It holds
-	// no secrets.
+	// Message describes the error to the person who reads the response. It must not
+	// contain secrets.
 	Message string
-	// RetryAfter is the time after which a resend may succeed. Zero means
+	// RetryAfter is the time after which a retry may succeed. Zero means that it is
 	// unknown.
 	RetryAfter time.Duration
 	cause      error
@@ -121,19 +122,20 @@
 	return &Error{Kind: k, Message: fmt.Sprintf(format, args...)}
 }
 
-// Because returns an Error with a formatted message that wraps cause.
+// Because returns an Error with a formatted message that wraps cause. Unlike
+// errors.Wrap it returns an Error without a cause if cause is nil.
 func Because(k Kind, cause error, format string, args ...any) *Error {
 	return &Error{Kind: k, Message: fmt.Sprintf(format, args...), cause: cause}
 }
 
-// After returns a copy of e that asks the caller to wait for d.
+// After returns a copy of e whose RetryAfter is d.
 func (e *Error) After(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Error returns the message and the cause.
+// Error returns the message, followed by the text of the cause if there is one.
 func (e *Error) Error() string {
 	if e.cause == nil {
 		return e.Message
@@ -144,7 +146,8 @@
 // Unwrap returns the wrapped cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// KindOf returns the kind of the outermost Error in err, or Internal.
+// KindOf returns the kind of the outermost Error in the chain of err, or Internal if
+// there is none.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/fleet/refusal/refusal_test.go
+++ b/internal/fleet/refusal/refusal_test.go
@@ -14,37 +14,37 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/refusal"
 )
 
-// TestTable guards against a kind without a row, and against two kinds with the
-// same code.
-func TestTable(t *testing.T) {
+// TestResponses guards against a kind without a response, and against two kinds with
+// the same code.
+func TestResponses(t *testing.T) {
 	is := is.New(t)
 	codes := make(map[string]bool)
 	for _, k := range refusal.Kinds() {
-		a := k.Answer()
-		is.True(a.Status >= http.StatusBadRequest) // every kind has an HTTP status
-		is.True(a.Code != "")
-		is.True(!codes[a.Code]) // codes are unique
-		codes[a.Code] = true
+		r := k.Answer()
+		is.True(r.Status >= http.StatusBadRequest) // every kind has an HTTP status
+		is.True(r.Code != "")
+		is.True(!codes[r.Code]) // codes are unique
+		codes[r.Code] = true
 	}
 }
 
-// TestDocumentation guards against a row of docs/api.md that differs from the
-// table.
+// TestDocumentation guards against an error table in docs/api.md that differs from the
+// responses.
 func TestDocumentation(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile("../../../docs/api.md")
 	is.NoErr(err)
-	word := map[bool]string{true: "yes", false: "no"}
+	yesNo := map[bool]string{true: "yes", false: "no"}
 	for _, k := range refusal.Kinds() {
-		a := k.Answer()
-		row := fmt.Sprintf("| `%s` | %d | %s | %s |", a.Code, a.Status, word[a.NotRun], word[a.Resend])
-		is.True(strings.Contains(string(raw), row)) // docs/api.md has the row
+		r := k.Answer()
+		row := fmt.Sprintf("| `%s` | %d | %s | %s |", r.Code, r.Status, yesNo[r.NotRun], yesNo[r.Resend])
+		is.True(strings.Contains(string(raw), row)) // docs/api.md contains the row
 	}
 }
 
-// TestUncertain guards against "not run" for a kind that is used after something
-// may have been sent.
-func TestUncertain(t *testing.T) {
+// TestMayHaveRun guards against NotRun for a kind that is also used after a request may
+// have been sent to an upstream.
+func TestMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	for _, k := range []refusal.Kind{
 		refusal.Internal, refusal.Deadline, refusal.InProgress, refusal.OutcomeUnknown,
--- a/internal/fleet/settings/keys.go
+++ b/internal/fleet/settings/keys.go
@@ -11,32 +11,33 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// Key describes one key of the settings file, for documentation.
+// Key describes one key of the settings file and how its value is stored in Settings.
 type Key struct {
 	Section string
 	Name    string
-	// Unit says what the value is, such as "duration" or "address".
-	Unit string
-	// Default is the value in force if the key is missing. A required key has
-	// none.
+	// Type is the type of the value as it is documented, such as "duration" or
+	// "address".
+	Type string
+	// Default is the value that is used if the key is missing. It is empty if
+	// the key is required.
 	Default  string
 	Required bool
-	// Bounds says which values are allowed.
-	Bounds string
-	Help   string
-	set    func(s *Settings, value string) error
+	// Constraint describes the allowed values.
+	Constraint string
+	Help       string
+	set        func(s *Settings, value string) error
 }
 
-// Row returns the row of the table in docs/configuration.md.
+// Row returns the row for k of the table in docs/configuration.md.
 func (k Key) Row() string {
-	def := k.Default
+	defaultText := k.Default
 	if k.Required {
-		def = "required"
+		defaultText = "required"
 	}
-	return fmt.Sprintf("| `%s` | `%s` | %s | %s | %s | %s |", k.Section, k.Name, k.Unit, def, k.Bounds, k.Help)
+	return fmt.Sprintf("| `%s` | `%s` | %s | %s | %s | %s |", k.Section, k.Name, k.Type, defaultText, k.Constraint, k.Help)
 }
 
-// Keys returns all keys that a settings file may have, in the order of the
+// Keys returns all keys that a settings file may contain, in the order of the
 // documentation.
 func Keys() []Key {
 	var all []Key
@@ -61,7 +62,7 @@
 		text(section, "id", "name of the instance, unique in the fleet", func(s *Settings) *string { return (*string)(&s.Instance.ID) }).required(),
 		text(section, "dataCentre", "data centre of the instance", func(s *Settings) *string { return (*string)(&s.Instance.DataCentre) }).required(),
 		text(section, "dataFolder", "folder of the durable state; empty: the instance keeps none", func(s *Settings) *string { return &s.Instance.DataFolder }),
-		flag(section, "votes", "false", "whether the instance is a member of the replicated logs", func(s *Settings) *bool { return &s.Instance.Votes }),
+		boolean(section, "votes", "false", "whether the instance is a member of the replicated logs", func(s *Settings) *bool { return &s.Instance.Votes }),
 		number(section, "fleetSize", "16", 1, 1000, "greatest number of instances in the data centre", func(s *Settings) *int { return &s.Instance.FleetSize }),
 		duration(section, "drainDelay", "2s", 0, 5*time.Minute, "time between not ready and the first refusal in a graceful stop, for the balancer to notice", func(s *Settings) *time.Duration { return &s.Instance.DrainDelay }),
 		duration(section, "stopTimeout", "2m", time.Second, time.Hour, "greatest time of a graceful stop", func(s *Settings) *time.Duration { return &s.Instance.StopTimeout }),
@@ -83,7 +84,7 @@
 func membershipKeys() []Key {
 	const section = "membership"
 	return []Key{
-		list(section, "seeds", "gossip addresses of other instances, separated by commas", func(s *Settings) *[]string { return &s.Membership.Seeds }),
+		addressList(section, "seeds", "gossip addresses of other instances, separated by commas", func(s *Settings) *[]string { return &s.Membership.Seeds }),
 		secret(section, "secretFile", "file with the secret that authenticates gossip, at least 16 bytes", func(s *Settings) *[]byte { return &s.Membership.Secret }).required(),
 	}
 }
@@ -175,7 +176,7 @@
 
 func faultKeys() []Key {
 	return []Key{
-		flag("faults", "injection", "false", "whether the platform listener accepts POST /faults; for tests only", func(s *Settings) *bool { return &s.Faults.Injection }),
+		boolean("faults", "injection", "false", "whether the platform listener accepts POST /faults; for tests only", func(s *Settings) *bool { return &s.Faults.Injection }),
 	}
 }
 
@@ -194,11 +195,11 @@
 func parseVoter(item string) (Voter, error) {
 	fields := strings.Split(item, "@")
 	if len(fields) != 3 {
-		return Voter{}, fail("%q is not of the form number@instance@address", item)
+		return Voter{}, errorf("%q is not of the form number@instance@address", item)
 	}
 	id, err := strconv.ParseUint(fields[0], 10, 64)
 	if err != nil || id == 0 {
-		return Voter{}, fail("%q: the voter number is not a positive integer", item)
+		return Voter{}, errorf("%q: the voter number is not a positive integer", item)
 	}
 	if err := checkAddress(fields[2]); err != nil {
 		return Voter{}, err
@@ -211,10 +212,10 @@
 	for _, item := range splitList(value) {
 		team, digest, ok := strings.Cut(item, ":")
 		if !ok || team == "" || len(digest) != 64 || strings.Trim(digest, "0123456789abcdef") != "" {
-			return fail("an item is not of the form team:sha256 with 64 lower-case hexadecimal digits")
+			return errorf("an item is not of the form team:sha256 with 64 lower-case hexadecimal digits")
 		}
-		if _, taken := s.Operators.Tokens[digest]; taken {
-			return fail("two items have the same SHA-256")
+		if _, duplicate := s.Operators.Tokens[digest]; duplicate {
+			return errorf("two items have the same SHA-256")
 		}
 		s.Operators.Tokens[digest] = fleet.TeamID(team)
 	}
--- a/internal/fleet/settings/load.go
+++ b/internal/fleet/settings/load.go
@@ -8,10 +8,10 @@
 	"gopkg.in/ini.v1"
 )
 
-// maxFile is the greatest size of a settings file in bytes.
-const maxFile = 1 << 20
+// maxFileBytes is the maximum size of a settings file in bytes.
+const maxFileBytes = 1 << 20
 
-// Error is a fault in a settings file.
+// Error describes an invalid settings file.
 type Error struct {
 	File    string
 	Section string
@@ -19,19 +19,20 @@
 	Problem string
 }
 
-// Error returns one line with file, section, key and problem.
+// Error returns one line with the file, section, key and problem. It omits a section or
+// key that is empty.
 func (e *Error) Error() string {
-	place := e.File
+	location := e.File
 	if e.Section != "" {
-		place += ": [" + e.Section + "]"
+		location += ": [" + e.Section + "]"
 	}
 	if e.Key != "" {
-		place += " " + e.Key
+		location += " " + e.Key
 	}
-	return place + ": " + e.Problem
+	return location + ": " + e.Problem
 }
 
-// Load reads and checks the settings file at path. The error is an *Error.
+// Load reads and validates the settings file at path. A returned error is an *Error.
 func Load(path string) (Settings, error) {
 	content, err := readFile(path)
 	if err != nil {
@@ -40,10 +41,11 @@
 	return Parse(path, content)
 }
 
-// Parse checks the content of a settings file. The name stands in errors.
-func Parse(name string, content []byte) (Settings, error) {
+// Parse validates the content of a settings file. Errors refer to the file by fileName.
+// A returned error is an *Error.
+func Parse(fileName string, content []byte) (Settings, error) {
 	if !utf8.Valid(content) {
-		return Settings{}, &Error{File: name, Problem: "the file is not valid UTF-8"}
+		return Settings{}, &Error{File: fileName, Problem: "the file is not valid UTF-8"}
 	}
 	parsed, err := ini.LoadSources(ini.LoadOptions{
 		AllowShadows:            true,
@@ -52,19 +54,19 @@
 		KeyValueDelimiters:      "=",
 	}, content)
 	if err != nil {
-		return Settings{}, &Error{File: name, Problem: fmt.Sprintf("the file is not valid INI: %v", err)}
+		return Settings{}, &Error{File: fileName, Problem: fmt.Sprintf("the file is not valid INI: %v", err)}
 	}
 	keys := Keys()
-	if err := checkNames(name, parsed, keys); err != nil {
+	if err := checkSections(fileName, parsed, keys); err != nil {
 		return Settings{}, err
 	}
 	var s Settings
 	for _, k := range keys {
-		if err := k.apply(&s, name, parsed); err != nil {
+		if err := k.apply(&s, fileName, parsed); err != nil {
 			return Settings{}, err
 		}
 	}
-	if err := checkTogether(name, s); err != nil {
+	if err := checkDependencies(fileName, s); err != nil {
 		return Settings{}, err
 	}
 	return s, nil
@@ -73,15 +75,15 @@
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, fail("the file can't be read: %v", err)
+		return nil, errorf("the file can't be read: %v", err)
 	}
-	if info.Size() > maxFile {
-		return nil, fail("the file is larger than %d bytes", maxFile)
+	if info.Size() > maxFileBytes {
+		return nil, errorf("the file is larger than %d bytes", maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
 
-func checkNames(name string, parsed *ini.File, keys []Key) error {
+func checkSections(fileName string, parsed *ini.File, keys []Key) error {
 	known := make(map[string]map[string]bool)
 	for _, k := range keys {
 		if known[k.Section] == nil {
@@ -90,35 +92,35 @@
 		known[k.Section][k.Name] = true
 	}
 	for _, section := range parsed.Sections() {
-		if err := checkSection(name, section, known); err != nil {
+		if err := checkSection(fileName, section, known); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkSection(name string, section *ini.Section, known map[string]map[string]bool) error {
+func checkSection(fileName string, section *ini.Section, known map[string]map[string]bool) error {
 	if section.Name() == ini.DefaultSection {
 		if names := section.KeyStrings(); len(names) > 0 {
-			return &Error{File: name, Key: names[0], Problem: "the key stands before the first section"}
+			return &Error{File: fileName, Key: names[0], Problem: "the key precedes the first section"}
 		}
 		return nil
 	}
 	if known[section.Name()] == nil {
-		return &Error{File: name, Section: section.Name(), Problem: "unknown section"}
+		return &Error{File: fileName, Section: section.Name(), Problem: "unknown section"}
 	}
 	for _, k := range section.Keys() {
 		if !known[section.Name()][k.Name()] {
-			return &Error{File: name, Section: section.Name(), Key: k.Name(), Problem: "unknown key"}
+			return &Error{File: fileName, Section: section.Name(), Key: k.Name(), Problem: "unknown key"}
 		}
 		if len(k.ValueWithShadows()) > 1 {
-			return &Error{File: name, Section: section.Name(), Key: k.Name(), Problem: "the key is given more than once"}
+			return &Error{File: fileName, Section: section.Name(), Key: k.Name(), Problem: "the key is given more than once"}
 		}
 	}
 	return nil
 }
 
-func (k Key) apply(s *Settings, name string, parsed *ini.File) error {
+func (k Key) apply(s *Settings, fileName string, parsed *ini.File) error {
 	value := k.Default
 	section, err := parsed.GetSection(k.Section)
 	if err == nil && section.HasKey(k.Name) {
@@ -126,42 +128,42 @@
 	}
 	if value == "" {
 		if k.Required {
-			return &Error{File: name, Section: k.Section, Key: k.Name, Problem: "the key is missing or empty"}
+			return &Error{File: fileName, Section: k.Section, Key: k.Name, Problem: "the key is missing or empty"}
 		}
 		return nil
 	}
 	if err := k.set(s, value); err != nil {
-		return &Error{File: name, Section: k.Section, Key: k.Name, Problem: err.Error()}
+		return &Error{File: fileName, Section: k.Section, Key: k.Name, Problem: err.Error()}
 	}
 	return nil
 }
 
-// checkTogether checks the settings that depend on each other.
-func checkTogether(name string, s Settings) error {
+// checkDependencies checks the constraints between several settings.
+func checkDependencies(fileName string, s Settings) error {
 	checks := []func(Settings) (section, key, problem string){
-		checkVoting, checkSecret, checkVoterSet, checkOperatorTLS, checkPeerTLS, checkStop, checkDeadlines, checkListeners,
+		checkDataFolder, checkGossipSecret, checkVoterSet, checkOperatorTLS, checkPeerTLS, checkDrainDelay, checkDeadlines, checkListeners,
 	}
 	for _, check := range checks {
 		if section, key, problem := check(s); problem != "" {
-			return &Error{File: name, Section: section, Key: key, Problem: problem}
+			return &Error{File: fileName, Section: section, Key: key, Problem: problem}
 		}
 	}
 	return nil
 }
 
-func checkVoting(s Settings) (section, key, problem string) {
+func checkDataFolder(s Settings) (section, key, problem string) {
 	if s.Instance.Votes && s.Instance.DataFolder == "" {
 		return "instance", "dataFolder", "an instance that votes needs a data folder"
 	}
 	return "", "", ""
 }
 
-// minSecret is the least length of the gossip secret in bytes.
-const minSecret = 16
+// minSecretBytes is the minimum length of the gossip secret in bytes.
+const minSecretBytes = 16
 
-func checkSecret(s Settings) (section, key, problem string) {
-	if len(s.Membership.Secret) < minSecret {
-		return "membership", "secretFile", fmt.Sprintf("the secret is shorter than %d bytes", minSecret)
+func checkGossipSecret(s Settings) (section, key, problem string) {
+	if len(s.Membership.Secret) < minSecretBytes {
+		return "membership", "secretFile", fmt.Sprintf("the secret is shorter than %d bytes", minSecretBytes)
 	}
 	return "", "", ""
 }
@@ -170,7 +172,7 @@
 	ids := make(map[any]bool)
 	for _, v := range s.Quorum.Voters {
 		if ids[v.ID] || ids[v.Instance] || ids[v.Address] {
-			return "quorum", "voters", fmt.Sprintf("voter %d repeats a number, an instance or an address", v.ID)
+			return "quorum", "voters", fmt.Sprintf("voter %d has the same number, instance or address as another voter", v.ID)
 		}
 		ids[v.ID], ids[v.Instance], ids[v.Address] = true, true, true
 	}
@@ -185,20 +187,21 @@
 }
 
 func checkPeerTLS(s Settings) (section, key, problem string) {
-	given := 0
+	count := 0
 	for _, f := range []string{s.Peers.Certificate, s.Peers.Key, s.Peers.Authority} {
 		if f != "" {
-			given++
+			count++
 		}
 	}
-	if given != 0 && given != 3 {
+	if count != 0 && count != 3 {
 		return "peers", "certificate", "certificate, key and authority must be given together"
 	}
 	return "", "", ""
 }
 
-// checkStop leaves at least half of a stop for the requests in progress.
-func checkStop(s Settings) (section, key, problem string) {
+// checkDrainDelay limits the drain delay to half of the stop timeout, so that at least
+// half of a stop remains for the requests in progress.
+func checkDrainDelay(s Settings) (section, key, problem string) {
 	if s.Instance.DrainDelay > s.Instance.StopTimeout/2 {
 		return "instance", "drainDelay", "drainDelay is greater than half of stopTimeout"
 	}
@@ -214,7 +217,7 @@
 
 func checkListeners(s Settings) (section, key, problem string) {
 	l := s.Listeners
-	seen := make(map[string]string)
+	keyByAddress := make(map[string]string)
 	for _, tcp := range []struct{ key, address string }{
 		{"callers", l.Callers},
 		{"operators", l.Operators},
@@ -222,10 +225,10 @@
 		{"peers", l.Peers},
 		{"platform", l.Platform},
 	} {
-		if other, taken := seen[tcp.address]; taken {
+		if other, duplicate := keyByAddress[tcp.address]; duplicate {
 			return "listeners", tcp.key, "same address as " + other
 		}
-		seen[tcp.address] = tcp.key
+		keyByAddress[tcp.address] = tcp.key
 	}
 	return "", "", ""
 }
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -1,11 +1,10 @@
-// Package settings reads the INI file of a daemon. The file is checked whole:
-// Load returns either complete Settings or one error that names file, section
-// and key.
+// Package settings reads the INI file of a daemon. Load validates the whole file and
+// returns either complete Settings or one error that names the file, section and key.
 //
 //	s, err := settings.Load("/etc/bilberryrock/a.ini")
 //
-// Durations carry a unit (300ms, 3s), sizes too (64KiB, 4MiB). Secrets are read
-// from files that the settings name, so that the settings hold none.
+// Durations and sizes are written with a unit (300ms, 3s; 64KiB, 4MiB). The settings
+// file contains no secrets, only the paths of the files that hold them.
 package settings
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// Settings are the checked settings of one daemon.
+// Settings are the validated settings of one daemon.
 type Settings struct {
 	Instance   Instance
 	Listeners  Listeners
@@ -33,109 +32,114 @@
 	Faults     Faults
 }
 
-// Instance says who the daemon is.
+// Instance describes the daemon itself.
 type Instance struct {
 	ID         fleet.InstanceID
 	DataCentre fleet.DataCentreID
-	// DataFolder holds the durable state. An empty one means that the instance
-	// keeps none.
+	// DataFolder is the folder of the durable state. If it is empty, the instance
+	// keeps no durable state.
 	DataFolder string
 	// Votes tells whether the instance is a member of the replicated logs.
 	Votes bool
-	// FleetSize is the greatest number of instances in a data centre. An
-	// instance that does not know the others divides shared bounds by it.
+	// FleetSize is the maximum number of instances in a data centre. An instance
+	// that does not know the others divides shared limits by it.
 	FleetSize int
-	// DrainDelay is the time between the loss of readiness and the first refusal in
-	// a graceful stop.
+	// DrainDelay is the time between reporting not ready and rejecting the first
+	// request in a graceful stop.
 	DrainDelay time.Duration
-	// StopTimeout bounds the time of a graceful stop.
+	// StopTimeout is the maximum duration of a graceful stop.
 	StopTimeout time.Duration
 }
 
-// Listeners are the addresses, IP address and port, that the daemon listens on.
+// Listeners holds the addresses on which the daemon listens, each an IP address and a
+// port.
 type Listeners struct {
 	Callers, Operators, Upstreams, Peers, Gossip, Platform string
 }
 
-// Membership says how the instances find each other.
+// Membership configures how the instances discover each other.
 type Membership struct {
 	// Seeds are gossip addresses of other instances.
 	Seeds []string
-	// Secret authenticates the messages between instances.
+	// Secret authenticates the gossip messages between instances.
 	Secret []byte
 }
 
-// Voter is one member of the first voter set.
+// Voter is one member of the initial voter set.
 type Voter struct {
 	ID       quorum.VoterID
 	Instance fleet.InstanceID
-	// Address is the peers' listener of the instance.
+	// Address is the address of the instance's peers listener.
 	Address string
 }
 
-// Quorum says how the replicated logs run.
+// Quorum configures the replicated logs.
 type Quorum struct {
-	// Voters is the first voter set. Later changes are kept in the log.
+	// Voters is the initial voter set. Later changes are stored in the log.
 	Voters []Voter
-	// Tick is the unit of election and heartbeat times.
+	// Tick is the duration of a tick, the unit of election and heartbeat timeouts.
 	Tick time.Duration
-	// SnapshotEntries is the number of entries after which the log is compacted.
+	// SnapshotEntries is the number of log entries after which the log is compacted.
 	SnapshotEntries int
-	// ProposalTimeout bounds the wait for a commit.
+	// ProposalTimeout is the maximum wait for a commit.
 	ProposalTimeout time.Duration
 }
 
-// Operators says who may submit.
+// Operators configures the HTTP API for operators.
 type Operators struct {
-	// Tokens maps the SHA-256 of a token, in lower-case hexadecimal, to its
-	// team.
+	// Tokens maps the SHA-256 of each token, in lower-case hexadecimal, to the team
+	// that may submit with it.
 	Tokens map[string]fleet.TeamID
-	// Certificate and Key are PEM files. Empty ones mean plain HTTP.
+	// Certificate and Key are the paths of PEM files. If they are empty, the API uses
+	// plain HTTP.
 	Certificate, Key string
 }
 
-// Peers says how the daemons protect their connections.
+// Peers configures the security of the connections between daemons.
 type Peers struct {
-	// Certificate, Key and Authority are PEM files for mutual TLS. Empty ones
-	// mean plain TCP.
+	// Certificate, Key and Authority are the paths of PEM files for mutual TLS. If
+	// they are empty, the connections use plain TCP.
 	Certificate, Key, Authority string
 }
 
-// Upstreams says how announcements are checked.
+// Upstreams configures how upstreams are authenticated and monitored.
 type Upstreams struct {
-	// Token authenticates announcements. An empty one admits all.
+	// Token authenticates announcements. If it is empty, all announcements are
+	// accepted.
 	Token []byte
-	// ConfirmationAge is the greatest age of a confirmation for new work.
+	// ConfirmationAge is the maximum age of the last heartbeat of an upstream that is
+	// given new work.
 	ConfirmationAge time.Duration
-	// StepTimeout bounds one step of an engine.
+	// StepTimeout is the maximum duration of one step of an engine.
 	StepTimeout time.Duration
 }
 
-// Requests says how requests of callers are treated.
+// Requests configures the handling of callers' requests.
 type Requests struct {
-	// Deadline is the time for an answer if the caller names none.
+	// Deadline is the time limit for a response if the caller does not set one.
 	Deadline time.Duration
-	// MaxDeadline bounds the time that a caller may ask for.
+	// MaxDeadline is the maximum time limit that a caller may set.
 	MaxDeadline time.Duration
-	// QueueLength bounds the waiting requests.
+	// QueueLength is the maximum number of queued requests.
 	QueueLength int
 }
 
-// Orders says how orders that may not be repeated are kept.
+// Orders configures the ledger of orders, which must not be executed twice.
 type Orders struct {
-	// Shards is the number of groups. It must be the same on all instances and
-	// must not change while keys are kept.
+	// Shards is the number of ledger groups. It must be the same on all instances and
+	// must not change while the ledger holds keys.
 	Shards int
-	// Retention is the time that a key is kept.
+	// Retention is the time for which the key of an order is kept.
 	Retention time.Duration
-	// MaxRecords bounds the kept keys of a shard. At the bound new orders are
-	// refused.
+	// MaxRecords is the maximum number of keys in a shard. When it is reached, new
+	// orders are rejected.
 	MaxRecords int
-	// MaxBytes bounds the kept answers of a shard, MaxAnswer one of them.
+	// MaxBytes is the maximum total size of the responses kept in a shard,
+	// MaxResponseBytes the maximum size of one of them, both in bytes.
 	MaxBytes, MaxAnswer int64
 }
 
-// Log says how the daemon logs.
+// Log configures the log output.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string
@@ -143,17 +147,17 @@
 	Format string
 }
 
-// Faults says which faults can be brought about from outside, for tests.
+// Faults configures fault injection for tests.
 type Faults struct {
-	// Injection lets the platform listener accept POST /faults.
+	// Injection tells whether the platform listener accepts POST /faults.
 	Injection bool
 }
 
-// Repair says how engines are told to load weights.
+// Repair configures how engines are told to load weights.
 type Repair struct {
 	// LayerBytes is the size of the weights of one layer.
 	LayerBytes int64
-	// WeightRate bounds what the engines of a data centre load from the weight
-	// store, in bytes a second.
+	// WeightRate is the maximum rate at which the engines of a data centre load
+	// weights from the weight store, in bytes per second.
 	WeightRate int64
 }
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -13,30 +13,30 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/settings"
 )
 
-// TestFaults guards against a settings file that is accepted although a value
-// is wrong, and against an error that does not name file, section and key.
-func TestFaults(t *testing.T) {
+// TestInvalidSettings guards against invalid settings that are accepted, and against an
+// error that does not name the file, section and key.
+func TestInvalidSettings(t *testing.T) {
 	base := readBase(t)
 	datadriven.RunTest(t, "testdata/faults.txt", func(t *testing.T, d *datadriven.TestData) string {
-		text := base
+		content := base
 		if d.Cmd == "replace" {
-			text = replaceLines(base, d.Input)
+			content = replaceLines(base, d.Input)
 		}
 		if d.Cmd == "append" {
-			text += d.Input + "\n"
+			content += d.Input + "\n"
 		}
-		if d.Cmd == "whole" {
-			text = d.Input
+		if d.Cmd == "file" {
+			content = d.Input
 		}
-		if _, err := settings.Parse("a.ini", []byte(text)); err != nil {
+		if _, err := settings.Parse("a.ini", []byte(content)); err != nil {
 			return err.Error() + "\n"
 		}
 		return "ok\n"
 	})
 }
 
-// replaceLines replaces the lines of base that begin with the key of a line of
-// changes. A change that ends in "=" removes the value.
+// replaceLines replaces each line of base whose key is set by a line of changes with
+// that line. A line of changes that ends in "=" removes the value.
 func replaceLines(base, changes string) string {
 	lines := strings.Split(base, "\n")
 	for change := range strings.SplitSeq(changes, "\n") {
@@ -50,8 +50,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// TestDocumentation guards against a key that docs/configuration.md does not
-// describe with its default and bounds.
+// TestDocumentation guards against a key that docs/configuration.md does not describe
+// with its default and constraint.
 func TestDocumentation(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile("../../../docs/configuration.md")
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestSectionDocumentation guards against a key of the sections that
-// docs/configuration.md does not describe with its default and bound.
+// TestSectionDocumentation guards against a key of the configuration sections that
+// docs/configuration.md does not describe with its default and constraint.
 func TestSectionDocumentation(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile("../../../docs/configuration.md")
@@ -84,14 +84,14 @@
 	return k.Default
 }
 
-// TestSecretsStayOut guards against an error that shows the content of a secret
+// TestSecretsNotInErrors guards against an error that contains the content of a secret
 // file.
-func TestSecretsStayOut(t *testing.T) {
+func TestSecretsNotInErrors(t *testing.T) {
 	is := is.New(t)
 	secret := t.TempDir() + "/secret"
 	is.NoErr(os.WriteFile(secret, []byte("verysecret"), 0o600))
-	text := replaceLines(readBase(t), "id =") + "\n[upstreams]\ntokenFile = " + secret + "\n"
-	_, err := settings.Parse("a.ini", []byte(text))
+	content := replaceLines(readBase(t), "id =") + "\n[upstreams]\ntokenFile = " + secret + "\n"
+	_, err := settings.Parse("a.ini", []byte(content))
 	is.True(err != nil)
 	is.True(!strings.Contains(err.Error(), "verysecret"))
 }
--- a/internal/fleet/settings/values.go
+++ b/internal/fleet/settings/values.go
@@ -12,18 +12,19 @@
 	"github.com/pkg/errors"
 )
 
-// maxSecretFile is in bytes. A larger file is not a secret but a mistake.
-const maxSecretFile = 64 << 10
+// maxSecretFileBytes is the maximum size of a secret file in bytes. A larger file is
+// assumed to be a mistake.
+const maxSecretFileBytes = 64 << 10
 
-func fail(format string, args ...any) error { return errors.Errorf(format, args...) }
+func errorf(format string, args ...any) error { return errors.Errorf(format, args...) }
 
 func (k Key) required() Key {
 	k.Required = true
 	return k
 }
 
-func custom(section, name, unit, bounds, help string, set func(*Settings, string) error) Key {
-	return Key{Section: section, Name: name, Unit: unit, Bounds: bounds, Help: help, set: set}
+func custom(section, name, valueType, constraint, help string, set func(*Settings, string) error) Key {
+	return Key{Section: section, Name: name, Type: valueType, Constraint: constraint, Help: help, set: set}
 }
 
 func text(section, name, help string, field func(*Settings) *string) Key {
@@ -33,7 +34,7 @@
 	})
 }
 
-func flag(section, name, def, help string, field func(*Settings) *bool) Key {
+func boolean(section, name, defaultValue, help string, field func(*Settings) *bool) Key {
 	k := custom(section, name, "true or false", "", help, func(s *Settings, value string) error {
 		switch value {
 		case "true":
@@ -41,59 +42,59 @@
 		case "false":
 			*field(s) = false
 		default:
-			return fail("%q is neither true nor false", value)
+			return errorf("%q is neither true nor false", value)
 		}
 		return nil
 	})
-	k.Default = def
+	k.Default = defaultValue
 	return k
 }
 
-func number(section, name, def string, least, most int, help string, field func(*Settings) *int) Key {
-	k := custom(section, name, "integer", strconv.Itoa(least)+" to "+strconv.Itoa(most), help, func(s *Settings, value string) error {
+func number(section, name, defaultValue string, minValue, maxValue int, help string, field func(*Settings) *int) Key {
+	k := custom(section, name, "integer", strconv.Itoa(minValue)+" to "+strconv.Itoa(maxValue), help, func(s *Settings, value string) error {
 		n, err := strconv.Atoi(value)
 		if err != nil {
-			return fail("%q is not an integer", value)
+			return errorf("%q is not an integer", value)
 		}
-		if n < least || n > most {
-			return fail("%d is outside of %d to %d", n, least, most)
+		if n < minValue || n > maxValue {
+			return errorf("%d is outside the range %d to %d", n, minValue, maxValue)
 		}
 		*field(s) = n
 		return nil
 	})
-	k.Default = def
+	k.Default = defaultValue
 	return k
 }
 
-func duration(section, name, def string, least, most time.Duration, help string, field func(*Settings) *time.Duration) Key {
-	k := custom(section, name, "duration", least.String()+" to "+most.String(), help, func(s *Settings, value string) error {
+func duration(section, name, defaultValue string, minValue, maxValue time.Duration, help string, field func(*Settings) *time.Duration) Key {
+	k := custom(section, name, "duration", minValue.String()+" to "+maxValue.String(), help, func(s *Settings, value string) error {
 		d, err := time.ParseDuration(value)
 		if err != nil {
-			return fail("%q is not a duration with a unit, such as 300ms or 3s", value)
+			return errorf("%q is not a duration with a unit, such as 300ms or 3s", value)
 		}
-		if d < least || d > most {
-			return fail("%s is outside of %s to %s", d, least, most)
+		if d < minValue || d > maxValue {
+			return errorf("%s is outside the range %s to %s", d, minValue, maxValue)
 		}
 		*field(s) = d
 		return nil
 	})
-	k.Default = def
+	k.Default = defaultValue
 	return k
 }
 
-func size(section, name, def string, least, most int64, help string, field func(*Settings) *int64) Key {
-	k := custom(section, name, "size", strconv.FormatInt(least, 10)+" to "+strconv.FormatInt(most, 10)+" bytes", help, func(s *Settings, value string) error {
+func size(section, name, defaultValue string, minValue, maxValue int64, help string, field func(*Settings) *int64) Key {
+	k := custom(section, name, "size", strconv.FormatInt(minValue, 10)+" to "+strconv.FormatInt(maxValue, 10)+" bytes", help, func(s *Settings, value string) error {
 		n, err := parseSize(value)
 		if err != nil {
 			return err
 		}
-		if n < least || n > most {
-			return fail("%s is outside of %d to %d bytes", value, least, most)
+		if n < minValue || n > maxValue {
+			return errorf("%s is outside the range %d to %d bytes", value, minValue, maxValue)
 		}
 		*field(s) = n
 		return nil
 	})
-	k.Default = def
+	k.Default = defaultValue
 	return k
 }
 
@@ -113,7 +114,7 @@
 		}
 		return n * u.bytes, nil
 	}
-	return 0, fail("%q is not a size with a unit, such as 64KiB or 4MiB", value)
+	return 0, errorf("%q is not a size with a unit, such as 64KiB or 4MiB", value)
 }
 
 func address(section, name, help string, field func(*Settings) *string) Key {
@@ -128,12 +129,12 @@
 
 func checkAddress(value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return fail("%q is not an IP address and port, such as 127.0.0.1:7001", value)
+		return errorf("%q is not an IP address and port, such as 127.0.0.1:7001", value)
 	}
 	return nil
 }
 
-func list(section, name, help string, field func(*Settings) *[]string) Key {
+func addressList(section, name, help string, field func(*Settings) *[]string) Key {
 	return custom(section, name, "list of addresses", "IP address and port", help, func(s *Settings, value string) error {
 		items := splitList(value)
 		for _, item := range items {
@@ -162,7 +163,7 @@
 			return nil
 		}
 		if _, err := os.Stat(value); err != nil {
-			return fail("file %q can't be read", value)
+			return errorf("file %q can't be read", value)
 		}
 		*field(s) = value
 		return nil
@@ -186,30 +187,30 @@
 func readSecret(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil || !info.Mode().IsRegular() {
-		return nil, fail("file %q can't be read", path)
+		return nil, errorf("file %q can't be read", path)
 	}
-	if info.Size() > maxSecretFile {
-		return nil, fail("file %q is larger than %d bytes", path, maxSecretFile)
+	if info.Size() > maxSecretFileBytes {
+		return nil, errorf("file %q is larger than %d bytes", path, maxSecretFileBytes)
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fail("file %q can't be read", path)
+		return nil, errorf("file %q can't be read", path)
 	}
 	content = bytes.TrimSpace(content)
 	if len(content) == 0 {
-		return nil, fail("file %q is empty", path)
+		return nil, errorf("file %q is empty", path)
 	}
 	return content, nil
 }
 
-func choice(section, name, def string, allowed []string, help string, field func(*Settings) *string) Key {
+func choice(section, name, defaultValue string, allowed []string, help string, field func(*Settings) *string) Key {
 	k := custom(section, name, "word", strings.Join(allowed, ", "), help, func(s *Settings, value string) error {
 		if !slices.Contains(allowed, value) {
-			return fail("%q is not one of %s", value, strings.Join(allowed, ", "))
+			return errorf("%q is not one of %s", value, strings.Join(allowed, ", "))
 		}
 		*field(s) = value
 		return nil
 	})
-	k.Default = def
+	k.Default = defaultValue
 	return k
 }
--- a/internal/fleet/systemclock/steady.go
+++ b/internal/fleet/systemclock/steady.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Steady is a clock for leases and ages. Unlike Clock it counts the time for which the
-// machine was suspended, and it does not follow later steps of the time of day, so that
-// only differences of its times mean something. NewSteady returns one.
-type Steady struct {
+// BootClock is a clock for leases and ages. Unlike Clock it includes the time during which
+// the machine was suspended, and it does not follow later adjustments of the wall clock,
+// so only differences between its times are meaningful. Use NewBootClock to create one.
+type BootClock struct {
 	Clock
-	start time.Time
-	boot  time.Duration
-	read  func() time.Duration
+	start       time.Time
+	bootAtStart time.Duration
+	sinceBoot   func() time.Duration
 }
 
-// NewSteady returns a Steady that begins at the present time.
-func NewSteady() Steady { return steady(Clock{}.Boot) }
+// NewSteady returns a BootClock that is set to the current wall-clock time.
+func NewSteady() BootClock { return newBootClock(Clock{}.Boot) }
 
-func steady(read func() time.Duration) Steady {
-	return Steady{start: time.Now(), boot: read(), read: read}
+func newBootClock(sinceBoot func() time.Duration) BootClock {
+	return BootClock{start: time.Now(), bootAtStart: sinceBoot(), sinceBoot: sinceBoot}
 }
 
-// Now returns the time of the construction plus what has passed since, suspensions
-// included.
-func (s Steady) Now() time.Time { return s.start.Add(s.read() - s.boot) }
+// Now returns the time of the construction plus the time that has passed since,
+// including suspensions.
+func (s BootClock) Now() time.Time { return s.start.Add(s.sinceBoot() - s.bootAtStart) }
--- a/internal/fleet/systemclock/steady_test.go
+++ b/internal/fleet/systemclock/steady_test.go
@@ -7,19 +7,20 @@
 	"github.com/matryer/is"
 )
 
-// Guards against leases that outlast a suspension, which the monotonic clock does not
-// count.
-func TestSteadyCountsSuspension(t *testing.T) {
+// TestBootClockCountsSuspension guards against leases that outlast their duration when
+// the machine is suspended, because the monotonic clock does not include that time.
+func TestBootClockCountsSuspension(t *testing.T) {
 	is := is.New(t)
-	boot := time.Hour
-	s := steady(func() time.Duration { return boot })
+	sinceBoot := time.Hour
+	s := newBootClock(func() time.Duration { return sinceBoot })
 	before := s.Now()
-	boot += 10 * time.Second // suspended
+	sinceBoot += 10 * time.Second // time that passes during a suspension
 	is.Equal(s.Now().Sub(before), 10*time.Second)
 }
 
-// Guards against a clock that is not that of the system.
-func TestSteadyGoesOn(t *testing.T) {
+// TestBootClockAdvances guards against a BootClock that does not follow the clock of
+// the system.
+func TestBootClockAdvances(t *testing.T) {
 	is := is.New(t)
 	s := NewSteady()
 	before := s.Now()
--- a/internal/fleet/systemclock/systemclock.go
+++ b/internal/fleet/systemclock/systemclock.go
@@ -17,13 +17,12 @@
 // After waits for d on a timer of the runtime.
 func (Clock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// Boot returns the time since the machine started. Unlike the monotonic reading
-// of Now it goes on while the machine is suspended, so leases are measured with
-// it.
+// Boot returns the time since the machine started. Unlike the monotonic reading of Now
+// it also advances while the machine is suspended, so leases are measured with it.
 func (Clock) Boot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Linux has had the clock since version 2.6.39.
+		// CLOCK_BOOTTIME exists since Linux 2.6.39.
 		panic("read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(t.Nano())
--- a/internal/fleet/timeline/timeline.go
+++ b/internal/fleet/timeline/timeline.go
@@ -1,5 +1,6 @@
-// Package timeline gives replicated state machines a time that comes from their
-// commands and that one wrong clock does not move ahead.
+// Package timeline derives the time of a replicated state machine from the timestamps
+// of its commands. The clock of a single instance that runs ahead does not move this
+// time ahead.
 //
 //	t.Observe(command.Instance, command.At)
 //	expired := !record.Expires.After(t.Now())
@@ -13,42 +14,43 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// Timeline keeps the newest times of the two instances that are furthest ahead.
+// Timeline keeps the newest timestamps of the two instances whose timestamps are the
+// latest.
 type Timeline struct {
-	First  Mark `json:"first"`
-	Second Mark `json:"second"`
+	Newest       Reading `json:"first"`
+	SecondNewest Reading `json:"second"`
 }
 
-// Mark is the newest time of one instance.
-type Mark struct {
+// Reading is the newest timestamp of the commands of one instance.
+type Reading struct {
 	Instance fleet.InstanceID `json:"instance"`
 	At       time.Time        `json:"at"`
 }
 
-// Observe takes over the time of a command of an instance.
+// Observe records the timestamp of a command of instance i.
 func (t *Timeline) Observe(i fleet.InstanceID, at time.Time) {
 	switch {
-	case i == t.First.Instance:
-		t.First.At = later(t.First.At, at)
-	case at.After(t.First.At):
-		t.Second, t.First = t.First, Mark{i, at}
-	case i == t.Second.Instance || at.After(t.Second.At):
-		t.Second = Mark{i, later(t.Second.At, at)}
+	case i == t.Newest.Instance:
+		t.Newest.At = later(t.Newest.At, at)
+	case at.After(t.Newest.At):
+		t.SecondNewest, t.Newest = t.Newest, Reading{i, at}
+	case i == t.SecondNewest.Instance || at.After(t.SecondNewest.At):
+		t.SecondNewest = Reading{i, later(t.SecondNewest.At, at)}
 	}
 }
 
-// Now returns the second newest time of any instance. A single instance is
-// trusted alone.
+// Now returns the second newest of the timestamps of all instances, or the newest one
+// if only one instance has sent commands.
 func (t *Timeline) Now() time.Time {
-	if t.Second.Instance == "" {
-		return t.First.At
+	if t.SecondNewest.Instance == "" {
+		return t.Newest.At
 	}
-	return t.Second.At
+	return t.SecondNewest.At
 }
 
-// From returns the time at which a period starts that begins with a command of
-// time at. It is not before Now, so that a late command or a slow clock shortens
-// no period.
+// From returns the start of a period that begins with a command of timestamp
+// at. The start is not before Now, so that a delayed command or a slow clock does not
+// shorten the period.
 func (t *Timeline) From(at time.Time) time.Time { return later(t.Now(), at) }
 
 func later(a, b time.Time) time.Time {
--- a/internal/fleet/timeline/timeline_test.go
+++ b/internal/fleet/timeline/timeline_test.go
@@ -10,32 +10,33 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/fakeclock"
 )
 
-// TestSecondNewest guards against a time that one instance alone moves ahead, and
-// compares the two marks with a list of all instances.
-func TestSecondNewest(t *testing.T) {
+// TestNowIsSecondNewest guards against a time that one instance alone can move ahead.
+// It compares Now with the second newest of the timestamps of all instances.
+func TestNowIsSecondNewest(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
-		var line Timeline
-		newest := make(map[fleet.InstanceID]time.Time)
+		var tl Timeline
+		newestByInstance := make(map[fleet.InstanceID]time.Time)
 		for range 50 {
 			id := fleet.InstanceID(fmt.Sprint(random.Intn(4)))
 			at := fakeclock.Start.Add(time.Duration(random.Intn(100)) * time.Second)
-			line.Observe(id, at)
-			newest[id] = later(newest[id], at)
-			if want := second(newest); !line.Now().Equal(want) {
-				t.Fatalf("seed %d: time is %v, the second newest is %v", seed, line.Now(), want)
+			tl.Observe(id, at)
+			newestByInstance[id] = later(newestByInstance[id], at)
+			if want := secondNewest(newestByInstance); !tl.Now().Equal(want) {
+				t.Fatalf("seed %d: Now returns %v, the second newest timestamp is %v", seed, tl.Now(), want)
 			}
-			if line.From(at).Before(line.Now()) {
-				t.Fatalf("seed %d: a period starts before now", seed)
+			if tl.From(at).Before(tl.Now()) {
+				t.Fatalf("seed %d: a period starts before Now", seed)
 			}
 		}
 	}
 }
 
-// second returns the second newest time of distinct instances, or the only one.
-func second(newest map[fleet.InstanceID]time.Time) time.Time {
+// secondNewest returns the second newest timestamp of distinct instances, or the only
+// one.
+func secondNewest(newestByInstance map[fleet.InstanceID]time.Time) time.Time {
 	var first, second time.Time
-	for _, at := range newest {
+	for _, at := range newestByInstance {
 		switch {
 		case at.After(first):
 			first, second = at, first
@@ -43,7 +44,7 @@
 			second = at
 		}
 	}
-	if len(newest) == 1 {
+	if len(newestByInstance) == 1 {
 		return first
 	}
 	return second
