--- a/internal/pipeline/courier/courier.go
+++ b/internal/pipeline/courier/courier.go
@@ -32,20 +32,20 @@
 	// DefaultMinTimeout and DefaultMaxTimeout bound the time to wait for a step.
 	DefaultMinTimeout = time.Second
 	DefaultMaxTimeout = time.Minute
-	// DefaultKVBytes is the size of the KV cache of one layer and position.
-	DefaultKVBytes = 4096
-	// DefaultOverloadPause is the time before a step is sent again to an engine
+	// DefaultKVEntryBytes is the size of the KV cache of one layer and position.
+	DefaultKVEntryBytes = 4096
+	// DefaultOverloadBackoff is the time before a step is sent again to an engine
 	// that was overloaded.
-	DefaultOverloadPause = 20 * time.Millisecond
+	DefaultOverloadBackoff = 20 * time.Millisecond
 	// timeoutFactor is the ratio of the timeout of a call to its expected time.
 	timeoutFactor = 4
 	// releaseTimeout bounds the call that frees the memory of a request.
 	releaseTimeout = time.Second
 	// maxRecoveries bounds the recoveries of one request without a new token.
 	maxRecoveries = 16
-	// leavePause is the time before a chain with a leaving engine is replanned
+	// leaveReplanInterval is the time before a chain with a leaving engine is replanned
 	// again.
-	leavePause = time.Second
+	leaveReplanInterval = time.Second
 )
 
 // Observer learns from steps and transfers.
@@ -56,21 +56,21 @@
 
 // Courier implements pipeline.Courier. It is safe for concurrent use.
 type Courier struct {
-	planner    pipeline.Planner
-	dialer     upstream.Dialer
-	clock      fleet.Clock
-	speeds     pipeline.Speeds
-	observer   Observer
-	roster     upstream.Roster
-	trail      report.Trail
-	gauge      pipeline.Gauge
-	minTimeout time.Duration
-	maxTimeout time.Duration
-	pause      time.Duration
-	kvBytes    int
-
-	// pending counts the calls that free the memory of ended requests.
-	pending sync.WaitGroup
+	planner         pipeline.Planner
+	dialer          upstream.Dialer
+	clock           fleet.Clock
+	speeds          pipeline.SpeedEstimator
+	observer        Observer
+	roster          upstream.Roster
+	trail           report.Trail
+	sequences       pipeline.SequenceCounter
+	minTimeout      time.Duration
+	maxTimeout      time.Duration
+	overloadBackoff time.Duration
+	kvEntryBytes    int
+
+	// releases counts the calls that free the memory of ended requests.
+	releases sync.WaitGroup
 }
 
 // Option changes a Courier.
@@ -80,7 +80,7 @@
 func WithClock(clock fleet.Clock) Option { return func(c *Courier) { c.clock = clock } }
 
 // WithSpeeds sets the estimates that timeouts and recoveries are based on.
-func WithSpeeds(s pipeline.Speeds) Option { return func(c *Courier) { c.speeds = s } }
+func WithSpeeds(s pipeline.SpeedEstimator) Option { return func(c *Courier) { c.speeds = s } }
 
 // WithObserver sets what learns from steps and transfers.
 func WithObserver(o Observer) Option { return func(c *Courier) { c.observer = o } }
@@ -92,28 +92,28 @@
 func WithTrail(t report.Trail) Option { return func(c *Courier) { c.trail = t } }
 
 // WithGauge sets what counts the sequences on each upstream.
-func WithGauge(g pipeline.Gauge) Option { return func(c *Courier) { c.gauge = g } }
+func WithGauge(g pipeline.SequenceCounter) Option { return func(c *Courier) { c.sequences = g } }
 
 // WithTimeouts bounds the time to wait for a step.
-func WithTimeouts(least, most time.Duration) Option {
-	return func(c *Courier) { c.minTimeout, c.maxTimeout = least, most }
+func WithTimeouts(minimum, maximum time.Duration) Option {
+	return func(c *Courier) { c.minTimeout, c.maxTimeout = minimum, maximum }
 }
 
-// WithOverloadPause sets the time before a step is sent again to an engine that
+// WithOverloadBackoff sets the time before a step is sent again to an engine that
 // was overloaded.
-func WithOverloadPause(d time.Duration) Option { return func(c *Courier) { c.pause = d } }
+func WithOverloadBackoff(d time.Duration) Option { return func(c *Courier) { c.overloadBackoff = d } }
 
-// WithKVBytes sets the size of the KV cache of one layer and position.
-func WithKVBytes(n int) Option { return func(c *Courier) { c.kvBytes = n } }
+// WithKVEntryBytes sets the size of the KV cache of one layer and position.
+func WithKVEntryBytes(n int) Option { return func(c *Courier) { c.kvEntryBytes = n } }
 
 // New returns a Courier that takes chains from planner.
 func New(planner pipeline.Planner, dialer upstream.Dialer, options ...Option) *Courier {
 	c := &Courier{
 		planner: planner, dialer: dialer,
 		clock:      systemclock.Clock{},
-		speeds:     unknown{},
+		speeds:     noEstimates{},
 		minTimeout: DefaultMinTimeout, maxTimeout: DefaultMaxTimeout,
-		pause: DefaultOverloadPause, kvBytes: DefaultKVBytes,
+		overloadBackoff: DefaultOverloadBackoff, kvEntryBytes: DefaultKVEntryBytes,
 	}
 	for _, o := range options {
 		o(c)
@@ -122,7 +122,7 @@
 }
 
 // Close waits until the memory of all ended requests was freed.
-func (c *Courier) Close() { c.pending.Wait() }
+func (c *Courier) Close() { c.releases.Wait() }
 
 // Run implements pipeline.Courier. An error after the first token is of kind
 // refusal.StreamBroken or refusal.Deadline.
@@ -135,12 +135,12 @@
 		return 0, err
 	}
 	r := newRun(c, g, chain)
-	defer r.end(ctx)
+	defer r.finish(ctx)
 	input := g.Prompt
 	for index := range g.MaxTokens {
-		result, err := r.pass(ctx, index, input)
+		result, err := r.forwardPass(ctx, index, input)
 		if err != nil {
-			return 0, r.broken(ctx, index, err)
+			return 0, r.callerError(ctx, index, err)
 		}
 		if err := emit(pipeline.Piece{Index: index, Text: result.Token}); err != nil {
 			return 0, err
@@ -153,16 +153,16 @@
 	return pipeline.LengthReached, nil
 }
 
-// broken gives an error the kind that the caller has to see. A kind that says
+// callerError gives an error the kind that the caller has to see. A kind that says
 // "not run" is kept only when no layer can have run.
-func (r *run) broken(ctx context.Context, index int, err error) error {
+func (r *run) callerError(ctx context.Context, index int, err error) error {
 	if ctx.Err() != nil {
 		return refusal.Because(refusal.Deadline, err, "request ended after %d tokens", index)
 	}
 	if index > 0 {
 		return refusal.Because(refusal.StreamBroken, err, "answer ended after %d tokens", index)
 	}
-	if r.ran && refusal.KindOf(err).Answer().NotRun {
+	if r.mayHaveRun && refusal.KindOf(err).Answer().NotRun {
 		return refusal.Because(refusal.UpstreamFailed, err, "request was lost before its first token")
 	}
 	return err
@@ -177,23 +177,23 @@
 	c.trail.Add(string(r), e)
 }
 
-func (c *Courier) count(id fleet.UpstreamID, n int) {
-	if c.gauge != nil {
-		c.gauge.Add(id, n)
+func (c *Courier) countSequences(id fleet.UpstreamID, n int) {
+	if c.sequences != nil {
+		c.sequences.Add(id, n)
 	}
 }
 
 // release frees the memory of a request on an engine, even after ctx has ended.
 // The engine may serve a newer epoch when the call arrives.
 func (c *Courier) release(ctx context.Context, r fleet.RequestID, e fleet.Epoch, client upstream.EngineClient) {
-	c.pending.Add(1)
+	c.releases.Add(1)
 	go func() {
-		defer c.pending.Done()
+		defer c.releases.Done()
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 		defer cancel()
 		// An engine that cannot be reached drops the request by itself.
-		if x, ok := client.(upstream.EpochCanceller); ok {
-			_ = x.CancelEpoch(ctx, r, e)
+		if canceller, ok := client.(upstream.EpochCanceller); ok {
+			_ = canceller.CancelEpoch(ctx, r, e)
 			return
 		}
 		_ = client.Cancel(ctx, r)
@@ -205,41 +205,41 @@
 	return min(max(timeoutFactor*expected, c.minTimeout), c.maxTimeout)
 }
 
-var errExpired = errors.New("timeout expired")
+var errTimeout = errors.New("timeout expired")
 
-// await calls f and cancels its context after d by the clock of c. It calls f on
+// callWithTimeout calls f and cancels its context after d by the clock of c. It calls f on
 // the same goroutine, which spares the step a switch between goroutines.
-func await[V any](ctx context.Context, c *Courier, d time.Duration, f func(context.Context) (V, error)) (V, error) {
+func callWithTimeout[V any](ctx context.Context, c *Courier, d time.Duration, f func(context.Context) (V, error)) (V, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	expired := c.clock.After(d)
 	go func() {
 		select {
 		case <-expired:
-			cancel(errExpired)
+			cancel(errTimeout)
 		case <-ctx.Done():
 		}
 	}()
 	value, err := f(ctx)
-	if err != nil && errors.Is(context.Cause(ctx), errExpired) {
+	if err != nil && errors.Is(context.Cause(ctx), errTimeout) {
 		return value, refusal.New(refusal.Deadline, "no answer within %v", d)
 	}
 	return value, err
 }
 
-// unknown knows no speeds: all timeouts are the least one.
-type unknown struct{}
+// noEstimates knows no speeds: all timeouts are the least one.
+type noEstimates struct{}
 
-func (unknown) Speed(upstream.Upstream) pipeline.Speed { return pipeline.Speed{} }
+func (noEstimates) Speed(upstream.Upstream) pipeline.Speed { return pipeline.Speed{} }
 
-// Fixed is a Planner that always gives the same chain.
-type Fixed pipeline.Chain
+// FixedPlanner is a Planner that always gives the same chain.
+type FixedPlanner pipeline.Chain
 
 // Plan returns the chain, or an error of kind refusal.NoUpstream when it has a
 // stage to avoid.
-func (f Fixed) Plan(model fleet.ModelID, avoid []fleet.UpstreamID) (pipeline.Chain, error) {
+func (f FixedPlanner) Plan(model fleet.ModelID, exclude []fleet.UpstreamID) (pipeline.Chain, error) {
 	for _, s := range f.Stages {
-		for _, id := range avoid {
+		for _, id := range exclude {
 			if s.Upstream.ID == id {
 				return pipeline.Chain{}, refusal.New(refusal.NoUpstream, "upstream %q of the chain for model %q is lost", id, model)
 			}
--- a/internal/pipeline/courier/courier_test.go
+++ b/internal/pipeline/courier/courier_test.go
@@ -27,22 +27,22 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/standin"
 )
 
-// served is a fleet of stand-ins behind HTTP on loopback. It implements
+// httpFleet is a fleet of stand-ins behind HTTP on loopback. It implements
 // upstream.Roster.
-type served struct {
+type httpFleet struct {
 	standins map[fleet.UpstreamID]*standin.Standin
 	servers  map[fleet.UpstreamID]*httptest.Server
 	record   *standin.Recorder
 	counts   inflight.Counts
 }
 
-func serve(record *standin.Recorder, ranges []upstream.LayerRange, each int, base standin.Config) *served {
-	f := &served{
+func startHTTPFleet(record *standin.Recorder, ranges []upstream.LayerRange, perRange int, base standin.Config) *httpFleet {
+	f := &httpFleet{
 		standins: make(map[fleet.UpstreamID]*standin.Standin),
 		servers:  make(map[fleet.UpstreamID]*httptest.Server), record: record,
 	}
 	for i, layers := range ranges {
-		for n := range each {
+		for n := range perRange {
 			id := fleet.UpstreamID(fmt.Sprintf("%c%d", 'a'+i, n))
 			server := httptest.NewUnstartedServer(nil)
 			config := base
@@ -60,14 +60,14 @@
 	return f
 }
 
-func (f *served) close() {
+func (f *httpFleet) close() {
 	for id, s := range f.standins {
 		s.Close()
 		f.servers[id].Close()
 	}
 }
 
-func (f *served) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
+func (f *httpFleet) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
 	var list []upstream.Upstream
 	for id := range f.standins {
 		if u, _ := f.Get(id); u.State == upstream.Serving {
@@ -77,7 +77,7 @@
 	return list
 }
 
-func (f *served) Get(id fleet.UpstreamID) (upstream.Upstream, bool) {
+func (f *httpFleet) Get(id fleet.UpstreamID) (upstream.Upstream, bool) {
 	s, ok := f.standins[id]
 	if !ok {
 		return upstream.Upstream{}, false
@@ -85,20 +85,20 @@
 	return upstream.Upstream{Announcement: s.Describe()}, true
 }
 
-func (f *served) courier(dialer upstream.Dialer, layers fleet.Layer) *courier.Courier {
+func (f *httpFleet) newExecutor(dialer upstream.Dialer, layers fleet.Layer) *courier.Courier {
 	learned := speeds.New(pipeline.Speed{Fixed: time.Millisecond, Layer: time.Millisecond, Position: time.Microsecond})
 	models := func(fleet.ModelID) (document.Model, bool) {
 		return document.Model{ID: "ledger", Version: "1", Layers: layers}, true
 	}
-	p := planner.New(f, models, learned, systemclock.Clock{}, planner.WithCounts(&f.counts), planner.WithRefresh(0))
+	p := planner.New(f, models, learned, systemclock.Clock{}, planner.WithCounts(&f.counts), planner.WithRefreshInterval(0))
 	return courier.New(p, dialer, courier.WithSpeeds(learned), courier.WithObserver(learned),
 		courier.WithRoster(f), courier.WithGauge(&f.counts), courier.WithTimeouts(3*time.Second, time.Minute))
 }
 
-// used returns an engine of a range that serves the request.
-func (f *served) used(t *testing.T, prefix string) fleet.UpstreamID {
+// activeEngine returns an engine of a range that serves the request.
+func (f *httpFleet) activeEngine(t *testing.T, prefix string) fleet.UpstreamID {
 	for id := range f.standins {
-		if strings.HasPrefix(string(id), prefix) && f.counts.Of(id).Load() > 0 {
+		if strings.HasPrefix(string(id), prefix) && f.counts.Counter(id).Load() > 0 {
 			return id
 		}
 	}
@@ -113,9 +113,9 @@
 func TestFaultsOverHTTP(t *testing.T) {
 	is := is.New(t)
 	var record bytes.Buffer
-	f := serve(standin.NewRecorder(&record), []upstream.LayerRange{{From: 0, To: 3}, {From: 3, To: 4}, {From: 4, To: 8}}, 3, standin.Config{})
+	f := startHTTPFleet(standin.NewRecorder(&record), []upstream.LayerRange{{From: 0, To: 3}, {From: 3, To: 4}, {From: 4, To: 8}}, 3, standin.Config{})
 	dialer := engine.NewDialer()
-	c := f.courier(dialer, 8)
+	c := f.newExecutor(dialer, 8)
 	prompt := []uint64{5, 7, 11}
 	want, wantReason := standin.Generate("ledger", "1", "", 8, prompt, 60)
 	for wantReason != pipeline.LengthReached {
@@ -137,13 +137,13 @@
 				s.SetFaults(standin.Faults{StaleAnswers: 1})
 			}
 		case 12:
-			frozen = f.used(t, "b")
+			frozen = f.activeEngine(t, "b")
 			f.standins[frozen].SetFaults(standin.Faults{Frozen: true})
 		case 18:
-			f.servers[f.used(t, "a")].CloseClientConnections()
-			f.servers[f.used(t, "a")].Close()
+			f.servers[f.activeEngine(t, "a")].CloseClientConnections()
+			f.servers[f.activeEngine(t, "a")].Close()
 		case 25:
-			f.standins[f.used(t, "c")].Leave()
+			f.standins[f.activeEngine(t, "c")].Leave()
 		case 30:
 			f.standins[frozen].SetFaults(standin.Faults{})
 		}
@@ -172,11 +172,11 @@
 	ranges := []upstream.LayerRange{{From: 0, To: 2}, {From: 2, To: 4}, {From: 4, To: 6}, {From: 6, To: 8}}
 	for _, name := range []string{"courier", "direct"} {
 		b.Run(name, func(b *testing.B) {
-			f := serve(nil, ranges, 1, standin.Config{StepTime: 2 * time.Millisecond, Announcement: upstream.Announcement{Slots: streams}})
+			f := startHTTPFleet(nil, ranges, 1, standin.Config{StepTime: 2 * time.Millisecond, Announcement: upstream.Announcement{Slots: streams}})
 			defer f.close()
 			dialer := engine.NewDialer()
 			defer dialer.Close()
-			c := f.courier(dialer, 8)
+			c := f.newExecutor(dialer, 8)
 			defer c.Close()
 			var tokens atomic.Int64
 			var streaming sync.WaitGroup
@@ -184,7 +184,7 @@
 				streaming.Go(func() {
 					for tokens.Load() < int64(b.N) {
 						if name == "direct" {
-							f.direct(b, dialer, ranges, &tokens)
+							f.runDirect(b, dialer, ranges, &tokens)
 							continue
 						}
 						g := pipeline.Generation{Request: fleet.NewRequestID(), Model: "ledger", Prompt: []uint64{rand.Uint64()}, MaxTokens: 50}
@@ -205,8 +205,8 @@
 	}
 }
 
-// direct runs 50 tokens of one request by calls of the client.
-func (f *served) direct(b *testing.B, dialer *engine.Dialer, ranges []upstream.LayerRange, tokens *atomic.Int64) {
+// runDirect runs 50 tokens of one request by calls of the client.
+func (f *httpFleet) runDirect(b *testing.B, dialer *engine.Dialer, ranges []upstream.LayerRange, tokens *atomic.Int64) {
 	request := fleet.NewRequestID()
 	input := []uint64{rand.Uint64()}
 	for n := range 50 {
@@ -233,11 +233,11 @@
 func BenchmarkToken(b *testing.B) {
 	ranges := []upstream.LayerRange{{From: 0, To: 2}, {From: 2, To: 4}, {From: 4, To: 6}, {From: 6, To: 8}}
 	b.Run("courier", func(b *testing.B) {
-		f := serve(nil, ranges, 1, standin.Config{})
+		f := startHTTPFleet(nil, ranges, 1, standin.Config{})
 		defer f.close()
 		dialer := engine.NewDialer()
 		defer dialer.Close()
-		c := f.courier(dialer, 8)
+		c := f.newExecutor(dialer, 8)
 		defer c.Close()
 		b.ReportAllocs()
 		// An answer ends by itself now and then; the next one starts anew.
@@ -253,7 +253,7 @@
 		}
 	})
 	b.Run("direct", func(b *testing.B) {
-		f := serve(nil, ranges, 1, standin.Config{})
+		f := startHTTPFleet(nil, ranges, 1, standin.Config{})
 		defer f.close()
 		dialer := engine.NewDialer()
 		defer dialer.Close()
--- a/internal/pipeline/courier/local_test.go
+++ b/internal/pipeline/courier/local_test.go
@@ -25,63 +25,63 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/standin"
 )
 
-const kvBytes = 1000
+const kvEntryBytes = 1000
 
 // clock is a fake clock that knows when the newest timer ends. The fake engines
 // move it by the time that a call takes.
 type clock struct {
 	*fakeclock.Clock
-	mu   sync.Mutex
-	last time.Time
+	mu          sync.Mutex
+	newestTimer time.Time
 }
 
 func (c *clock) After(d time.Duration) <-chan time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = c.Now().Add(d)
+	c.newestTimer = c.Now().Add(d)
 	return c.Clock.After(d)
 }
 
-// deadline returns the end of the newest timer.
-func (c *clock) deadline() time.Time {
+// newestDeadline returns the end of the newest timer.
+func (c *clock) newestDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last
+	return c.newestTimer
 }
 
-// world is a fleet of stand-ins in process, reached without sockets, under a
+// simulation is a fleet of stand-ins in process, reached without sockets, under a
 // fake clock. It implements Dialer, Roster, Speeds and Trail.
-type world struct {
+type simulation struct {
 	clock  *clock
 	layers int
 	// version is that of the expected text.
 	version string
-	// rateError is the factor by which the rates of links are overestimated.
-	rateError float64
-	counts    inflight.Counts
+	// rateOverestimate is the factor by which the rates of links are overestimated.
+	rateOverestimate float64
+	counts           inflight.Counts
 
 	mu      sync.Mutex
-	engines map[fleet.UpstreamID]*local
+	engines map[fleet.UpstreamID]*simEngine
 	record  bytes.Buffer
 	entries []report.Entry
-	// late holds steps that frozen engines got and run when they go on.
-	late []func()
+	// frozenSteps holds steps that frozen engines got and run when they go on.
+	frozenSteps []func()
 	// events are the steps that were answered or failed.
 	events []event
 }
 
 type event struct {
-	id         fleet.UpstreamID
-	epoch      fleet.Epoch
-	end        fleet.Position // position after the last one of the step
-	began, now time.Time
-	failed     bool
+	id                 fleet.UpstreamID
+	epoch              fleet.Epoch
+	endPosition        fleet.Position // position after the last one of the step
+	startedAt, endedAt time.Time
+	failed             bool
 }
 
-// local is one stand-in with its true speed and its faults.
-type local struct {
-	world   *world
-	standin *standin.Standin
+// simEngine is one stand-in with its true speed and its faults.
+type simEngine struct {
+	simulation *simulation
+	standin    *standin.Standin
 	upstream.Upstream
 	speed  pipeline.Speed
 	absent bool
@@ -90,61 +90,61 @@
 	dead   bool
 	// overloaded engines refuse every step.
 	overloaded bool
-	last       upstream.StepResult
+	lastResult upstream.StepResult
 }
 
-func newWorld(layers int) *world {
-	return &world{
+func newSimulation(layers int) *simulation {
+	return &simulation{
 		clock:  &clock{Clock: fakeclock.New(fakeclock.Start)},
-		layers: layers, version: "1", rateError: 1, engines: make(map[fleet.UpstreamID]*local),
+		layers: layers, version: "1", rateOverestimate: 1, engines: make(map[fleet.UpstreamID]*simEngine),
 	}
 }
 
-func (w *world) add(id string, from, to int, speed pipeline.Speed) *local {
+func (w *simulation) add(id string, from, to int, speed pipeline.Speed) *simEngine {
 	a := upstream.Announcement{
 		ID: fleet.UpstreamID(id), Kind: upstream.Engine, Model: "m", Version: "1", Slots: 8,
 		Layers: upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(to)},
 	}
-	e := &local{world: w, Upstream: upstream.Upstream{Announcement: a}, speed: speed, faults: make(map[fleet.Position]string)}
+	e := &simEngine{simulation: w, Upstream: upstream.Upstream{Announcement: a}, speed: speed, faults: make(map[fleet.Position]string)}
 	e.start()
 	w.engines[a.ID] = e
 	return e
 }
 
 // start starts the stand-in, or starts it again with an empty memory.
-func (e *local) start() {
+func (e *simEngine) start() {
 	e.close()
 	e.standin = standin.New(standin.Config{
-		Announcement: e.Announcement, TotalLayers: fleet.Layer(e.world.layers),
-		Clock: e.world.clock.Clock, Recorder: standin.NewRecorder(&e.world.record),
+		Announcement: e.Announcement, TotalLayers: fleet.Layer(e.simulation.layers),
+		Clock: e.simulation.clock.Clock, Recorder: standin.NewRecorder(&e.simulation.record),
 	})
 }
 
-func (e *local) close() {
+func (e *simEngine) close() {
 	if e.standin != nil {
 		e.standin.Close()
 	}
 }
 
-func (w *world) close() {
+func (w *simulation) close() {
 	for _, e := range w.engines {
 		e.close()
 	}
 }
 
-func (w *world) courier(options ...courier.Option) *courier.Courier {
+func (w *simulation) newExecutor(options ...courier.Option) *courier.Courier {
 	models := func(fleet.ModelID) (document.Model, bool) {
 		return document.Model{ID: "m", Version: "1", Layers: fleet.Layer(w.layers)}, true
 	}
-	first := func(int) int { return 0 }
-	p := planner.New(w, models, w, w.clock, planner.WithCounts(&w.counts), planner.WithDraw(first), planner.WithRefresh(0))
+	firstEngine := func(int) int { return 0 }
+	p := planner.New(w, models, w, w.clock, planner.WithCounts(&w.counts), planner.WithRandIntN(firstEngine), planner.WithRefreshInterval(0))
 	return courier.New(p, w, append([]courier.Option{
 		courier.WithClock(w.clock), courier.WithSpeeds(w), courier.WithRoster(w), courier.WithTrail(w),
-		courier.WithGauge(&w.counts), courier.WithTimeouts(time.Millisecond, time.Hour), courier.WithKVBytes(kvBytes), courier.WithOverloadPause(0),
+		courier.WithGauge(&w.counts), courier.WithTimeouts(time.Millisecond, time.Hour), courier.WithKVEntryBytes(kvEntryBytes), courier.WithOverloadBackoff(0),
 	}, options...)...)
 }
 
-func (w *world) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
+func (w *simulation) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
 	var list []upstream.Upstream
 	for _, e := range w.engines {
 		if !e.absent && e.State == upstream.Serving {
@@ -155,70 +155,70 @@
 	return list
 }
 
-func (w *world) Get(id fleet.UpstreamID) (upstream.Upstream, bool) {
+func (w *simulation) Get(id fleet.UpstreamID) (upstream.Upstream, bool) {
 	e, ok := w.engines[id]
 	return e.Upstream, ok
 }
 
-func (w *world) Speed(u upstream.Upstream) pipeline.Speed {
+func (w *simulation) Speed(u upstream.Upstream) pipeline.Speed {
 	s := w.engines[u.ID].speed
-	s.BytesPerSecond *= w.rateError
+	s.BytesPerSecond *= w.rateOverestimate
 	return s
 }
 
-func (w *world) Open(string, fleet.AccountID, fleet.TeamID) {}
+func (w *simulation) Open(string, fleet.AccountID, fleet.TeamID) {}
 
-func (w *world) Add(_ string, e report.Entry) { w.entries = append(w.entries, e) }
+func (w *simulation) Add(_ string, e report.Entry) { w.entries = append(w.entries, e) }
 
-func (w *world) Find(string) (report.Record, bool) { return report.Record{}, false }
+func (w *simulation) Find(string) (report.Record, bool) { return report.Record{}, false }
 
-func (w *world) Engine(u upstream.Upstream) upstream.EngineClient { return w.engines[u.ID] }
+func (w *simulation) Engine(u upstream.Upstream) upstream.EngineClient { return w.engines[u.ID] }
 
-func (w *world) Service(upstream.Upstream) upstream.ServiceClient { return nil }
+func (w *simulation) Service(upstream.Upstream) upstream.ServiceClient { return nil }
 
-func (w *world) log(e event) {
+func (w *simulation) logEvent(e event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events = append(w.events, e)
 }
 
 // Step runs a step with the fault of its positions, if there is one.
-func (e *local) Step(ctx context.Context, s upstream.Step) (upstream.StepResult, error) {
-	w := e.world
-	ev := event{id: e.ID, epoch: s.Epoch, end: s.Position + fleet.Position(len(s.Input)), began: w.clock.Now()}
-	fault := e.faults[ev.end-1]
+func (e *simEngine) Step(ctx context.Context, s upstream.Step) (upstream.StepResult, error) {
+	w := e.simulation
+	stepEvent := event{id: e.ID, epoch: s.Epoch, endPosition: s.Position + fleet.Position(len(s.Input)), startedAt: w.clock.Now()}
+	fault := e.faults[stepEvent.endPosition-1]
 	if e.overloaded {
 		fault = "refuse"
 	}
-	delete(e.faults, ev.end-1)
+	delete(e.faults, stepEvent.endPosition-1)
 	if fault == "freeze" {
 		// The event is there before the courier goes on.
-		ev.now, ev.failed = w.clock.deadline(), true
-		w.log(ev)
+		stepEvent.endedAt, stepEvent.failed = w.clock.newestDeadline(), true
+		w.logEvent(stepEvent)
 		return e.freeze(ctx, s)
 	}
-	result, err := e.faulty(ctx, s, fault)
-	ev.now, ev.failed = w.clock.Now(), err != nil
-	w.log(ev)
+	result, err := e.stepWithFault(ctx, s, fault)
+	stepEvent.endedAt, stepEvent.failed = w.clock.Now(), err != nil
+	w.logEvent(stepEvent)
 	return result, err
 }
 
 // freeze lets the timeout of the courier expire. The step runs later.
-func (e *local) freeze(ctx context.Context, s upstream.Step) (upstream.StepResult, error) {
-	w := e.world
-	w.late = append(w.late, func() { _, _ = e.run(context.Background(), s) })
-	w.clock.Advance(w.clock.deadline().Sub(w.clock.Now()))
+func (e *simEngine) freeze(ctx context.Context, s upstream.Step) (upstream.StepResult, error) {
+	w := e.simulation
+	w.frozenSteps = append(w.frozenSteps, func() { _, _ = e.run(context.Background(), s) })
+	w.clock.Advance(w.clock.newestDeadline().Sub(w.clock.Now()))
 	<-ctx.Done()
 	return upstream.StepResult{}, refusal.Because(refusal.UpstreamFailed, ctx.Err(), "frozen")
 }
 
-func (e *local) faulty(ctx context.Context, s upstream.Step, fault string) (upstream.StepResult, error) {
+func (e *simEngine) stepWithFault(ctx context.Context, s upstream.Step, fault string) (upstream.StepResult, error) {
 	switch fault {
 	case "die":
 		e.dead, e.absent = true, true
 	case "thaw":
 		// An engine that was frozen goes on and runs what it got.
-		for _, f := range e.world.late {
+		for _, f := range e.simulation.frozenSteps {
 			f()
 		}
 	case "lose":
@@ -226,7 +226,7 @@
 		return upstream.StepResult{}, refusal.New(refusal.UpstreamFailed, "connection closed")
 	case "stale":
 		// The step runs, and the answer before comes once more.
-		last := e.last
+		last := e.lastResult
 		_, err := e.run(ctx, s)
 		return last, err
 	case "refuse":
@@ -242,17 +242,17 @@
 	return e.run(ctx, s)
 }
 
-func (e *local) run(_ context.Context, s upstream.Step) (upstream.StepResult, error) {
+func (e *simEngine) run(_ context.Context, s upstream.Step) (upstream.StepResult, error) {
 	var result upstream.StepResult
 	err := e.post(http.MethodPost, "/v1/steps", s, &result)
 	elapsed := e.speed.Fixed + time.Duration(s.Layers.Len())*(e.speed.Layer+time.Duration(len(s.Input)-1)*e.speed.Position)
-	e.world.clock.Advance(elapsed)
-	e.last = result
+	e.simulation.clock.Advance(elapsed)
+	e.lastResult = result
 	return result, err
 }
 
 // post calls the handler of the stand-in.
-func (e *local) post(method, path string, in, out any) error {
+func (e *simEngine) post(method, path string, in, out any) error {
 	if e.dead {
 		return refusal.New(refusal.NoUpstream, "connection refused")
 	}
@@ -274,34 +274,36 @@
 	}
 }
 
-func (e *local) Cancel(_ context.Context, r fleet.RequestID) error {
+func (e *simEngine) Cancel(_ context.Context, r fleet.RequestID) error {
 	return e.post(http.MethodPost, "/v1/requests/"+string(r)+"/cancel", nil, new(struct{}))
 }
 
-func (e *local) CancelEpoch(_ context.Context, r fleet.RequestID, epoch fleet.Epoch) error {
+func (e *simEngine) CancelEpoch(_ context.Context, r fleet.RequestID, epoch fleet.Epoch) error {
 	return e.post(http.MethodPost, fmt.Sprintf("/v1/requests/%s/cancel?epoch=%d", r, epoch), nil, new(struct{}))
 }
 
-func (e *local) Export(_ context.Context, r fleet.RequestID) (upstream.KV, error) {
+func (e *simEngine) Export(_ context.Context, r fleet.RequestID) (upstream.KV, error) {
 	var kv upstream.KV
 	err := e.post(http.MethodGet, "/v1/requests/"+string(r)+"/kv", nil, &kv)
-	e.move(kv)
+	e.advanceTransfer(kv)
 	return kv, err
 }
 
-func (e *local) Import(_ context.Context, epoch fleet.Epoch, kv upstream.KV) error {
-	e.move(kv)
+func (e *simEngine) Import(_ context.Context, epoch fleet.Epoch, kv upstream.KV) error {
+	e.advanceTransfer(kv)
 	return e.post(http.MethodPut, fmt.Sprintf("/v1/requests/%s/kv?epoch=%d", kv.Request, epoch), kv, new(struct{}))
 }
 
-// move takes the time of the transfer of kv.
-func (e *local) move(kv upstream.KV) {
-	size := float64(kv.Layers.Len() * int(kv.Positions) * kvBytes)
+// advanceTransfer takes the time of the transfer of kv.
+func (e *simEngine) advanceTransfer(kv upstream.KV) {
+	size := float64(kv.Layers.Len() * int(kv.Positions) * kvEntryBytes)
 	if e.speed.BytesPerSecond > 0 {
-		e.world.clock.Advance(e.speed.Fixed + time.Duration(size/e.speed.BytesPerSecond*float64(time.Second)))
+		e.simulation.clock.Advance(e.speed.Fixed + time.Duration(size/e.speed.BytesPerSecond*float64(time.Second)))
 	}
 }
 
-func (e *local) Command(context.Context, upstream.Command) error { return nil }
+func (e *simEngine) Command(context.Context, upstream.Command) error { return nil }
 
-func (e *local) Describe(context.Context) (upstream.Announcement, error) { return e.Announcement, nil }
+func (e *simEngine) Describe(context.Context) (upstream.Announcement, error) {
+	return e.Announcement, nil
+}
--- a/internal/pipeline/courier/recovery.go
+++ b/internal/pipeline/courier/recovery.go
@@ -13,12 +13,12 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// never is the expected time of what is not possible.
-const never = time.Duration(math.MaxInt64)
+// infinite is the expected time of what is not possible.
+const infinite = time.Duration(math.MaxInt64)
 
-// recover replaces stage i after an error. It returns an error when the request
+// recoverStage replaces stage i after an error. It returns an error when the request
 // cannot go on.
-func (r *run) recover(ctx context.Context, index, i int, cause error) error {
+func (r *run) recoverStage(ctx context.Context, index, i int, cause error) error {
 	if ctx.Err() != nil {
 		return cause
 	}
@@ -27,24 +27,24 @@
 		return refusal.Because(refusal.KindOf(cause), cause, "request %s was recovered %d times in vain", r.request.Request, maxRecoveries)
 	}
 	old := r.chain.Stages[i]
-	r.lost = append(r.lost, old.Upstream.ID)
-	r.suspect(old.Upstream.ID, cause)
-	next, err := r.replan(index, r.lost)
-	if err != nil && len(r.lost) > 1 {
+	r.excluded = append(r.excluded, old.Upstream.ID)
+	r.reportSuspect(old.Upstream.ID, cause)
+	next, err := r.replan(index, r.excluded)
+	if err != nil && len(r.excluded) > 1 {
 		// An engine that was lost before may have come back.
-		r.lost = []fleet.UpstreamID{old.Upstream.ID}
-		next, err = r.replan(index, r.lost)
+		r.excluded = []fleet.UpstreamID{old.Upstream.ID}
+		next, err = r.replan(index, r.excluded)
 	}
 	if err != nil {
-		return r.retain(i, cause, err)
+		return r.retryChain(i, cause, err)
 	}
-	r.migrate(ctx, next, alive(cause), fmt.Sprintf("stage %s failed: %v", old.Upstream.ID, cause))
+	r.migrate(ctx, next, canExport(cause), fmt.Sprintf("stage %s failed: %v", old.Upstream.ID, cause))
 	return nil
 }
 
-// suspect keeps other requests from an engine that did not answer.
-func (r *run) suspect(id fleet.UpstreamID, cause error) {
-	s, ok := r.courier.planner.(pipeline.Suspecter)
+// reportSuspect keeps other requests from an engine that did not answer.
+func (r *run) reportSuspect(id fleet.UpstreamID, cause error) {
+	s, ok := r.executor.planner.(pipeline.Suspecter)
 	if !ok {
 		return
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// alive tells whether an engine that answered with err can still export.
-func alive(err error) bool {
+// canExport tells whether an engine that answered with err can still export.
+func canExport(err error) bool {
 	switch refusal.KindOf(err) {
 	case refusal.Overloaded, refusal.Stopping:
 		return true
@@ -64,40 +64,40 @@
 	}
 }
 
-// retain goes on with the same chain under a new epoch when there is no other
+// retryChain goes on with the same chain under a new epoch when there is no other
 // engine. An engine that answered may have restarted or lost its cache, so stage i
 // starts from the first position on, unless it was only overloaded or late.
-func (r *run) retain(i int, cause, planning error) error {
+func (r *run) retryChain(i int, cause, planErr error) error {
 	switch refusal.KindOf(cause) {
 	case refusal.NoUpstream, refusal.Stopping:
-		return planning
+		return planErr
 	}
-	r.lost = nil
-	have := append([]fleet.Position(nil), r.have...)
+	r.excluded = nil
+	cachedPositions := append([]fleet.Position(nil), r.cachedPositions...)
 	chosen := "send again to the same engine"
 	switch refusal.KindOf(cause) {
 	case refusal.Overloaded, refusal.Deadline:
 	default:
-		have[i] = 0
+		cachedPositions[i] = 0
 		chosen = "compute again on the same engine"
 	}
-	r.take(r.chain, have)
-	r.courier.record(r.request.Request, report.Entry{
+	r.startEpoch(r.chain, cachedPositions)
+	r.executor.record(r.request.Request, report.Entry{
 		Known:  fmt.Sprintf("stage %s failed: %v", r.chain.Stages[i].Upstream.ID, cause),
-		Chosen: chosen, Reason: planning.Error(),
+		Chosen: chosen, Reason: planErr.Error(),
 	})
 	return nil
 }
 
 // replan returns a chain without the avoided engines. It keeps the version and
 // adapter once a token was emitted.
-func (r *run) replan(index int, avoid []fleet.UpstreamID) (pipeline.Chain, error) {
-	if p, ok := r.courier.planner.(pipeline.Replanner); ok {
-		if next, err := p.Replace(r.chain, avoid, len(r.values[0])); err == nil {
+func (r *run) replan(index int, exclude []fleet.UpstreamID) (pipeline.Chain, error) {
+	if p, ok := r.executor.planner.(pipeline.Replanner); ok {
+		if next, err := p.Replace(r.chain, exclude, len(r.layerInputs[0])); err == nil {
 			return next, nil
 		}
 	}
-	next, err := r.courier.planner.Plan(r.request.Model, avoid)
+	next, err := r.executor.planner.Plan(r.request.Model, exclude)
 	if err != nil {
 		return pipeline.Chain{}, err
 	}
@@ -116,25 +116,25 @@
 // its KV cache. One that replaces an engine which can still export imports its
 // cache when that is expected to be faster than to compute it again.
 func (r *run) migrate(ctx context.Context, next pipeline.Chain, export bool, cause string) {
-	old, oldClients, oldHave := r.chain, r.clients, r.have
+	old, oldClients, oldCachedPositions := r.chain, r.clients, r.cachedPositions
 	same := next.Version == old.Version && next.Adapter == old.Adapter
-	have := make([]fleet.Position, len(next.Stages))
+	cachedPositions := make([]fleet.Position, len(next.Stages))
 	for k, s := range next.Stages {
-		if i := find(old, s.Layers); same && i >= 0 && old.Stages[i].Upstream.ID == s.Upstream.ID {
-			have[k] = oldHave[i]
+		if i := stageIndex(old, s.Layers); same && i >= 0 && old.Stages[i].Upstream.ID == s.Upstream.ID {
+			cachedPositions[k] = oldCachedPositions[i]
 		}
 	}
 	if !same {
-		r.values = map[fleet.Layer][]uint64{0: r.values[0]}
+		r.layerInputs = map[fleet.Layer][]uint64{0: r.layerInputs[0]}
 	}
-	r.take(next, have)
+	r.startEpoch(next, cachedPositions)
 	for k, s := range next.Stages {
-		i := find(old, s.Layers)
+		i := stageIndex(old, s.Layers)
 		if i >= 0 && old.Stages[i].Upstream.ID == s.Upstream.ID && same {
 			continue
 		}
-		o := restoration{stage: k, positions: len(r.values[0])}
-		if export && same && i >= 0 && oldHave[i] > 0 {
+		o := restoration{stage: k, positions: len(r.layerInputs[0])}
+		if export && same && i >= 0 && oldCachedPositions[i] > 0 {
 			o.from, o.client = old.Stages[i].Upstream, oldClients[i]
 		}
 		r.restore(ctx, o, cause)
@@ -154,45 +154,45 @@
 // estimate returns the expected times until a stage has answered the newest
 // position, with an import and with a computation. An import that is not possible
 // takes for ever.
-func (r *run) estimate(s pipeline.Stage, o restoration) (copying, computing time.Duration) {
-	c := r.courier
+func (r *run) estimate(s pipeline.Stage, o restoration) (importTime, recomputeTime time.Duration) {
+	c := r.executor
 	to, layers := c.speeds.Speed(s.Upstream), s.Layers.Len()
-	computing = stepTime(to, layers, o.positions)
+	recomputeTime = expectedStepTime(to, layers, o.positions)
 	if o.client == nil {
-		return never, computing
+		return infinite, recomputeTime
 	}
 	from := c.speeds.Speed(o.from)
 	if from.BytesPerSecond <= 0 || to.BytesPerSecond <= 0 {
-		return never, computing
+		return infinite, recomputeTime
 	}
-	return transferTime(from, to, layers*o.positions*c.kvBytes) + stepTime(to, layers, 1), computing
+	return expectedTransferTime(from, to, layers*o.positions*c.kvEntryBytes) + expectedStepTime(to, layers, 1), recomputeTime
 }
 
 // restore fills the KV cache of a new stage by the faster way and records the
 // decision. A cache that is not imported is computed by the next step.
 func (r *run) restore(ctx context.Context, o restoration, cause string) {
 	s := r.chain.Stages[o.stage]
-	copying, computing := r.estimate(s, o)
+	importTime, recomputeTime := r.estimate(s, o)
 	e := report.Entry{
 		Known:   fmt.Sprintf("%s; %d positions of layers %d:%d", cause, o.positions, s.Layers.From, s.Layers.To),
-		Weighed: fmt.Sprintf("import not possible, compute again on %s: %v", s.Upstream.ID, computing),
+		Weighed: fmt.Sprintf("import not possible, compute again on %s: %v", s.Upstream.ID, recomputeTime),
 		Chosen:  fmt.Sprintf("compute again, epoch %d", r.epoch),
 		Reason:  "shorter expected time", Next: "another engine under a new epoch",
 	}
-	if copying < never {
-		e.Weighed = fmt.Sprintf("import from %s: %v, compute again on %s: %v", o.from.ID, copying, s.Upstream.ID, computing)
+	if importTime < infinite {
+		e.Weighed = fmt.Sprintf("import from %s: %v, compute again on %s: %v", o.from.ID, importTime, s.Upstream.ID, recomputeTime)
 	}
-	if copying < computing {
+	if importTime < recomputeTime {
 		e.Chosen = fmt.Sprintf("import, epoch %d", r.epoch)
 		e.Next = "compute again"
 	}
-	r.courier.record(r.request.Request, e)
-	if copying < computing && r.transfer(ctx, o) != nil {
-		r.have[o.stage] = 0
+	r.executor.record(r.request.Request, e)
+	if importTime < recomputeTime && r.transferCache(ctx, o) != nil {
+		r.cachedPositions[o.stage] = 0
 	}
 }
 
-func find(c pipeline.Chain, layers upstream.LayerRange) int {
+func stageIndex(c pipeline.Chain, layers upstream.LayerRange) int {
 	for i, s := range c.Stages {
 		if s.Layers == layers {
 			return i
@@ -201,40 +201,40 @@
 	return -1
 }
 
-// transferTime is the expected time of an export and an import.
-func transferTime(from, to pipeline.Speed, size int) time.Duration {
+// expectedTransferTime is the expected time of an export and an import.
+func expectedTransferTime(from, to pipeline.Speed, size int) time.Duration {
 	seconds := float64(size)/from.BytesPerSecond + float64(size)/to.BytesPerSecond
 	return from.Fixed + to.Fixed + time.Duration(seconds*float64(time.Second))
 }
 
-// transfer moves the KV cache of an old stage to a new one.
-func (r *run) transfer(ctx context.Context, o restoration) error {
-	c, s, request, k := r.courier, r.chain.Stages[o.stage], r.request.Request, o.stage
-	size := s.Layers.Len() * o.positions * c.kvBytes
-	expected := transferTime(c.speeds.Speed(o.from), c.speeds.Speed(s.Upstream), size)
-	began := c.clock.Now()
-	kv, err := await(ctx, c, c.timeout(expected), func(ctx context.Context) (upstream.KV, error) {
+// transferCache moves the KV cache of an old stage to a new one.
+func (r *run) transferCache(ctx context.Context, o restoration) error {
+	c, s, request, k := r.executor, r.chain.Stages[o.stage], r.request.Request, o.stage
+	size := s.Layers.Len() * o.positions * c.kvEntryBytes
+	expected := expectedTransferTime(c.speeds.Speed(o.from), c.speeds.Speed(s.Upstream), size)
+	startedAt := c.clock.Now()
+	kv, err := callWithTimeout(ctx, c, c.timeout(expected), func(ctx context.Context) (upstream.KV, error) {
 		return o.client.Export(ctx, request)
 	})
 	if err != nil {
 		return err
 	}
-	exported := c.clock.Now()
+	exportedAt := c.clock.Now()
 	if kv.Layers != s.Layers || kv.Version != r.chain.Version || kv.Adapter != r.chain.Adapter ||
-		int(kv.Positions) > len(r.values[s.Layers.From]) || int(kv.Positions) > len(r.values[s.Layers.To]) {
+		int(kv.Positions) > len(r.layerInputs[s.Layers.From]) || int(kv.Positions) > len(r.layerInputs[s.Layers.To]) {
 		return refusal.New(refusal.UpstreamFailed, "upstream %q exported another cache", o.from.ID)
 	}
-	_, err = await(ctx, c, c.timeout(expected), func(ctx context.Context) (struct{}, error) {
+	_, err = callWithTimeout(ctx, c, c.timeout(expected), func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, r.clients[k].Import(ctx, r.epoch, kv)
 	})
 	if err != nil {
 		return err
 	}
 	if c.observer != nil {
-		c.observer.ObserveTransfer(o.from, len(kv.Data), exported.Sub(began))
-		c.observer.ObserveTransfer(s.Upstream, len(kv.Data), c.clock.Now().Sub(exported))
+		c.observer.ObserveTransfer(o.from, len(kv.Data), exportedAt.Sub(startedAt))
+		c.observer.ObserveTransfer(s.Upstream, len(kv.Data), c.clock.Now().Sub(exportedAt))
 	}
-	r.have[k] = kv.Positions
+	r.cachedPositions[k] = kv.Positions
 	return nil
 }
 
@@ -247,29 +247,29 @@
 			used = used || s.Upstream.ID == o.Upstream.ID
 		}
 		if !used {
-			r.courier.release(ctx, r.request.Request, r.epoch-1, clients[i])
+			r.executor.release(ctx, r.request.Request, r.epoch-1, clients[i])
 		}
 	}
 }
 
-// resume returns the layer at which a pass goes on under a new chain: the first
+// resumeLayer returns the layer at which a pass goes on under a new chain: the first
 // stage that lacks the current position, among those up to layer at.
-func (r *run) resume(at fleet.Layer) fleet.Layer {
-	goal := fleet.Position(len(r.values[0]))
+func (r *run) resumeLayer(current fleet.Layer) fleet.Layer {
+	positions := fleet.Position(len(r.layerInputs[0]))
 	for i, s := range r.chain.Stages {
-		if s.Layers.From >= at || r.have[i] < goal {
+		if s.Layers.From >= current || r.cachedPositions[i] < positions {
 			return s.Layers.From
 		}
 	}
-	return at
+	return current
 }
 
-// leave replaces the engines that are leaving, when the rest of the answer is
+// migrateFromLeaving replaces the engines that are leaving, when the rest of the answer is
 // expected to take longer than the move. Without other engines the leaving ones
 // finish the request.
-func (r *run) leave(ctx context.Context, index int) {
-	c := r.courier
-	if c.roster == nil || index == 0 || c.clock.Now().Sub(r.leaveChecked) < leavePause {
+func (r *run) migrateFromLeaving(ctx context.Context, index int) {
+	c := r.executor
+	if c.roster == nil || index == 0 || c.clock.Now().Sub(r.lastLeaveReplan) < leaveReplanInterval {
 		return
 	}
 	var leaving []fleet.UpstreamID
@@ -281,28 +281,28 @@
 	if len(leaving) == 0 {
 		return
 	}
-	r.leaveChecked = c.clock.Now()
-	next, err := r.replan(index, append(leaving, r.lost...))
-	if err != nil || !r.worthMoving(next, index) {
+	r.lastLeaveReplan = c.clock.Now()
+	next, err := r.replan(index, append(leaving, r.excluded...))
+	if err != nil || !r.worthMigrating(next, index) {
 		return
 	}
 	r.migrate(ctx, next, true, fmt.Sprintf("engines %v are leaving", leaving))
 }
 
-// worthMoving compares the move to a chain with the longest rest of the answer.
-func (r *run) worthMoving(next pipeline.Chain, index int) bool {
-	var token, move time.Duration
+// worthMigrating compares the move to a chain with the longest rest of the answer.
+func (r *run) worthMigrating(next pipeline.Chain, index int) bool {
+	var tokenTime, migrationTime time.Duration
 	for k, s := range next.Stages {
-		token += stepTime(r.courier.speeds.Speed(s.Upstream), s.Layers.Len(), 1)
-		i := find(r.chain, s.Layers)
+		tokenTime += expectedStepTime(r.executor.speeds.Speed(s.Upstream), s.Layers.Len(), 1)
+		i := stageIndex(r.chain, s.Layers)
 		if i >= 0 && r.chain.Stages[i].Upstream.ID == s.Upstream.ID {
 			continue
 		}
-		o := restoration{stage: k, positions: len(r.values[0])}
+		o := restoration{stage: k, positions: len(r.layerInputs[0])}
 		if i >= 0 {
 			o.from, o.client = r.chain.Stages[i].Upstream, r.clients[i]
 		}
-		move += min(r.estimate(s, o))
+		migrationTime += min(r.estimate(s, o))
 	}
-	return token*time.Duration(r.request.MaxTokens-index) >= move
+	return tokenTime*time.Duration(r.request.MaxTokens-index) >= migrationTime
 }
--- a/internal/pipeline/courier/recovery_test.go
+++ b/internal/pipeline/courier/recovery_test.go
@@ -20,7 +20,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/standin"
 )
 
-func promptOf(n int) []uint64 {
+func newPrompt(n int) []uint64 {
 	prompt := make([]uint64, n)
 	for i := range prompt {
 		prompt[i] = uint64(i*i + 3)
@@ -28,11 +28,11 @@
 	return prompt
 }
 
-// generate runs a request and compares what the caller got with the expected
+// runAndCheck runs a request and compares what the caller got with the expected
 // text, and what the engines ran with one run of each layer for each position.
-func (w *world) generate(c *courier.Courier, prompt, most int) (string, error) {
+func (w *simulation) runAndCheck(c *courier.Courier, prompt, maxTokens int) (string, error) {
 	var got []string
-	g := pipeline.Generation{Request: "r", Model: "m", Prompt: promptOf(prompt), MaxTokens: most}
+	g := pipeline.Generation{Request: "r", Model: "m", Prompt: newPrompt(prompt), MaxTokens: maxTokens}
 	reason, err := c.Run(context.Background(), g, func(p pipeline.Piece) error {
 		if p.Index != len(got) {
 			return fmt.Errorf("piece %d came as number %d", p.Index, len(got))
@@ -41,10 +41,10 @@
 		return nil
 	})
 	c.Close()
-	for _, f := range w.late {
+	for _, f := range w.frozenSteps {
 		f()
 	}
-	want, wantReason := standin.GenerateTokens("m", w.version, "", w.layers, g.Prompt, most)
+	want, wantReason := standin.GenerateTokens("m", w.version, "", w.layers, g.Prompt, maxTokens)
 	if err == nil && (strings.Join(got, "") != strings.Join(want, "") || reason != wantReason) {
 		return "", fmt.Errorf("caller got %q, expected %q", got, want)
 	}
@@ -59,7 +59,7 @@
 		return "", checkErr
 	}
 	for id := range w.engines {
-		if n := w.counts.Of(id).Load(); n != 0 {
+		if n := w.counts.Counter(id).Load(); n != 0 {
 			return "", fmt.Errorf("%d sequences are still counted on %s", n, id)
 		}
 	}
@@ -71,11 +71,11 @@
 // other than the recorded one.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var w *world
+		var w *simulation
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "fleet":
-				w = newWorld(6)
+				w = newSimulation(6)
 				t.Cleanup(w.close)
 				for _, line := range strings.Split(d.Input, "\n") {
 					var id string
@@ -83,7 +83,7 @@
 					if _, err := fmt.Sscan(line, &id, &from, &to, &fixed, &layer, &position, &rate); err != nil {
 						d.Fatalf(t, "%q: %v", line, err)
 					}
-					w.add(id, from, to, speed(fixed, layer, position, rate))
+					w.add(id, from, to, newSpeed(fixed, layer, position, rate))
 				}
 				return ""
 			case "run":
@@ -97,7 +97,7 @@
 						w.engines[fleet.UpstreamID(id)].faults[fleet.Position(position)] = fault
 					}
 				}
-				outcome, err := w.generate(w.courier(), prompt, most)
+				outcome, err := w.runAndCheck(w.newExecutor(), prompt, most)
 				text := outcome + "\n"
 				if err != nil {
 					text = fmt.Sprintf("error %s: %v\n", refusal.KindOf(err).Answer().Code, err)
@@ -113,8 +113,8 @@
 	})
 }
 
-// speed takes times in microseconds and a rate in kB/s.
-func speed(fixed, layer, position, rate int) pipeline.Speed {
+// newSpeed takes times in microseconds and a rate in kB/s.
+func newSpeed(fixed, layer, position, rate int) pipeline.Speed {
 	us := time.Microsecond
 	return pipeline.Speed{
 		Fixed: time.Duration(fixed) * us, Layer: time.Duration(layer) * us,
@@ -122,22 +122,22 @@
 	}
 }
 
-// TestSchedules runs seeded schedules of faults in the middle of answers: deaths,
+// TestRandomFaults runs seeded schedules of faults in the middle of answers: deaths,
 // freezes that thaw, lost, late and stale answers, restarts, refusals, joins and
 // leaves. It guards against a gap, a repetition or a swap of text or layers, and
 // against a request that fails although all layers keep a holder.
-func TestSchedules(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	faults := []string{"die", "freeze", "thaw", "lose", "stale", "refuse", "stop", "leave", "restart"}
 	const schedules = 150
 	recovered := 0
 	for seed := range uint64(schedules) {
 		r := rand.New(rand.NewPCG(seed, 0))
-		w := newWorld(6)
+		w := newSimulation(6)
 		for i := range 15 {
 			// Ranges overlap, so that replacements may cut layers anew.
 			from := i % 3 * 2
 			to := min(from+2+r.IntN(2), 6)
-			e := w.add(fmt.Sprintf("e%02d", i), from, to, speed(100+r.IntN(900), 100+r.IntN(900), 10+r.IntN(90), 100+r.IntN(10000)))
+			e := w.add(fmt.Sprintf("e%02d", i), from, to, newSpeed(100+r.IntN(900), 100+r.IntN(900), 10+r.IntN(90), 100+r.IntN(10000)))
 			if i < 12 {
 				for range 2 {
 					e.faults[fleet.Position(r.IntN(60))] = faults[r.IntN(len(faults))]
@@ -150,8 +150,8 @@
 			e.absent = i < 12 && r.IntN(5) == 0
 		}
 		joins := w.engines["e00"]
-		c := w.courier(courier.WithObserver(joiner{joins}))
-		if _, err := w.generate(c, 20, 40); err != nil {
+		c := w.newExecutor(courier.WithObserver(joinObserver{joins}))
+		if _, err := w.runAndCheck(c, 20, 40); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if len(w.entries) > 1 {
@@ -165,14 +165,14 @@
 	}
 }
 
-// joiner lets an engine join in the middle of an answer.
-type joiner struct{ engine *local }
+// joinObserver lets an engine join in the middle of an answer.
+type joinObserver struct{ engine *simEngine }
 
-func (j joiner) Observe(upstream.Upstream, int, int, time.Duration) {
+func (j joinObserver) Observe(upstream.Upstream, int, int, time.Duration) {
 	j.engine.absent = j.engine.dead
 }
 
-func (joiner) ObserveTransfer(upstream.Upstream, int, time.Duration) {}
+func (joinObserver) ObserveTransfer(upstream.Upstream, int, time.Duration) {}
 
 // TestRecoveryTime compares the time of a recovery with its lower bound: the
 // detection and the faster of a transfer and a computation, on the best
@@ -182,24 +182,24 @@
 	for _, cause := range []string{"die", "freeze", "leave", "stop"} {
 		for _, position := range []int{100, 1000, 4000} {
 			for _, rate := range []int{1000, 100000, 1000000} {
-				w := newWorld(6)
+				w := newSimulation(6)
 				// At 100 MB/s an import takes longer than a computation, and the
 				// estimate says so only by a little.
-				w.rateError = 1.2
-				w.add("a", 0, 2, speed(500, 300, 20, rate))
-				w.add("b", 2, 4, speed(500, 300, 20, rate))
-				w.add("c", 4, 6, speed(500, 300, 20, rate))
-				w.add("y", 2, 4, speed(500, 350, 25, rate))
-				w.add("z", 2, 4, speed(900, 350, 15, rate))
+				w.rateOverestimate = 1.2
+				w.add("a", 0, 2, newSpeed(500, 300, 20, rate))
+				w.add("b", 2, 4, newSpeed(500, 300, 20, rate))
+				w.add("c", 4, 6, newSpeed(500, 300, 20, rate))
+				w.add("y", 2, 4, newSpeed(500, 350, 25, rate))
+				w.add("z", 2, 4, newSpeed(900, 350, 15, rate))
 				// Faults hit a token in the middle of the answer.
 				w.engines["b"].faults[fleet.Position(position+2)] = cause
-				most := 8
+				maxTokens := 8
 				if cause == "leave" {
-					most = 400 // long enough for a move to be worth it
+					maxTokens = 400 // long enough for a move to be worth it
 				}
-				_, err := w.generate(w.courier(), position, most)
+				_, err := w.runAndCheck(w.newExecutor(), position, maxTokens)
 				is.NoErr(err)
-				took, bound := w.recovery(fleet.Position(position+2), cause)
+				took, bound := w.measureRecovery(fleet.Position(position+2), cause)
 				ratio := float64(took) / float64(bound)
 				t.Logf("cause %-6s position %4d rate %7d kB/s: %9v, bound %9v, ratio %.2f, %s", cause, position, rate, took, bound, ratio, w.entries[len(w.entries)-1].Chosen)
 				is.True(ratio <= 1.5)
@@ -209,39 +209,39 @@
 	}
 }
 
-// recovery returns the time from the fault of engine b at a position until its
+// measureRecovery returns the time from the fault of engine b at a position until its
 // replacement had run all positions, without the steps of other stages, and the
 // lower bound of that time.
-func (w *world) recovery(position fleet.Position, cause string) (took, bound time.Duration) {
-	var began, detected time.Time
+func (w *simulation) measureRecovery(position fleet.Position, cause string) (took, bound time.Duration) {
+	var startedAt, detectedAt time.Time
 	var detection time.Duration
 	for _, e := range w.events {
 		switch {
-		case cause == "leave" && e.id == "c" && e.end == position+1:
-			began = e.now // the move begins with the next token
-		case cause == "leave" && e.id == "a" && e.end == position+2:
-			took += e.began.Sub(began)
-			began = e.now
-		case e.id == "b" && e.end == position+1 && e.failed:
-			began, detected = e.began, e.now
-			detection = detected.Sub(began)
+		case cause == "leave" && e.id == "c" && e.endPosition == position+1:
+			startedAt = e.endedAt // the move begins with the next token
+		case cause == "leave" && e.id == "a" && e.endPosition == position+2:
+			took += e.startedAt.Sub(startedAt)
+			startedAt = e.endedAt
+		case e.id == "b" && e.endPosition == position+1 && e.failed:
+			startedAt, detectedAt = e.startedAt, e.endedAt
+			detection = detectedAt.Sub(startedAt)
 		case (e.id == "y" || e.id == "z") && bound == 0:
-			took += e.now.Sub(began)
-			bound = detection + w.fastest(position, cause)
+			took += e.endedAt.Sub(startedAt)
+			bound = detection + w.minReplacementTime(position, cause)
 		}
 	}
 	return took, bound
 }
 
-// fastest is the time of the fastest replacement of engine b.
-func (w *world) fastest(position fleet.Position, cause string) time.Duration {
+// minReplacementTime is the time of the fastest replacement of engine b.
+func (w *simulation) minReplacementTime(position fleet.Position, cause string) time.Duration {
 	best := time.Duration(1 << 62)
 	for _, id := range []fleet.UpstreamID{"y", "z"} {
 		s := w.engines[id].speed
 		single := s.Fixed + 2*s.Layer
 		best = min(best, single+2*time.Duration(position)*s.Position)
 		if cause == "leave" || cause == "stop" {
-			size := float64(2 * int(position) * kvBytes)
+			size := float64(2 * int(position) * kvEntryBytes)
 			best = min(best, single+2*s.Fixed+2*time.Duration(size/s.BytesPerSecond*float64(time.Second)))
 		}
 	}
@@ -251,22 +251,22 @@
 // TestNotRun guards against an error that says "not run" after a layer ran.
 func TestNotRun(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(4)
+	w := newSimulation(4)
 	defer w.close()
-	w.add("a", 0, 2, speed(1, 1, 1, 1))
-	b := w.add("b", 2, 4, speed(1, 1, 1, 1))
+	w.add("a", 0, 2, newSpeed(1, 1, 1, 1))
+	b := w.add("b", 2, 4, newSpeed(1, 1, 1, 1))
 	b.dead = true
-	_, err := w.generate(w.courier(), 5, 5)
+	_, err := w.runAndCheck(w.newExecutor(), 5, 5)
 	is.Equal(refusal.KindOf(err), refusal.UpstreamFailed)
 	w.engines["a"].dead = true
-	_, err = w.generate(w.courier(), 5, 5)
+	_, err = w.runAndCheck(w.newExecutor(), 5, 5)
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
 
 	// An engine that stays overloaded ran nothing.
-	busy := newWorld(4)
+	busy := newSimulation(4)
 	defer busy.close()
-	busy.add("a", 0, 4, speed(1, 1, 1, 1)).overloaded = true
-	_, err = busy.generate(busy.courier(), 5, 5)
+	busy.add("a", 0, 4, newSpeed(1, 1, 1, 1)).overloaded = true
+	_, err = busy.runAndCheck(busy.newExecutor(), 5, 5)
 	is.Equal(refusal.KindOf(err), refusal.Overloaded)
 }
 
@@ -275,15 +275,15 @@
 func TestVersionChange(t *testing.T) {
 	for position, version := range map[fleet.Position]string{4: "2", 6: "1"} {
 		is := is.New(t)
-		w := newWorld(4)
+		w := newSimulation(4)
 		for i, id := range []string{"a", "b", "y", "z"} {
-			e := w.add(id, i%2*2, i%2*2+2, speed(1, 1, 1, 1))
+			e := w.add(id, i%2*2, i%2*2+2, newSpeed(1, 1, 1, 1))
 			e.Version = fmt.Sprint(1 + i/2)
 			e.start()
 		}
 		w.engines["b"].faults[position] = "die"
 		w.version = version
-		_, err := w.generate(w.courier(), 5, 20)
+		_, err := w.runAndCheck(w.newExecutor(), 5, 20)
 		if version == "2" {
 			is.NoErr(err)
 		} else {
@@ -297,12 +297,12 @@
 // against memory that stays on the engines.
 func TestCancel(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(4)
+	w := newSimulation(4)
 	defer w.close()
-	w.add("a", 0, 4, speed(1, 1, 1, 1))
+	w.add("a", 0, 4, newSpeed(1, 1, 1, 1))
 	ctx, cancel := context.WithCancel(context.Background())
-	c := w.courier()
-	g := pipeline.Generation{Request: "r", Model: "m", Prompt: promptOf(5), MaxTokens: 30}
+	c := w.newExecutor()
+	g := pipeline.Generation{Request: "r", Model: "m", Prompt: newPrompt(5), MaxTokens: 30}
 	count := 0
 	_, err := c.Run(ctx, g, func(pipeline.Piece) error {
 		count++
--- a/internal/pipeline/courier/run.go
+++ b/internal/pipeline/courier/run.go
@@ -15,85 +15,85 @@
 
 // run is one request in progress. It is used by one goroutine.
 type run struct {
-	courier *Courier
-	request pipeline.Generation
-	chain   pipeline.Chain
-	epoch   fleet.Epoch
+	executor *Courier
+	request  pipeline.Generation
+	chain    pipeline.Chain
+	epoch    fleet.Epoch
 	// clients and have belong to the stages of chain: have is the number of
 	// positions in the KV cache of a stage.
-	clients []upstream.EngineClient
-	have    []fleet.Position
-	// values holds, for each boundary of a stage, the values of all positions
+	clients         []upstream.EngineClient
+	cachedPositions []fleet.Position
+	// layerInputs holds, for each boundary of a stage, the values of all positions
 	// that entered that layer.
-	values map[fleet.Layer][]uint64
-	// lost are the engines that are not used for this request again.
-	lost []fleet.UpstreamID
+	layerInputs map[fleet.Layer][]uint64
+	// excluded are the engines that are not used for this request again.
+	excluded []fleet.UpstreamID
 	// recoveries counts the recoveries since the last token.
 	recoveries int
-	// ran tells that a layer may have run.
-	ran bool
-	// leaveChecked is the time of the last replanning for a leaving engine.
-	leaveChecked time.Time
+	// mayHaveRun tells that a layer may have run.
+	mayHaveRun bool
+	// lastLeaveReplan is the time of the last replanning for a leaving engine.
+	lastLeaveReplan time.Time
 }
 
 func newRun(c *Courier, g pipeline.Generation, chain pipeline.Chain) *run {
-	r := &run{courier: c, request: g, values: make(map[fleet.Layer][]uint64)}
-	r.take(chain, make([]fleet.Position, len(chain.Stages)))
+	r := &run{executor: c, request: g, layerInputs: make(map[fleet.Layer][]uint64)}
+	r.startEpoch(chain, make([]fleet.Position, len(chain.Stages)))
 	c.record(g.Request, report.Entry{
 		Weighed: fmt.Sprintf("chain for model %s version %s", chain.Model, chain.Version),
-		Chosen:  describe(chain), Reason: "shortest expected time to the next token",
+		Chosen:  formatChain(chain), Reason: "shortest expected time to the next token",
 	})
 	return r
 }
 
-// take goes on with a chain under a new epoch.
-func (r *run) take(chain pipeline.Chain, have []fleet.Position) {
-	c := r.courier
+// startEpoch goes on with a chain under a new epoch.
+func (r *run) startEpoch(chain pipeline.Chain, cachedPositions []fleet.Position) {
+	c := r.executor
 	for _, s := range r.chain.Stages {
-		c.count(s.Upstream.ID, -1)
+		c.countSequences(s.Upstream.ID, -1)
 	}
-	r.chain, r.have = chain, have
+	r.chain, r.cachedPositions = chain, cachedPositions
 	r.epoch++
 	r.clients = make([]upstream.EngineClient, len(chain.Stages))
 	for i, s := range chain.Stages {
-		c.count(s.Upstream.ID, 1)
+		c.countSequences(s.Upstream.ID, 1)
 		r.clients[i] = c.dialer.Engine(s.Upstream)
 	}
 }
 
-// end frees the memory of the request on all engines of the chain.
-func (r *run) end(ctx context.Context) {
+// finish frees the memory of the request on all engines of the chain.
+func (r *run) finish(ctx context.Context) {
 	for i, s := range r.chain.Stages {
-		r.courier.count(s.Upstream.ID, -1)
-		r.courier.release(ctx, r.request.Request, r.epoch, r.clients[i])
+		r.executor.countSequences(s.Upstream.ID, -1)
+		r.executor.release(ctx, r.request.Request, r.epoch, r.clients[i])
 	}
 }
 
-// pass runs all layers for the positions of input and returns the result of the
+// forwardPass runs all layers for the positions of input and returns the result of the
 // last stage.
-func (r *run) pass(ctx context.Context, index int, input []uint64) (upstream.StepResult, error) {
+func (r *run) forwardPass(ctx context.Context, index int, input []uint64) (upstream.StepResult, error) {
 	if err := ctx.Err(); err != nil {
 		return upstream.StepResult{}, err
 	}
 	r.recoveries = 0
-	r.leave(ctx, index)
-	r.values[0] = append(r.values[0], input...)
+	r.migrateFromLeaving(ctx, index)
+	r.layerInputs[0] = append(r.layerInputs[0], input...)
 	var result upstream.StepResult
-	for at := fleet.Layer(0); at == 0 || at < r.lastLayer(); {
-		i := r.stageAt(at)
+	for layer := fleet.Layer(0); layer == 0 || layer < r.endLayer(); {
+		i := r.stageAt(layer)
 		if i < 0 {
-			return result, refusal.New(refusal.Internal, "chain of request %s has no stage at layer %d", r.request.Request, at)
+			return result, refusal.New(refusal.Internal, "chain of request %s has no stage at layer %d", r.request.Request, layer)
 		}
 		var err error
 		result, err = r.step(ctx, i)
 		if err != nil {
-			if err = r.recover(ctx, index, i, err); err != nil {
+			if err = r.recoverStage(ctx, index, i, err); err != nil {
 				return result, err
 			}
-			at = r.resume(at)
+			layer = r.resumeLayer(layer)
 			continue
 		}
-		at = r.chain.Stages[i].Layers.To
+		layer = r.chain.Stages[i].Layers.To
 	}
 	return result, nil
 }
@@ -103,41 +103,41 @@
 // memory if it ran.
 func (r *run) step(ctx context.Context, i int) (upstream.StepResult, error) {
 	s := r.chain.Stages[i]
-	input := r.values[s.Layers.From][r.have[i]:]
+	input := r.layerInputs[s.Layers.From][r.cachedPositions[i]:]
 	step := upstream.Step{
-		Request: r.request.Request, Epoch: r.epoch, Position: r.have[i],
+		Request: r.request.Request, Epoch: r.epoch, Position: r.cachedPositions[i],
 		Model: r.chain.Model, Version: r.chain.Version, Adapter: r.chain.Adapter,
 		Layers: s.Layers, Priority: r.request.Priority, Input: input,
 	}
-	result, err := r.send(ctx, i, step)
+	result, err := r.sendStep(ctx, i, step)
 	switch {
 	case err == nil || ctx.Err() != nil:
 	case refusal.KindOf(err) == refusal.UpstreamFailed:
-		result, err = r.send(ctx, i, step)
+		result, err = r.sendStep(ctx, i, step)
 	case refusal.KindOf(err) == refusal.Overloaded:
 		select {
-		case <-r.courier.clock.After(r.courier.pause):
-			result, err = r.send(ctx, i, step)
+		case <-r.executor.clock.After(r.executor.overloadBackoff):
+			result, err = r.sendStep(ctx, i, step)
 		case <-ctx.Done():
 		}
 	}
 	if err != nil {
 		return upstream.StepResult{}, err
 	}
-	r.store(s.Layers.To, r.have[i], result.Output)
-	r.have[i] += fleet.Position(len(input))
+	r.storeInputs(s.Layers.To, r.cachedPositions[i], result.Output)
+	r.cachedPositions[i] += fleet.Position(len(input))
 	return result, nil
 }
 
-// send sends a step and checks that the answer belongs to it.
-func (r *run) send(ctx context.Context, i int, step upstream.Step) (upstream.StepResult, error) {
-	c, u := r.courier, r.chain.Stages[i].Upstream
-	began := c.clock.Now()
-	expected := stepTime(c.speeds.Speed(u), step.Layers.Len(), len(step.Input))
-	result, err := await(ctx, c, c.timeout(expected), func(ctx context.Context) (upstream.StepResult, error) {
+// sendStep sends a step and checks that the answer belongs to it.
+func (r *run) sendStep(ctx context.Context, i int, step upstream.Step) (upstream.StepResult, error) {
+	c, u := r.executor, r.chain.Stages[i].Upstream
+	startedAt := c.clock.Now()
+	expected := expectedStepTime(c.speeds.Speed(u), step.Layers.Len(), len(step.Input))
+	result, err := callWithTimeout(ctx, c, c.timeout(expected), func(ctx context.Context) (upstream.StepResult, error) {
 		return r.clients[i].Step(ctx, step)
 	})
-	r.ran = r.ran || err == nil || !refusal.KindOf(err).Answer().NotRun
+	r.mayHaveRun = r.mayHaveRun || err == nil || !refusal.KindOf(err).Answer().NotRun
 	if err != nil {
 		return upstream.StepResult{}, err
 	}
@@ -145,19 +145,19 @@
 		return upstream.StepResult{}, refusal.New(refusal.UpstreamFailed, "upstream %q answered another step", u.ID)
 	}
 	if c.observer != nil {
-		c.observer.Observe(u, step.Layers.Len(), len(step.Input), c.clock.Now().Sub(began))
+		c.observer.Observe(u, step.Layers.Len(), len(step.Input), c.clock.Now().Sub(startedAt))
 	}
 	return result, nil
 }
 
-// store sets the values that enter layer l from a position on. Values that a call
+// storeInputs sets the values that enter layer l from a position on. Values that a call
 // in progress may still read are not overwritten.
-func (r *run) store(l fleet.Layer, from fleet.Position, output []uint64) {
-	kept := r.values[l][:from]
-	if len(kept) < len(r.values[l]) {
+func (r *run) storeInputs(l fleet.Layer, from fleet.Position, output []uint64) {
+	kept := r.layerInputs[l][:from]
+	if len(kept) < len(r.layerInputs[l]) {
 		kept = slices.Clip(kept)
 	}
-	r.values[l] = append(kept, output...)
+	r.layerInputs[l] = append(kept, output...)
 }
 
 func (r *run) stageAt(l fleet.Layer) int {
@@ -169,14 +169,14 @@
 	return -1
 }
 
-func (r *run) lastLayer() fleet.Layer { return r.chain.Stages[len(r.chain.Stages)-1].Layers.To }
+func (r *run) endLayer() fleet.Layer { return r.chain.Stages[len(r.chain.Stages)-1].Layers.To }
 
-// stepTime is the expected time of a step without load.
-func stepTime(s pipeline.Speed, layers, positions int) time.Duration {
+// expectedStepTime is the expected time of a step without load.
+func expectedStepTime(s pipeline.Speed, layers, positions int) time.Duration {
 	return s.Fixed + time.Duration(layers)*s.Layer + time.Duration(layers*(positions-1))*s.Position
 }
 
-func describe(c pipeline.Chain) string {
+func formatChain(c pipeline.Chain) string {
 	text := ""
 	for i, s := range c.Stages {
 		if i > 0 {
--- a/internal/pipeline/estimate.go
+++ b/internal/pipeline/estimate.go
@@ -21,8 +21,8 @@
 	BytesPerSecond float64
 }
 
-// Speeds estimates speeds. Implementations are safe for concurrent use.
-type Speeds interface {
+// SpeedEstimator estimates speeds. Implementations are safe for concurrent use.
+type SpeedEstimator interface {
 	Speed(u upstream.Upstream) Speed
 }
 
@@ -32,7 +32,7 @@
 	// Replace returns c with other engines for the stages in avoid. It keeps all
 	// other stages, so that their KV caches stay of use. The new engines are
 	// expected to be the first to have run all positions so far.
-	Replace(c Chain, avoid []fleet.UpstreamID, positions int) (Chain, error)
+	Replace(c Chain, exclude []fleet.UpstreamID, positions int) (Chain, error)
 }
 
 // Suspecter is told of engines that did not answer, so that new work avoids them
@@ -41,8 +41,8 @@
 	Suspect(id fleet.UpstreamID)
 }
 
-// Gauge counts the sequences that this instance has on each upstream.
-type Gauge interface {
+// SequenceCounter counts the sequences that this instance has on each upstream.
+type SequenceCounter interface {
 	Add(id fleet.UpstreamID, n int)
 }
 
--- a/internal/pipeline/inflight/inflight.go
+++ b/internal/pipeline/inflight/inflight.go
@@ -18,8 +18,8 @@
 	counters board.Shards[fleet.UpstreamID, *atomic.Int64]
 }
 
-// Of returns the counter of an upstream, which stays the same until Forget.
-func (c *Counts) Of(id fleet.UpstreamID) *atomic.Int64 {
+// Counter returns the counter of an upstream, which stays the same until Forget.
+func (c *Counts) Counter(id fleet.UpstreamID) *atomic.Int64 {
 	if n, ok := c.counters.Get(id); ok {
 		return n
 	}
@@ -35,7 +35,7 @@
 }
 
 // Add implements pipeline.Gauge.
-func (c *Counts) Add(id fleet.UpstreamID, n int) { c.Of(id).Add(int64(n)) }
+func (c *Counts) Add(id fleet.UpstreamID, n int) { c.Counter(id).Add(int64(n)) }
 
 // Forget drops the counter of an upstream that is gone.
 func (c *Counts) Forget(id fleet.UpstreamID) { c.counters.Delete(id) }
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -27,7 +27,7 @@
 type Planner interface {
 	// Plan returns a chain for model that avoids the given upstreams. The error
 	// is of kind refusal.NoUpstream when the layers cannot be covered.
-	Plan(model fleet.ModelID, avoid []fleet.UpstreamID) (Chain, error)
+	Plan(model fleet.ModelID, exclude []fleet.UpstreamID) (Chain, error)
 }
 
 // Generation is a request for generated tokens.
--- a/internal/pipeline/planner/cover.go
+++ b/internal/pipeline/planner/cover.go
@@ -17,42 +17,42 @@
 	// For each class: the drawn engine, its cost (fixed, for a layer, for all its
 	// layers), the cost of the best chain that ends on it, and the bound at which
 	// its stage starts.
-	drawn []int
+	picked []int
 	// kept are the classes that can be part of the best chain.
-	kept  []int
-	fixed []float64
-	layer []float64
-	whole []float64
-	on    []float64
-	start []int
+	kept       []int
+	fixedCost  []float64
+	layerCost  []float64
+	fullCost   []float64
+	classCost  []float64
+	classStart []int
 	// For each bound: the cost of the best chain up to it, and its last stage.
-	best []float64
-	last []int
-	from []int
+	bestCost  []float64
+	lastClass []int
+	lastStart []int
 }
 
 // cover appends the best stages for a layer range to stages. It returns false
 // when the engines of g do not cover the range.
-func (p *Planner) cover(g *group, r upstream.LayerRange, avoid []fleet.UpstreamID, positions int, stages []pipeline.Stage) ([]pipeline.Stage, bool) {
+func (p *Planner) cover(g *group, r upstream.LayerRange, exclude []fleet.UpstreamID, positions int, stages []pipeline.Stage) ([]pipeline.Stage, bool) {
 	s := p.scratch.Get().(*scratch)
 	defer p.scratch.Put(s)
 	s.reset(g, r)
 	s.positions = positions
-	p.drawAll(g, s, avoid)
+	p.pickEngines(g, s, exclude)
 	for k := range len(s.bounds) - 1 {
-		s.extend(k, g, p.draw)
+		s.extend(k, g, p.randIntN)
 	}
 	end := len(s.bounds) - 1
-	if math.IsInf(s.best[end], 1) {
+	if math.IsInf(s.bestCost[end], 1) {
 		return stages, false
 	}
-	p.chooseAgain(g, s, end, avoid)
+	p.pickSecondChoices(g, s, end, exclude)
 	return s.collect(g, end, stages), true
 }
 
-// drawAll draws an engine of each class. It leaves out a class of which no
+// pickEngines draws an engine of each class. It leaves out a class of which no
 // engine can be faster than one that was drawn for the same layers.
-func (p *Planner) drawAll(g *group, s *scratch, avoid []fleet.UpstreamID) {
+func (p *Planner) pickEngines(g *group, s *scratch, exclude []fleet.UpstreamID) {
 	s.kept = s.kept[:0]
 	first, fastest := 0, -1
 	for i := range g.classes {
@@ -62,19 +62,19 @@
 			first, fastest = len(s.kept), -1
 		}
 		length := float64(c.layers.Len())
-		least := c.fixed + (c.layer+float64(s.positions-1)*c.position)*length
-		if fastest >= 0 && worse(c.fixed, least, s.fixed[fastest], s.whole[fastest]) {
+		minTime := c.fixed + (c.layer+float64(s.positions-1)*c.position)*length
+		if fastest >= 0 && dominatedBy(c.fixed, minTime, s.fixedCost[fastest], s.fullCost[fastest]) {
 			continue
 		}
-		n := p.drawOne(c, avoid)
+		n := p.pickEngine(c, exclude)
 		if n < 0 {
 			continue
 		}
-		s.drawn[i] = n
+		s.picked[i] = n
 		s.kept = append(s.kept, i)
-		s.fixed[i], s.layer[i] = c.costs[n].of(s.positions)
-		s.whole[i] = s.fixed[i] + s.layer[i]*length
-		if fastest < 0 || s.whole[i] < s.whole[fastest] {
+		s.fixedCost[i], s.layerCost[i] = c.costs[n].estimate(s.positions)
+		s.fullCost[i] = s.fixedCost[i] + s.layerCost[i]*length
+		if fastest < 0 || s.fullCost[i] < s.fullCost[fastest] {
 			fastest = i
 		}
 	}
@@ -84,47 +84,47 @@
 // prune drops the kept classes from index first on, all with the same layers,
 // that are worse than another one of them.
 func (s *scratch) prune(first int) {
-	list := s.kept[first:]
+	sameLayers := s.kept[first:]
 	n := 0
-	for _, i := range list {
-		if !s.dominated(i, list) {
-			list[n] = i
+	for _, i := range sameLayers {
+		if !s.dominated(i, sameLayers) {
+			sameLayers[n] = i
 			n++
 		}
 	}
 	s.kept = s.kept[:first+n]
 }
 
-func (s *scratch) dominated(i int, list []int) bool {
-	for _, k := range list {
-		if worse(s.fixed[i], s.whole[i], s.fixed[k], s.whole[k]) {
+func (s *scratch) dominated(i int, sameLayers []int) bool {
+	for _, k := range sameLayers {
+		if dominatedBy(s.fixedCost[i], s.fullCost[i], s.fixedCost[k], s.fullCost[k]) {
 			return true
 		}
 	}
 	return false
 }
 
-// worse tells whether an engine is slower than another one for all layers, and
+// dominatedBy tells whether an engine is slower than another one for all layers, and
 // not faster for any number of layers: the time is linear in that number, so it
 // is enough to compare the fixed times and the times of all layers.
-func worse(fixed, whole, otherFixed, otherWhole float64) bool {
-	return fixed >= otherFixed && whole >= otherWhole && (fixed > otherFixed || whole > otherWhole)
+func dominatedBy(fixed, full, otherFixed, otherFull float64) bool {
+	return fixed >= otherFixed && full >= otherFull && (fixed > otherFixed || full > otherFull)
 }
 
-// chooseAgain draws a second engine for each stage of the best chain and keeps
+// pickSecondChoices draws a second engine for each stage of the best chain and keeps
 // the faster one of the two.
-func (p *Planner) chooseAgain(g *group, s *scratch, end int, avoid []fleet.UpstreamID) {
-	for k := end; k > 0; k = s.from[k] {
-		i := s.last[k]
+func (p *Planner) pickSecondChoices(g *group, s *scratch, end int, exclude []fleet.UpstreamID) {
+	for k := end; k > 0; k = s.lastStart[k] {
+		i := s.lastClass[k]
 		c := &g.classes[i]
 		if len(c.costs) == 1 {
 			continue
 		}
-		length := float64(s.bounds[k] - s.bounds[s.from[k]])
-		second := p.drawOne(c, avoid)
-		fixed, layer := c.costs[second].of(s.positions)
-		if fixed+layer*length < s.fixed[i]+s.layer[i]*length {
-			s.drawn[i] = second
+		length := float64(s.bounds[k] - s.bounds[s.lastStart[k]])
+		second := p.pickEngine(c, exclude)
+		fixed, layer := c.costs[second].estimate(s.positions)
+		if fixed+layer*length < s.fixedCost[i]+s.layerCost[i]*length {
+			s.picked[i] = second
 		}
 	}
 }
@@ -138,31 +138,31 @@
 	}
 	s.bounds = append(s.bounds, r.To)
 	classes, bounds := len(g.classes), len(s.bounds)
-	s.drawn = slices.Grow(s.drawn[:0], classes)[:classes]
-	s.fixed = slices.Grow(s.fixed[:0], classes)[:classes]
-	s.layer = slices.Grow(s.layer[:0], classes)[:classes]
-	s.whole = slices.Grow(s.whole[:0], classes)[:classes]
-	s.on = slices.Grow(s.on[:0], classes)[:classes]
-	s.start = slices.Grow(s.start[:0], classes)[:classes]
-	s.best = slices.Grow(s.best[:0], bounds)[:bounds]
-	s.last = slices.Grow(s.last[:0], bounds)[:bounds]
-	s.from = slices.Grow(s.from[:0], bounds)[:bounds]
-	for i := range s.on {
-		s.on[i] = math.Inf(1)
-	}
-	for i := range s.best {
-		s.best[i] = math.Inf(1)
-	}
-	s.best[0] = 0
+	s.picked = slices.Grow(s.picked[:0], classes)[:classes]
+	s.fixedCost = slices.Grow(s.fixedCost[:0], classes)[:classes]
+	s.layerCost = slices.Grow(s.layerCost[:0], classes)[:classes]
+	s.fullCost = slices.Grow(s.fullCost[:0], classes)[:classes]
+	s.classCost = slices.Grow(s.classCost[:0], classes)[:classes]
+	s.classStart = slices.Grow(s.classStart[:0], classes)[:classes]
+	s.bestCost = slices.Grow(s.bestCost[:0], bounds)[:bounds]
+	s.lastClass = slices.Grow(s.lastClass[:0], bounds)[:bounds]
+	s.lastStart = slices.Grow(s.lastStart[:0], bounds)[:bounds]
+	for i := range s.classCost {
+		s.classCost[i] = math.Inf(1)
+	}
+	for i := range s.bestCost {
+		s.bestCost[i] = math.Inf(1)
+	}
+	s.bestCost[0] = 0
 }
 
 // extend moves all chains over the segment between bounds k and k+1. The classes
 // are visited from a random one on, so that equal chains are taken in turn.
-func (s *scratch) extend(k int, g *group, draw func(int) int) {
-	if len(s.kept) == 0 || math.IsInf(s.best[k], 1) {
+func (s *scratch) extend(k int, g *group, randIntN func(int) int) {
+	if len(s.kept) == 0 || math.IsInf(s.bestCost[k], 1) {
 		return
 	}
-	offset := draw(len(s.kept))
+	offset := randIntN(len(s.kept))
 	for _, c := range s.kept[offset:] {
 		s.visit(k, c, g.classes[c].layers)
 	}
@@ -177,49 +177,49 @@
 	if from < held.From || to > held.To {
 		return
 	}
-	if enter := s.best[k] + s.fixed[c]; enter < s.on[c] {
-		s.on[c] = enter
-		s.start[c] = k
+	if entryCost := s.bestCost[k] + s.fixedCost[c]; entryCost < s.classCost[c] {
+		s.classCost[c] = entryCost
+		s.classStart[c] = k
 	}
-	s.on[c] += s.layer[c] * float64(to-from)
-	if s.on[c] < s.best[k+1] {
-		s.best[k+1] = s.on[c]
-		s.last[k+1] = c
-		s.from[k+1] = s.start[c]
+	s.classCost[c] += s.layerCost[c] * float64(to-from)
+	if s.classCost[c] < s.bestCost[k+1] {
+		s.bestCost[k+1] = s.classCost[c]
+		s.lastClass[k+1] = c
+		s.lastStart[k+1] = s.classStart[c]
 	}
 }
 
 // collect appends the stages of the best chain up to a bound.
 func (s *scratch) collect(g *group, end int, stages []pipeline.Stage) []pipeline.Stage {
 	count := 0
-	for k := end; k > 0; k = s.from[k] {
+	for k := end; k > 0; k = s.lastStart[k] {
 		count++
 	}
 	first := len(stages)
 	stages = slices.Grow(stages, count)[:first+count]
-	for k := end; k > 0; k = s.from[k] {
+	for k := end; k > 0; k = s.lastStart[k] {
 		count--
-		c := &g.classes[s.last[k]]
+		c := &g.classes[s.lastClass[k]]
 		stages[first+count] = pipeline.Stage{
-			Upstream: c.engines[s.drawn[s.last[k]]],
-			Layers:   upstream.LayerRange{From: s.bounds[s.from[k]], To: s.bounds[k]},
+			Upstream: c.engines[s.picked[s.lastClass[k]]],
+			Layers:   upstream.LayerRange{From: s.bounds[s.lastStart[k]], To: s.bounds[k]},
 		}
 	}
 	return stages
 }
 
-// drawOne returns the index of an engine of a class that is not avoided, or -1.
-func (p *Planner) drawOne(c *class, avoid []fleet.UpstreamID) int {
+// pickEngine returns the index of an engine of a class that is not avoided, or -1.
+func (p *Planner) pickEngine(c *class, exclude []fleet.UpstreamID) int {
 	i := 0
 	if len(c.engines) > 1 {
-		i = p.draw(len(c.engines))
+		i = p.randIntN(len(c.engines))
 	}
-	if len(avoid) == 0 {
+	if len(exclude) == 0 {
 		return i
 	}
-	for n := range min(len(c.engines), len(avoid)+1) {
+	for n := range min(len(c.engines), len(exclude)+1) {
 		k := (i + n) % len(c.engines)
-		if !among(c.engines[k].ID, avoid) {
+		if !inList(c.engines[k].ID, exclude) {
 			return k
 		}
 	}
--- a/internal/pipeline/planner/planner.go
+++ b/internal/pipeline/planner/planner.go
@@ -31,32 +31,32 @@
 )
 
 const (
-	// DefaultRefresh is the age at which a view of the engines is renewed.
-	DefaultRefresh = 250 * time.Millisecond
-	// renewalShare bounds the share of time that goes into renewals: a view stays
+	// DefaultRefreshInterval is the age at which a view of the engines is renewed.
+	DefaultRefreshInterval = 250 * time.Millisecond
+	// refreshCostFactor bounds the share of time that goes into renewals: a view stays
 	// for renewalShare times the time that it took to build it, but not longer
 	// than maxAge, because a leaving engine has to be noticed within seconds.
-	renewalShare = 100
-	maxAge       = time.Second
-	// suspicion is the time for which a suspect is avoided. It is longer than the
+	refreshCostFactor = 100
+	maxViewAge        = time.Second
+	// suspectExclusion is the time for which a suspect is avoided. It is longer than the
 	// time after which an upstream without a confirmation gets no new work.
-	suspicion = 5 * time.Second
+	suspectExclusion = 5 * time.Second
 	// maxSuspects bounds the suspects that are remembered.
 	maxSuspects = 64
 )
 
-// Models returns a model of the configuration in force.
-type Models func(fleet.ModelID) (document.Model, bool)
+// ModelLookup returns a model of the configuration in force.
+type ModelLookup func(fleet.ModelID) (document.Model, bool)
 
 // Planner implements pipeline.Replanner. It is safe for concurrent use.
 type Planner struct {
-	roster  upstream.Roster
-	models  Models
-	speeds  pipeline.Speeds
-	clock   fleet.Clock
-	counts  *inflight.Counts
-	refresh time.Duration
-	draw    func(n int) int
+	roster          upstream.Roster
+	lookupModel     ModelLookup
+	speeds          pipeline.SpeedEstimator
+	clock           fleet.Clock
+	counts          *inflight.Counts
+	refreshInterval time.Duration
+	randIntN        func(n int) int
 
 	views    board.Shards[fleet.ModelID, *viewCell]
 	suspects board.Cell[[]suspect]
@@ -77,21 +77,21 @@
 	return func(p *Planner) { p.counts = c }
 }
 
-// WithRefresh sets the age at which a view is renewed.
-func WithRefresh(d time.Duration) Option {
-	return func(p *Planner) { p.refresh = d }
+// WithRefreshInterval sets the age at which a view is renewed.
+func WithRefreshInterval(d time.Duration) Option {
+	return func(p *Planner) { p.refreshInterval = d }
 }
 
-// WithDraw sets the source of random numbers in [0, n).
-func WithDraw(draw func(n int) int) Option {
-	return func(p *Planner) { p.draw = draw }
+// WithRandIntN sets the source of random numbers in [0, n).
+func WithRandIntN(randIntN func(n int) int) Option {
+	return func(p *Planner) { p.randIntN = randIntN }
 }
 
 // New returns a Planner over the engines of a roster.
-func New(roster upstream.Roster, models Models, speeds pipeline.Speeds, clock fleet.Clock, options ...Option) *Planner {
+func New(roster upstream.Roster, lookupModel ModelLookup, speeds pipeline.SpeedEstimator, clock fleet.Clock, options ...Option) *Planner {
 	p := &Planner{
-		roster: roster, models: models, speeds: speeds, clock: clock,
-		counts: new(inflight.Counts), refresh: DefaultRefresh, draw: rand.IntN,
+		roster: roster, lookupModel: lookupModel, speeds: speeds, clock: clock,
+		counts: new(inflight.Counts), refreshInterval: DefaultRefreshInterval, randIntN: rand.IntN,
 	}
 	p.scratch.New = func() any { return new(scratch) }
 	for _, o := range options {
@@ -101,16 +101,16 @@
 }
 
 // Plan implements pipeline.Planner.
-func (p *Planner) Plan(model fleet.ModelID, avoid []fleet.UpstreamID) (pipeline.Chain, error) {
+func (p *Planner) Plan(model fleet.ModelID, exclude []fleet.UpstreamID) (pipeline.Chain, error) {
 	v, err := p.view(model)
 	if err != nil {
 		return pipeline.Chain{}, err
 	}
-	lists, count := p.avoided(avoid)
-	for _, list := range lists[:count] {
+	passes, count := p.exclusionPasses(exclude)
+	for _, excluded := range passes[:count] {
 		for i := range v.groups {
 			g := &v.groups[i]
-			stages, ok := p.cover(g, upstream.LayerRange{From: 0, To: v.layers}, list, 1, nil)
+			stages, ok := p.cover(g, upstream.LayerRange{From: 0, To: v.layers}, excluded, 1, nil)
 			if ok {
 				return pipeline.Chain{Model: model, Version: g.version, Adapter: g.adapter, Stages: stages}, nil
 			}
@@ -120,7 +120,7 @@
 }
 
 // Replace implements pipeline.Replanner.
-func (p *Planner) Replace(c pipeline.Chain, avoid []fleet.UpstreamID, positions int) (pipeline.Chain, error) {
+func (p *Planner) Replace(c pipeline.Chain, exclude []fleet.UpstreamID, positions int) (pipeline.Chain, error) {
 	v, err := p.view(c.Model)
 	if err != nil {
 		return pipeline.Chain{}, err
@@ -128,27 +128,27 @@
 	next := c
 	next.Stages = nil
 	for i := 0; i < len(c.Stages); {
-		if !among(c.Stages[i].Upstream.ID, avoid) {
+		if !inList(c.Stages[i].Upstream.ID, exclude) {
 			next.Stages = append(next.Stages, c.Stages[i])
 			i++
 			continue
 		}
-		hole := c.Stages[i].Layers
-		for ; i < len(c.Stages) && among(c.Stages[i].Upstream.ID, avoid); i++ {
-			hole.To = c.Stages[i].Layers.To
+		gap := c.Stages[i].Layers
+		for ; i < len(c.Stages) && inList(c.Stages[i].Upstream.ID, exclude); i++ {
+			gap.To = c.Stages[i].Layers.To
 		}
 		covered := false
-		lists, count := p.avoided(avoid)
-		for _, list := range lists[:count] {
+		passes, count := p.exclusionPasses(exclude)
+		for _, excluded := range passes[:count] {
 			g := v.group(c.Version, c.Adapter)
 			if g == nil || covered {
 				break
 			}
-			next.Stages, covered = p.cover(g, hole, list, max(positions, 1), next.Stages)
+			next.Stages, covered = p.cover(g, gap, excluded, max(positions, 1), next.Stages)
 		}
 		if !covered {
 			return pipeline.Chain{}, refusal.New(refusal.NoUpstream,
-				"no engine replaces layers %d:%d of model %q version %q", hole.From, hole.To, c.Model, c.Version)
+				"no engine replaces layers %d:%d of model %q version %q", gap.From, gap.To, c.Model, c.Version)
 		}
 	}
 	return next, nil
@@ -160,10 +160,10 @@
 	now := p.clock.Now()
 	for {
 		old := p.suspects.Load()
-		next := []suspect{{id, now.Add(suspicion)}}
+		next := []suspect{{id, now.Add(suspectExclusion)}}
 		if old != nil {
 			for _, s := range *old {
-				if s.id != id && s.until.After(now) && len(next) < maxSuspects {
+				if s.id != id && s.excludedUntil.After(now) && len(next) < maxSuspects {
 					next = append(next, s)
 				}
 			}
@@ -176,37 +176,37 @@
 
 // suspect is an engine that did not answer.
 type suspect struct {
-	id    fleet.UpstreamID
-	until time.Time
+	id            fleet.UpstreamID
+	excludedUntil time.Time
 }
 
-// avoided returns the lists of engines to avoid that are tried in turn: with the
+// exclusionPasses returns the lists of engines to avoid that are tried in turn: with the
 // suspects first, then without them.
-func (p *Planner) avoided(avoid []fleet.UpstreamID) (lists [2][]fleet.UpstreamID, count int) {
+func (p *Planner) exclusionPasses(exclude []fleet.UpstreamID) (passes [2][]fleet.UpstreamID, count int) {
 	suspects := p.suspects.Load()
 	if suspects == nil {
-		return [2][]fleet.UpstreamID{avoid}, 1
+		return [2][]fleet.UpstreamID{exclude}, 1
 	}
 	now := p.clock.Now()
-	all := slices.Clip(avoid)
+	all := slices.Clip(exclude)
 	for _, s := range *suspects {
-		if s.until.After(now) {
+		if s.excludedUntil.After(now) {
 			all = append(all, s.id)
 		}
 	}
-	if len(all) == len(avoid) {
-		return [2][]fleet.UpstreamID{avoid}, 1
+	if len(all) == len(exclude) {
+		return [2][]fleet.UpstreamID{exclude}, 1
 	}
-	return [2][]fleet.UpstreamID{all, avoid}, 2
+	return [2][]fleet.UpstreamID{all, exclude}, 2
 }
 
-// Expected returns the expected time from one token to the next on a chain at
+// ExpectedTokenTime returns the expected time from one token to the next on a chain at
 // the present load.
-func (p *Planner) Expected(c pipeline.Chain) time.Duration {
+func (p *Planner) ExpectedTokenTime(c pipeline.Chain) time.Duration {
 	var total float64
 	for _, s := range c.Stages {
-		m := newMember(s.Upstream, p.speeds, p.counts)
-		fixed, layer := m.of(1)
+		m := newCandidate(s.Upstream, p.speeds, p.counts)
+		fixed, layer := m.estimate(1)
 		total += fixed + layer*float64(s.Layers.Len())
 	}
 	return time.Duration(total)
@@ -215,7 +215,7 @@
 // view returns the current view of a model and renews it when it is too old.
 // While one caller renews it, the others use the one before.
 func (p *Planner) view(id fleet.ModelID) (*view, error) {
-	model, ok := p.models(id)
+	model, ok := p.lookupModel(id)
 	if !ok {
 		return nil, refusal.New(refusal.NotFound, "model %q does not exist", id)
 	}
@@ -231,10 +231,10 @@
 	}
 	now := p.clock.Now()
 	v := cell.view.Load()
-	if v != nil && v.fits(model) && now.Sub(v.built) < max(p.refresh, min(renewalShare*v.took, maxAge)) {
+	if v != nil && v.builtFor(model) && now.Sub(v.builtAt) < max(p.refreshInterval, min(refreshCostFactor*v.buildDuration, maxViewAge)) {
 		return v, nil
 	}
-	if v != nil && v.fits(model) {
+	if v != nil && v.builtFor(model) {
 		if !cell.mu.TryLock() {
 			return v, nil
 		}
@@ -243,12 +243,12 @@
 	}
 	defer cell.mu.Unlock()
 	v = newView(model, p.roster.Usable(model.Pool, now), now, p.speeds, p.counts)
-	v.took = p.clock.Now().Sub(now)
+	v.buildDuration = p.clock.Now().Sub(now)
 	cell.view.Advance(v, func(*view) bool { return true })
 	return v, nil
 }
 
-func among(id fleet.UpstreamID, list []fleet.UpstreamID) bool {
+func inList(id fleet.UpstreamID, list []fleet.UpstreamID) bool {
 	for _, x := range list {
 		if x == id {
 			return true
--- a/internal/pipeline/planner/planner_test.go
+++ b/internal/pipeline/planner/planner_test.go
@@ -31,8 +31,8 @@
 	os.Exit(m.Run())
 }
 
-// fleetOf is a roster, speeds and a model for tests.
-type fleetOf struct {
+// testFleet is a roster, speeds and a model for tests.
+type testFleet struct {
 	model   document.Model
 	engines []upstream.Upstream
 	speeds  map[fleet.UpstreamID]pipeline.Speed
@@ -40,15 +40,15 @@
 	clock   *fakeclock.Clock
 }
 
-func newFleet(layers int) *fleetOf {
-	return &fleetOf{
+func newTestFleet(layers int) *testFleet {
+	return &testFleet{
 		model:  document.Model{ID: "m", Version: "1", Layers: fleet.Layer(layers), Pool: "p"},
 		speeds: make(map[fleet.UpstreamID]pipeline.Speed),
 		clock:  fakeclock.New(fakeclock.Start),
 	}
 }
 
-func (f *fleetOf) add(from, to int, fixed, layer time.Duration) upstream.Upstream {
+func (f *testFleet) add(from, to int, fixed, layer time.Duration) upstream.Upstream {
 	u := upstream.Upstream{Announcement: upstream.Announcement{
 		ID: fleet.UpstreamID(fmt.Sprintf("e%d", len(f.engines))), Kind: upstream.Engine,
 		Model: "m", Version: "1", Slots: 8, Layers: upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(to)},
@@ -58,22 +58,24 @@
 	return u
 }
 
-func (f *fleetOf) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
+func (f *testFleet) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
 	return append([]upstream.Upstream(nil), f.engines...)
 }
 
-func (f *fleetOf) Get(fleet.UpstreamID) (upstream.Upstream, bool) { return upstream.Upstream{}, false }
+func (f *testFleet) Get(fleet.UpstreamID) (upstream.Upstream, bool) {
+	return upstream.Upstream{}, false
+}
 
-func (f *fleetOf) Speed(u upstream.Upstream) pipeline.Speed { return f.speeds[u.ID] }
+func (f *testFleet) Speed(u upstream.Upstream) pipeline.Speed { return f.speeds[u.ID] }
 
-func (f *fleetOf) planner(options ...planner.Option) *planner.Planner {
+func (f *testFleet) planner(options ...planner.Option) *planner.Planner {
 	r := rand.New(rand.NewPCG(1, 2))
 	models := func(fleet.ModelID) (document.Model, bool) { return f.model, true }
-	return planner.New(f, models, f, f.clock, append([]planner.Option{planner.WithCounts(&f.counts), planner.WithDraw(r.IntN)}, options...)...)
+	return planner.New(f, models, f, f.clock, append([]planner.Option{planner.WithCounts(&f.counts), planner.WithRandIntN(r.IntN)}, options...)...)
 }
 
 // bestCost tries all chains over layers [from, to).
-func (f *fleetOf) bestCost(from, to int) (time.Duration, bool) {
+func (f *testFleet) bestCost(from, to int) (time.Duration, bool) {
 	if from == to {
 		return 0, true
 	}
@@ -94,7 +96,7 @@
 	return best, found
 }
 
-func checkCover(t interface{ Fatalf(string, ...any) }, c pipeline.Chain, layers int) {
+func checkChain(t interface{ Fatalf(string, ...any) }, c pipeline.Chain, layers int) {
 	next := fleet.Layer(0)
 	for _, s := range c.Stages {
 		if s.Layers.From != next || s.Layers.Len() <= 0 || s.Layers.From < s.Upstream.Layers.From || s.Layers.To > s.Upstream.Layers.To {
@@ -115,7 +117,7 @@
 func TestBestChain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 6).Draw(t, "layers")
-		f := newFleet(layers)
+		f := newTestFleet(layers)
 		for i := range rapid.IntRange(1, 6).Draw(t, "engines") {
 			from := rapid.IntRange(0, layers-1).Draw(t, fmt.Sprint("from", i))
 			to := rapid.IntRange(from+1, layers).Draw(t, fmt.Sprint("to", i))
@@ -135,19 +137,19 @@
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		checkCover(t, c, layers)
-		if got := p.Expected(c); got != want {
+		checkChain(t, c, layers)
+		if got := p.ExpectedTokenTime(c); got != want {
 			t.Fatalf("chain takes %v, best one %v", got, want)
 		}
 	})
 }
 
-// mixed returns a fleet of n engines on 5 kinds of accelerators with links that
+// newMixedFleet returns a fleet of n engines on 5 kinds of accelerators with links that
 // differ by a factor of 100, in ranges of 8 to 20 of 40 layers.
-func mixed(n int) *fleetOf {
+func newMixedFleet(n int) *testFleet {
 	const layers = 40
 	r := rand.New(rand.NewPCG(7, uint64(n)))
-	f := newFleet(layers)
+	f := newTestFleet(layers)
 	ranges := [][2]int{{0, 8}, {8, 16}, {16, 24}, {24, 32}, {32, 40}, {0, 20}, {20, 40}, {10, 30}}
 	for i := range n {
 		held := ranges[i%len(ranges)]
@@ -164,7 +166,7 @@
 func TestLargeFleet(t *testing.T) {
 	for _, n := range []int{43, 1200, 12000} {
 		is := is.New(t)
-		f := mixed(n)
+		f := newMixedFleet(n)
 		p := f.planner()
 		bound, ok := lowerBound(f)
 		is.True(ok)
@@ -172,8 +174,8 @@
 		for range 200 {
 			c, err := p.Plan("m", nil)
 			is.NoErr(err)
-			checkCover(t, c, 40)
-			worst = max(worst, float64(p.Expected(c))/float64(bound))
+			checkChain(t, c, 40)
+			worst = max(worst, float64(p.ExpectedTokenTime(c))/float64(bound))
 		}
 		t.Logf("%d engines: worst chain %.3f of the bound", n, worst)
 		is.True(worst < 2)
@@ -181,7 +183,7 @@
 }
 
 // lowerBound is the best chain without load, engine by engine and layer by layer.
-func lowerBound(f *fleetOf) (time.Duration, bool) {
+func lowerBound(f *testFleet) (time.Duration, bool) {
 	layers := int(f.model.Layers)
 	const none = time.Duration(1 << 62)
 	best := make([]time.Duration, layers+1)
@@ -203,7 +205,7 @@
 func TestSpread(t *testing.T) {
 	for _, n := range []int{8, 400} {
 		is := is.New(t)
-		f := newFleet(4)
+		f := newTestFleet(4)
 		for i := range n {
 			f.add(i%2*2, i%2*2+2, time.Millisecond, time.Millisecond)
 		}
@@ -217,7 +219,7 @@
 		}
 		// 20 sequences are the mean. Two choices among 200 stay close to it.
 		for _, u := range f.engines {
-			count := f.counts.Of(u.ID).Load()
+			count := f.counts.Counter(u.ID).Load()
 			is.True(count >= 14 && count <= 26)
 		}
 	}
@@ -227,7 +229,7 @@
 // engines, because none of them sees the sequences of the others.
 func TestTies(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(2)
+	f := newTestFleet(2)
 	for range 4 {
 		f.add(0, 2, time.Millisecond, time.Millisecond)
 	}
@@ -245,7 +247,7 @@
 // another version in the chain.
 func TestReplace(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(6)
+	f := newTestFleet(6)
 	f.add(0, 2, 0, time.Millisecond)
 	f.add(2, 4, 0, time.Millisecond)
 	f.add(4, 6, 0, time.Millisecond)
@@ -255,7 +257,7 @@
 	is.NoErr(err)
 	next, err := p.Replace(c, []fleet.UpstreamID{"e1"}, 1)
 	is.NoErr(err)
-	checkCover(t, next, 6)
+	checkChain(t, next, 6)
 	is.Equal(len(next.Stages), 3)
 	is.Equal(next.Stages[0], c.Stages[0])
 	is.Equal(next.Stages[1].Upstream.ID, fleet.UpstreamID("e3"))
@@ -266,29 +268,29 @@
 	// although it is slower for one token.
 	quick := f.add(2, 4, 0, 9*time.Millisecond)
 	f.speeds["e3"] = pipeline.Speed{Layer: 3 * time.Millisecond, Position: time.Millisecond}
-	f.clock.Advance(planner.DefaultRefresh)
+	f.clock.Advance(planner.DefaultRefreshInterval)
 	long, err := p.Replace(c, []fleet.UpstreamID{"e1"}, 100)
 	is.NoErr(err)
 	is.Equal(long.Stages[1].Upstream.ID, quick.ID)
 	f.engines = f.engines[:4]
-	f.clock.Advance(planner.DefaultRefresh)
+	f.clock.Advance(planner.DefaultRefreshInterval)
 
 	// A second loss leaves layers without a holder, until an engine joins.
 	_, err = p.Replace(next, []fleet.UpstreamID{"e1", "e3"}, 1)
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
 	f.add(2, 3, 0, time.Millisecond)
 	f.add(3, 6, 0, time.Millisecond)
-	f.clock.Advance(planner.DefaultRefresh)
+	f.clock.Advance(planner.DefaultRefreshInterval)
 	again, err := p.Replace(next, []fleet.UpstreamID{"e1", "e3"}, 1)
 	is.NoErr(err)
-	checkCover(t, again, 6)
+	checkChain(t, again, 6)
 	is.Equal(len(again.Stages), 4)
 
 	// The same engines with another version are of no use for the chain.
 	for i := range f.engines {
 		f.engines[i].Version = "2"
 	}
-	f.clock.Advance(planner.DefaultRefresh)
+	f.clock.Advance(planner.DefaultRefreshInterval)
 	_, err = p.Replace(c, []fleet.UpstreamID{"e1"}, 1)
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
 }
@@ -297,7 +299,7 @@
 // that is not in force while the one in force covers all layers.
 func TestVersions(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(4)
+	f := newTestFleet(4)
 	for i, version := range []string{"1", "1", "2", "2"} {
 		f.add(i%2*2, i%2*2+2, 0, time.Millisecond)
 		f.engines[i].Version = version
@@ -306,11 +308,11 @@
 	p := f.planner()
 	c, err := p.Plan("m", nil)
 	is.NoErr(err)
-	checkCover(t, c, 4)
+	checkChain(t, c, 4)
 	is.Equal(c.Version, "2")
 	c, err = p.Plan("m", []fleet.UpstreamID{"e2"})
 	is.NoErr(err)
-	checkCover(t, c, 4)
+	checkChain(t, c, 4)
 	is.Equal(c.Version, "1")
 	_, err = p.Plan("m", []fleet.UpstreamID{"e2", "e1"})
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
@@ -320,7 +322,7 @@
 // against a refusal when only suspects hold some layers.
 func TestSuspects(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(2)
+	f := newTestFleet(2)
 	f.add(0, 2, 0, time.Millisecond)
 	f.add(0, 2, 0, 2*time.Millisecond)
 	p := f.planner()
@@ -342,7 +344,7 @@
 // and against a replanning of another stage that moves it.
 func TestDegraded(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(4)
+	f := newTestFleet(4)
 	f.add(0, 2, 0, time.Millisecond)
 	f.add(0, 2, 0, 2*time.Millisecond)
 	f.add(2, 4, 0, time.Millisecond)
@@ -352,7 +354,7 @@
 	is.NoErr(err)
 	is.Equal(before.Stages[0].Upstream.ID, fleet.UpstreamID("e0"))
 	f.speeds["e0"] = pipeline.Speed{Layer: 100 * time.Millisecond}
-	f.clock.Advance(planner.DefaultRefresh)
+	f.clock.Advance(planner.DefaultRefreshInterval)
 	after, err := p.Plan("m", nil)
 	is.NoErr(err)
 	is.Equal(after.Stages[0].Upstream.ID, fleet.UpstreamID("e1"))
@@ -366,7 +368,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{43, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := mixed(n)
+			f := newMixedFleet(n)
 			models := func(fleet.ModelID) (document.Model, bool) { return f.model, true }
 			p := planner.New(f, models, f, f.clock)
 			b.ReportAllocs()
@@ -382,10 +384,10 @@
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{43, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := mixed(n)
+			f := newMixedFleet(n)
 			p := f.planner()
 			for b.Loop() {
-				f.clock.Advance(planner.DefaultRefresh)
+				f.clock.Advance(planner.DefaultRefreshInterval)
 				if _, err := p.Plan("m", nil); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/pipeline/planner/view.go
+++ b/internal/pipeline/planner/view.go
@@ -14,17 +14,17 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// exactLimit is the number of engines of a group up to which each engine is a
+// maxExactEngines is the number of engines of a group up to which each engine is a
 // class of its own.
-const exactLimit = 64
+const maxExactEngines = 64
 
 // view is what the planner knows of the engines of one model. It is not changed
 // after it was built, apart from the counters.
 type view struct {
-	built    time.Time
-	took     time.Duration // time to build it
-	revision document.Model
-	layers   fleet.Layer
+	builtAt       time.Time
+	buildDuration time.Duration // time to build it
+	model         document.Model
+	layers        fleet.Layer
 	// groups are the engines by version and adapter. The one in force is first;
 	// another one serves only while that one does not cover all layers.
 	groups []group
@@ -51,11 +51,11 @@
 	costs   []cost
 }
 
-// least is the lowest time of a step of one position over all layers.
-func (c class) least() float64 { return c.fixed + c.layer*float64(c.layers.Len()) }
+// minStepTime is the lowest time of a step of one position over all layers.
+func (c class) minStepTime() float64 { return c.fixed + c.layer*float64(c.layers.Len()) }
 
-// member is one engine with its cost.
-type member struct {
+// candidate is one engine with its cost.
+type candidate struct {
 	upstream upstream.Upstream
 	cost
 }
@@ -66,62 +66,62 @@
 	layer    float64 // nanoseconds
 	position float64 // nanoseconds
 	slots    float64
-	// others is the reported load without the part of this instance.
-	others   float64
-	inFlight *atomic.Int64
+	// otherLoad is the reported load without the part of this instance.
+	otherLoad float64
+	inFlight  *atomic.Int64
 }
 
-func newMember(u upstream.Upstream, speeds pipeline.Speeds, counts *inflight.Counts) *member {
+func newCandidate(u upstream.Upstream, speeds pipeline.SpeedEstimator, counts *inflight.Counts) *candidate {
 	s := speeds.Speed(u)
-	m := &member{upstream: u, cost: cost{
+	m := &candidate{upstream: u, cost: cost{
 		fixed: float64(s.Fixed), layer: float64(s.Layer), position: float64(s.Position),
-		slots: float64(max(u.Slots, 1)), inFlight: counts.Of(u.ID),
+		slots: float64(max(u.Slots, 1)), inFlight: counts.Counter(u.ID),
 	}}
 	reported := float64(u.Load.Running + u.Load.Waiting)
-	m.others = max(reported-float64(m.inFlight.Load()), 0)
+	m.otherLoad = max(reported-float64(m.inFlight.Load()), 0)
 	return m
 }
 
-// of returns the fixed time and the time of each layer for a number of
+// estimate returns the fixed time and the time of each layer for a number of
 // positions at the present load. A batch takes longer with each sequence in it,
 // and sequences beyond the batch limit wait for another batch.
-func (m *cost) of(positions int) (fixed, layer float64) {
-	load := (m.others + float64(max(m.inFlight.Load(), 0))) / m.slots
+func (m *cost) estimate(positions int) (fixed, layer float64) {
+	load := (m.otherLoad + float64(max(m.inFlight.Load(), 0))) / m.slots
 	return m.fixed, (m.layer + float64(positions-1)*m.position) * (1 + load)
 }
 
-func newView(model document.Model, engines []upstream.Upstream, now time.Time, speeds pipeline.Speeds, counts *inflight.Counts) *view {
-	v := &view{built: now, revision: model, layers: model.Layers}
-	members := make(map[[2]string][]*member)
+func newView(model document.Model, engines []upstream.Upstream, now time.Time, speeds pipeline.SpeedEstimator, counts *inflight.Counts) *view {
+	v := &view{builtAt: now, model: model, layers: model.Layers}
+	candidates := make(map[[2]string][]*candidate)
 	for _, u := range engines {
 		whole := upstream.LayerRange{From: 0, To: model.Layers}
 		if u.Kind != upstream.Engine || u.Model != model.ID || !within(u.Layers, whole) {
 			continue
 		}
-		k := [2]string{u.Version, u.Adapter}
-		members[k] = append(members[k], newMember(u, speeds, counts))
+		key := [2]string{u.Version, u.Adapter}
+		candidates[key] = append(candidates[key], newCandidate(u, speeds, counts))
 	}
-	for k, list := range members {
+	for k, list := range candidates {
 		v.groups = append(v.groups, newGroup(k[0], k[1], list))
 	}
 	slices.SortFunc(v.groups, func(a, b group) int {
 		return cmp.Or(
-			-cmp.Compare(bit(a.version == model.Version && a.adapter == model.Adapter), bit(b.version == model.Version && b.adapter == model.Adapter)),
+			-cmp.Compare(boolToInt(a.version == model.Version && a.adapter == model.Adapter), boolToInt(b.version == model.Version && b.adapter == model.Adapter)),
 			cmp.Compare(a.version, b.version), cmp.Compare(a.adapter, b.adapter))
 	})
 	v.groups = slices.DeleteFunc(v.groups, func(g group) bool { return g.adapter != model.Adapter })
 	return v
 }
 
-func bit(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// fits tells whether the view was built for a model as it is now.
-func (v *view) fits(m document.Model) bool { return v.revision == m }
+// builtFor tells whether the view was built for a model as it is now.
+func (v *view) builtFor(m document.Model) bool { return v.model == m }
 
 func (v *view) group(version, adapter string) *group {
 	for i := range v.groups {
@@ -132,18 +132,18 @@
 	return nil
 }
 
-func newGroup(version, adapter string, members []*member) group {
+func newGroup(version, adapter string, candidates []*candidate) group {
 	g := group{version: version, adapter: adapter}
-	slices.SortFunc(members, func(a, b *member) int {
+	slices.SortFunc(candidates, func(a, b *candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.upstream.Layers.From, b.upstream.Layers.From),
 			cmp.Compare(a.upstream.Layers.To, b.upstream.Layers.To),
 			cmp.Compare(a.upstream.ID, b.upstream.ID))
 	})
 	index := make(map[classKey]int)
-	for _, m := range members {
-		k := keyOf(m)
-		if len(members) <= exactLimit {
+	for _, m := range candidates {
+		k := classKeyOf(m)
+		if len(candidates) <= maxExactEngines {
 			k.id = m.upstream.ID
 		}
 		i, ok := index[k]
@@ -164,7 +164,7 @@
 	slices.SortStableFunc(g.classes, func(a, b class) int {
 		return cmp.Or(
 			cmp.Compare(a.layers.From, b.layers.From), cmp.Compare(a.layers.To, b.layers.To),
-			cmp.Compare(a.least(), b.least()))
+			cmp.Compare(a.minStepTime(), b.minStepTime()))
 	})
 	slices.Sort(g.boundaries)
 	g.boundaries = slices.Compact(g.boundaries)
@@ -179,11 +179,11 @@
 	id           fleet.UpstreamID
 }
 
-func keyOf(m *member) classKey {
-	return classKey{layers: m.upstream.Layers, fixed: octave(m.fixed), layer: octave(m.layer)}
+func classKeyOf(m *candidate) classKey {
+	return classKey{layers: m.upstream.Layers, fixed: log2Bucket(m.fixed), layer: log2Bucket(m.layer)}
 }
 
-func octave(nanoseconds float64) int {
+func log2Bucket(nanoseconds float64) int {
 	return int(math.Floor(math.Log2(max(nanoseconds, 1))))
 }
 
--- a/internal/pipeline/repair/balance.go
+++ b/internal/pipeline/repair/balance.go
@@ -11,108 +11,108 @@
 
 // loadState tells since when the load of a role has been above High or below Low.
 type loadState struct {
-	high, low time.Time
+	highSince, lowSince time.Time
 }
 
-// tally is the load of all engines of a role.
-type tally struct {
+// roleLoad is the load of all engines of a role.
+type roleLoad struct {
 	role    role
 	engines int
 	load    float64 // sum over the engines
 }
 
-func (t tally) mean() float64 { return t.load / float64(max(t.engines, 1)) }
+func (t roleLoad) mean() float64 { return t.load / float64(max(t.engines, 1)) }
 
 // balance moves one engine from a role with little load to one that is short,
 // when both have been so for the time Hold.
-func (c *Controller) balance(now time.Time, f *census, tallies []tally) (Effect, bool) {
-	short, ok := c.short(now, tallies)
+func (c *Controller) balance(now time.Time, cov *coverage, roleLoads []roleLoad) (Effect, bool) {
+	overloaded, ok := c.overloadedRole(now, roleLoads)
 	if !ok {
 		return Effect{}, false
 	}
-	for _, t := range tallies {
+	for _, t := range roleLoads {
 		state := c.loads[t.role]
 		// The engines that stay take over the load of the one that goes.
-		after := t.load / float64(max(t.engines-1, 1))
-		if c.moved[t.role].After(now) || state.low.IsZero() || now.Sub(state.low) < c.settings.Hold || after >= c.settings.High/2 {
+		loadAfter := t.load / float64(max(t.engines-1, 1))
+		if c.roleCooldownUntil[t.role].After(now) || state.lowSince.IsZero() || now.Sub(state.lowSince) < c.settings.StabilizationWindow || loadAfter >= c.settings.HighLoad/2 {
 			continue
 		}
-		for _, u := range f.engines {
-			m, known := f.model(u.Model)
-			if roleOf(u) != t.role || u.Layers.Len() != short.role.layers.Len() || c.rests(now, u.ID, 0) {
+		for _, u := range cov.engines {
+			m, inDocument := cov.model(u.Model)
+			if roleOf(u) != t.role || u.Layers.Len() != overloaded.role.layers.Len() || c.excluded(now, u.ID, 0) {
 				continue
 			}
-			if known && !f.canLeave(u, need(m)) {
+			if inDocument && !cov.canLeave(u, minHolders(m)) {
 				continue
 			}
 			until := now.Add(c.settings.Cooldown)
-			c.moved[t.role], c.moved[short.role] = until, until
-			reason := fmt.Sprintf("load %.2f of layers %d:%d of model %q", short.mean(),
-				short.role.layers.From, short.role.layers.To, short.role.model)
-			return c.send(now, f, u, short.role, reason), true
+			c.roleCooldownUntil[t.role], c.roleCooldownUntil[overloaded.role] = until, until
+			reason := fmt.Sprintf("load %.2f of layers %d:%d of model %q", overloaded.mean(),
+				overloaded.role.layers.From, overloaded.role.layers.To, overloaded.role.model)
+			return c.assign(now, cov, u, overloaded.role, reason), true
 		}
 	}
 	return Effect{}, false
 }
 
-// short returns the role with the highest load that has been above High for the
+// overloadedRole returns the role with the highest load that has been above High for the
 // time Hold.
-func (c *Controller) short(now time.Time, tallies []tally) (tally, bool) {
-	for i := len(tallies) - 1; i >= 0; i-- {
-		r := tallies[i].role
+func (c *Controller) overloadedRole(now time.Time, roleLoads []roleLoad) (roleLoad, bool) {
+	for i := len(roleLoads) - 1; i >= 0; i-- {
+		r := roleLoads[i].role
 		state := c.loads[r]
-		if !c.moved[r].After(now) && !state.high.IsZero() && now.Sub(state.high) >= c.settings.Hold {
-			return tallies[i], true
+		if !c.roleCooldownUntil[r].After(now) && !state.highSince.IsZero() && now.Sub(state.highSince) >= c.settings.StabilizationWindow {
+			return roleLoads[i], true
 		}
 	}
-	return tally{}, false
+	return roleLoad{}, false
 }
 
-// tally sums the loads of the roles in force, the lowest first, and notes since
+// measureLoads sums the loads of the roles in force, the lowest first, and notes since
 // when they have been high or low.
-func (c *Controller) tally(now time.Time, f *census) []tally {
-	index := make(map[role]*tally)
-	for _, u := range f.engines {
-		if !c.inForce(f, u) {
+func (c *Controller) measureLoads(now time.Time, cov *coverage) []roleLoad {
+	byRole := make(map[role]*roleLoad)
+	for _, u := range cov.engines {
+		if !c.isActiveVersion(cov, u) {
 			continue
 		}
 		r := roleOf(u)
-		if index[r] == nil {
-			index[r] = &tally{role: r}
+		if byRole[r] == nil {
+			byRole[r] = &roleLoad{role: r}
 		}
-		index[r].engines++
-		index[r].load += loadOf(u)
+		byRole[r].engines++
+		byRole[r].load += loadOf(u)
 	}
-	loads := make(map[role]loadState, len(index))
-	var list []tally
-	for r, t := range index {
+	loads := make(map[role]loadState, len(byRole))
+	var sorted []roleLoad
+	for r, t := range byRole {
 		state := c.loads[r]
-		state.high = since(state.high, t.mean() > c.settings.High, now)
-		state.low = since(state.low, t.mean() < c.settings.Low, now)
+		state.highSince = conditionSince(state.highSince, t.mean() > c.settings.HighLoad, now)
+		state.lowSince = conditionSince(state.lowSince, t.mean() < c.settings.LowLoad, now)
 		loads[r] = state
-		list = append(list, *t)
+		sorted = append(sorted, *t)
 	}
 	c.loads = loads
-	slices.SortFunc(list, func(a, b tally) int {
+	slices.SortFunc(sorted, func(a, b roleLoad) int {
 		return cmp.Or(
 			cmp.Compare(a.mean(), b.mean()), cmp.Compare(a.role.model, b.role.model),
 			cmp.Compare(a.role.layers.From, b.role.layers.From), cmp.Compare(a.role.layers.To, b.role.layers.To))
 	})
-	return list
+	return sorted
 }
 
-func (c *Controller) inForce(f *census, u upstream.Upstream) bool {
-	m, ok := f.model(u.Model)
+func (c *Controller) isActiveVersion(cov *coverage, u upstream.Upstream) bool {
+	m, ok := cov.model(u.Model)
 	return ok && u.Version == m.Version && u.Adapter == m.Adapter
 }
 
-// since returns the time from which on a condition has held, or zero.
-func since(before time.Time, holds bool, now time.Time) time.Time {
+// conditionSince returns the time from which on a condition has held, or zero.
+func conditionSince(previous time.Time, holds bool, now time.Time) time.Time {
 	if !holds {
 		return time.Time{}
 	}
-	if before.IsZero() {
+	if previous.IsZero() {
 		return now
 	}
-	return before
+	return previous
 }
--- a/internal/pipeline/repair/cover.go
+++ b/internal/pipeline/repair/cover.go
@@ -9,95 +9,95 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// noHolder is the value of a layer without a holder. It is more than all layers
+// noHolderPriority is the value of a layer without a holder. It is more than all layers
 // of a model with some holders have together.
-const noHolder = 1000
+const noHolderPriority = 1000
 
-// noteLacking notes since when layers lack holders.
-func (c *Controller) noteLacking(now time.Time, f *census) {
+// updateLackingSince notes since when layers lack holders.
+func (c *Controller) updateLackingSince(now time.Time, cov *coverage) {
 	lacking := make(map[layerKey]time.Time)
-	for _, m := range f.models {
+	for _, m := range cov.models {
 		for l := fleet.Layer(0); l < m.Layers; l++ {
-			k := keyOf(m, l)
-			if f.serving[k] >= need(m) {
+			k := layerKeyOf(m, l)
+			if cov.serving[k] >= minHolders(m) {
 				continue
 			}
 			lacking[k] = now
-			if since, ok := c.since[k]; ok {
+			if since, ok := c.lackingSince[k]; ok {
 				lacking[k] = since
 			}
 		}
 	}
-	c.since = lacking
+	c.lackingSince = lacking
 }
 
-// value is what another holder of a layer is worth.
-func (c *Controller) value(now time.Time, f *census, m document.Model, l fleet.Layer) float64 {
-	k := keyOf(m, l)
-	since, lacking := c.since[k]
-	have := f.holders(k)
+// priority is what another holder of a layer is worth.
+func (c *Controller) priority(now time.Time, cov *coverage, m document.Model, l fleet.Layer) float64 {
+	k := layerKeyOf(m, l)
+	since, lacking := c.lackingSince[k]
+	count := cov.holders(k)
 	switch {
-	case !lacking || now.Sub(since) < c.settings.Grace || have >= need(m):
+	case !lacking || now.Sub(since) < c.settings.GracePeriod || count >= minHolders(m):
 		return 0
-	case have == 0:
-		return noHolder
+	case count == 0:
+		return noHolderPriority
 	default:
-		return 1 - float64(have)/float64(need(m))
+		return 1 - float64(count)/float64(minHolders(m))
 	}
 }
 
 // candidate is a possible move.
 type candidate struct {
-	engine upstream.Upstream
-	target role
-	value  float64
-	bytes  int64
-	// spare tells that the engine serves nothing that is of use.
-	spare bool
-	load  float64
-	fits  bool // the target is the role of another engine
+	engine   upstream.Upstream
+	target   role
+	priority float64
+	bytes    int64
+	// unneeded tells that the engine serves nothing that is of use.
+	unneeded  bool
+	load      float64
+	knownRole bool // the target is the role of another engine
 }
 
 // cover returns the most valuable load for layers that lack holders.
-func (c *Controller) cover(now time.Time, f *census) (Effect, bool) {
+func (c *Controller) cover(now time.Time, cov *coverage) (Effect, bool) {
 	var best candidate
-	known := make(map[role]bool, len(f.engines))
-	for _, u := range f.engines {
-		known[roleOf(u)] = true
+	knownRoles := make(map[role]bool, len(cov.engines))
+	for _, u := range cov.engines {
+		knownRoles[roleOf(u)] = true
 	}
-	for _, m := range f.models {
-		sums := make([]float64, m.Layers+1)
+	for _, m := range cov.models {
+		prefixSums := make([]float64, m.Layers+1)
 		for l := fleet.Layer(0); l < m.Layers; l++ {
-			sums[l+1] = sums[l] + c.value(now, f, m, l)
+			prefixSums[l+1] = prefixSums[l] + c.priority(now, cov, m, l)
 		}
-		if sums[m.Layers] == 0 {
+		if prefixSums[m.Layers] == 0 {
 			continue
 		}
 		targets := make(map[int]candidate) // by the number of layers of an engine
-		for _, u := range f.engines {
-			if c.rests(now, u.ID, sums[m.Layers]) {
+		for _, u := range cov.engines {
+			if c.excluded(now, u.ID, prefixSums[m.Layers]) {
 				continue
 			}
 			size := min(u.Layers.Len(), int(m.Layers))
 			t, ok := targets[size]
 			if !ok {
-				t = bestRange(m, size, sums, known)
+				t = bestRange(m, size, prefixSums, knownRoles)
 				targets[size] = t
 			}
 			t.engine = u
-			floor := need(m)
-			if owner, ok := f.model(u.Model); ok {
-				floor = need(owner)
+			minRemaining := minHolders(m)
+			if owner, ok := cov.model(u.Model); ok {
+				minRemaining = minHolders(owner)
 			}
-			if t.value >= noHolder {
-				floor = 1
+			if t.priority >= noHolderPriority {
+				minRemaining = 1
 			}
-			if t.value <= 0 || !f.canLeave(u, floor) {
+			if t.priority <= 0 || !cov.canLeave(u, minRemaining) {
 				continue
 			}
-			t.spare = f.canLeave(u, 1<<30)
+			t.unneeded = cov.canLeave(u, 1<<30)
 			t.load = loadOf(u)
-			if !c.local[u.ID].roles[t.target] {
+			if !c.localWeights[u.ID].roles[t.target] {
 				t.bytes = int64(size) * c.settings.LayerBytes
 			}
 			if t.better(best) {
@@ -105,33 +105,33 @@
 			}
 		}
 	}
-	if best.value <= 0 {
+	if best.priority <= 0 {
 		return Effect{}, false
 	}
 	r := best.target
 	reason := fmt.Sprintf("layers %d:%d of model %q version %q lack holders", r.layers.From, r.layers.To, r.model, r.version)
-	return c.send(now, f, best.engine, r, reason), true
+	return c.assign(now, cov, best.engine, r, reason), true
 }
 
-// rests tells whether an engine is passed over. After a move it may still cover
+// excluded tells whether an engine is passed over. After a move it may still cover
 // layers that have no holder.
-func (c *Controller) rests(now time.Time, id fleet.UpstreamID, total float64) bool {
-	if c.failed[id].After(now) {
+func (c *Controller) excluded(now time.Time, id fleet.UpstreamID, totalPriority float64) bool {
+	if c.failedUntil[id].After(now) {
 		return true
 	}
-	return c.resting[id].After(now) && total < noHolder
+	return c.cooldownUntil[id].After(now) && totalPriority < noHolderPriority
 }
 
 // bestRange returns the range of a number of layers with the highest value. Of
 // equal ranges one that other engines hold is better, because chains with equal
 // stages can replace each other's.
-func bestRange(m document.Model, size int, sums []float64, known map[role]bool) candidate {
+func bestRange(m document.Model, size int, prefixSums []float64, knownRoles map[role]bool) candidate {
 	var best candidate
 	for from := 0; size > 0 && from+size <= int(m.Layers); from++ {
 		layers := upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(from + size)}
 		r := role{m.ID, m.Version, m.Adapter, layers}
-		t := candidate{target: r, value: sums[from+size] - sums[from], fits: known[r]}
-		if t.value > best.value || t.value == best.value && t.fits && !best.fits {
+		t := candidate{target: r, priority: prefixSums[from+size] - prefixSums[from], knownRole: knownRoles[r]}
+		if t.priority > best.priority || t.priority == best.priority && t.knownRole && !best.knownRole {
 			best = t
 		}
 	}
@@ -142,10 +142,10 @@
 // load.
 func (t candidate) better(o candidate) bool {
 	switch {
-	case t.value != o.value:
-		return t.value > o.value
-	case t.spare != o.spare:
-		return t.spare
+	case t.priority != o.priority:
+		return t.priority > o.priority
+	case t.unneeded != o.unneeded:
+		return t.unneeded
 	case t.bytes != o.bytes:
 		return t.bytes < o.bytes
 	default:
--- a/internal/pipeline/repair/loop.go
+++ b/internal/pipeline/repair/loop.go
@@ -12,8 +12,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// DefaultInterval is the time between two ticks.
-const DefaultInterval = time.Second
+// TickInterval is the time between two ticks.
+const TickInterval = time.Second
 
 // Loop runs a Controller.
 type Loop struct {
@@ -33,14 +33,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.Clock.After(DefaultInterval):
-			l.Once(ctx)
+		case <-l.Clock.After(TickInterval):
+			l.RunOnce(ctx)
 		}
 	}
 }
 
-// Once runs one tick and sends its commands.
-func (l *Loop) Once(ctx context.Context) {
+// RunOnce runs one tick and sends its commands.
+func (l *Loop) RunOnce(ctx context.Context) {
 	now := l.Clock.Now()
 	in := Input{Now: now, Models: l.Models()}
 	seen := make(map[fleet.PoolID]bool)
@@ -54,7 +54,7 @@
 		err := l.Commander.Send(ctx, e.Upstream, e.Command)
 		l.Logger.Info("A command was sent.", zap.String("upstream", string(e.Upstream.ID)), zap.String("reason", e.Reason), zap.Error(err))
 		if err != nil {
-			l.Controller.Failed(e.Upstream.ID, now)
+			l.Controller.MarkFailed(e.Upstream.ID, now)
 		}
 	}
 }
--- a/internal/pipeline/repair/repair.go
+++ b/internal/pipeline/repair/repair.go
@@ -39,32 +39,32 @@
 	// rate of the weight store. A rate of zero means no limit.
 	LayerBytes     int64
 	BytesPerSecond int64
-	// Grace is the time that a lack of holders lasts before a load begins, so
+	// GracePeriod is the time that a lack of holders lasts before a load begins, so
 	// that a restarted engine can come back with its old role.
-	Grace time.Duration
-	// Hold, Cooldown, High and Low bound moves because of load. Loads are
+	GracePeriod time.Duration
+	// StabilizationWindow, Cooldown, High and Low bound moves because of load. Loads are
 	// sequences for each slot.
-	Hold     time.Duration
-	Cooldown time.Duration
-	High     float64
-	Low      float64
+	StabilizationWindow time.Duration
+	Cooldown            time.Duration
+	HighLoad            float64
+	LowLoad             float64
 }
 
 // Defaults of Settings.
 const (
-	DefaultGrace    = 10 * time.Second
-	DefaultHold     = time.Minute
-	DefaultCooldown = 10 * time.Minute
-	DefaultHigh     = 0.9
-	DefaultLow      = 0.4
+	DefaultGracePeriod         = 10 * time.Second
+	DefaultStabilizationWindow = time.Minute
+	DefaultCooldown            = 10 * time.Minute
+	DefaultHighLoad            = 0.9
+	DefaultLowLoad             = 0.4
 )
 
 const (
-	// overdueFactor is the ratio of the time after which a load is given up to
+	// commandTimeoutFactor is the ratio of the time after which a load is given up to
 	// its expected time.
-	overdueFactor = 3
-	// overdueSlack is added to it for the announcement of the new role.
-	overdueSlack = 10 * time.Second
+	commandTimeoutFactor = 3
+	// commandTimeoutMargin is added to it for the announcement of the new role.
+	commandTimeoutMargin = 10 * time.Second
 )
 
 // Input is what is known of the fleet.
@@ -85,24 +85,24 @@
 
 // Controller decides on loads and role changes. It is used by one goroutine.
 type Controller struct {
-	settings Settings
-	issued   uint64
+	settings       Settings
+	issuedCommands uint64
 	// pending are the commands whose role was not announced yet.
-	pending map[fleet.UpstreamID]pending
-	// resting are engines that are not moved again until a time, except to layers
+	pending map[fleet.UpstreamID]pendingCommand
+	// cooldownUntil are engines that are not moved again until a time, except to layers
 	// without a holder. Failed are engines that are not moved at all until then.
-	resting map[fleet.UpstreamID]time.Time
-	failed  map[fleet.UpstreamID]time.Time
-	// local are the roles that an engine has announced: their weights are on it.
-	local map[fleet.UpstreamID]locals
-	// storeFree is when the weight store is expected to be done with all loads.
-	storeFree time.Time
-	// since tells how long a layer has lacked holders.
-	since map[layerKey]time.Time
+	cooldownUntil map[fleet.UpstreamID]time.Time
+	failedUntil   map[fleet.UpstreamID]time.Time
+	// localWeights are the roles that an engine has announced: their weights are on it.
+	localWeights map[fleet.UpstreamID]localWeights
+	// storeBusyUntil is when the weight store is expected to be done with all loads.
+	storeBusyUntil time.Time
+	// lackingSince tells how long a layer has lacked holders.
+	lackingSince map[layerKey]time.Time
 	// loads are the load states of roles, and moved the times until which roles
 	// neither give nor get engines because of load.
-	loads map[role]loadState
-	moved map[role]time.Time
+	loads             map[role]loadState
+	roleCooldownUntil map[role]time.Time
 }
 
 // role is what an engine runs.
@@ -118,12 +118,12 @@
 	layer            fleet.Layer
 }
 
-type pending struct {
+type pendingCommand struct {
 	target  role
 	expires time.Time
 }
 
-type locals struct {
+type localWeights struct {
 	incarnation fleet.Incarnation
 	roles       map[role]bool
 }
@@ -131,14 +131,14 @@
 // NewController returns a Controller with the given limits.
 func NewController(s Settings) *Controller {
 	return &Controller{
-		settings: s.withDefaults(),
-		pending:  make(map[fleet.UpstreamID]pending),
-		resting:  make(map[fleet.UpstreamID]time.Time),
-		failed:   make(map[fleet.UpstreamID]time.Time),
-		local:    make(map[fleet.UpstreamID]locals),
-		since:    make(map[layerKey]time.Time),
-		loads:    make(map[role]loadState),
-		moved:    make(map[role]time.Time),
+		settings:          s.withDefaults(),
+		pending:           make(map[fleet.UpstreamID]pendingCommand),
+		cooldownUntil:     make(map[fleet.UpstreamID]time.Time),
+		failedUntil:       make(map[fleet.UpstreamID]time.Time),
+		localWeights:      make(map[fleet.UpstreamID]localWeights),
+		lackingSince:      make(map[layerKey]time.Time),
+		loads:             make(map[role]loadState),
+		roleCooldownUntil: make(map[role]time.Time),
 	}
 }
 
@@ -146,14 +146,14 @@
 // role in time are passed over for the time Cooldown.
 func (c *Controller) Tick(in Input) []Effect {
 	c.observe(in)
-	f := newCensus(in, c.pending)
-	c.noteLacking(in.Now, f)
-	tallies := c.tally(in.Now, f)
+	cov := newCoverage(in, c.pending)
+	c.updateLackingSince(in.Now, cov)
+	roleLoads := c.measureLoads(in.Now, cov)
 	var effects []Effect
 	for len(effects) < len(in.Engines) && c.storeIdle(in.Now) {
-		e, ok := c.cover(in.Now, f)
+		e, ok := c.cover(in.Now, cov)
 		if !ok {
-			e, ok = c.balance(in.Now, f, tallies)
+			e, ok = c.balance(in.Now, cov, roleLoads)
 		}
 		if !ok {
 			break
@@ -163,13 +163,13 @@
 	return effects
 }
 
-// Failed tells that a command was not accepted. Its engine is passed over for the
+// MarkFailed tells that a command was not accepted. Its engine is passed over for the
 // time Cooldown.
-func (c *Controller) Failed(id fleet.UpstreamID, now time.Time) {
+func (c *Controller) MarkFailed(id fleet.UpstreamID, now time.Time) {
 	delete(c.pending, id)
 	// The engine may have lost weights that it announced before.
-	delete(c.local, id)
-	c.failed[id] = now.Add(c.settings.Cooldown)
+	delete(c.localWeights, id)
+	c.failedUntil[id] = now.Add(c.settings.Cooldown)
 }
 
 // observe takes note of announced roles and drops what is over.
@@ -177,30 +177,30 @@
 	present := make(map[fleet.UpstreamID]bool, len(in.Engines))
 	for _, u := range in.Engines {
 		present[u.ID] = true
-		l, ok := c.local[u.ID]
-		if !ok || l.incarnation != u.Incarnation {
-			l = locals{u.Incarnation, make(map[role]bool)}
-			c.local[u.ID] = l
+		weights, ok := c.localWeights[u.ID]
+		if !ok || weights.incarnation != u.Incarnation {
+			weights = localWeights{u.Incarnation, make(map[role]bool)}
+			c.localWeights[u.ID] = weights
 		}
-		l.roles[roleOf(u)] = true
-		p, waiting := c.pending[u.ID]
+		weights.roles[roleOf(u)] = true
+		command, isPending := c.pending[u.ID]
 		switch {
-		case waiting && p.target == roleOf(u):
+		case isPending && command.target == roleOf(u):
 			delete(c.pending, u.ID)
-			c.resting[u.ID] = in.Now.Add(c.settings.Cooldown)
-		case waiting && in.Now.After(p.expires):
-			c.Failed(u.ID, in.Now)
+			c.cooldownUntil[u.ID] = in.Now.Add(c.settings.Cooldown)
+		case isPending && in.Now.After(command.expires):
+			c.MarkFailed(u.ID, in.Now)
 		}
 	}
-	for id := range c.local {
+	for id := range c.localWeights {
 		if !present[id] {
-			delete(c.local, id)
+			delete(c.localWeights, id)
 			delete(c.pending, id)
 		}
 	}
-	expire(c.resting, in.Now)
-	expire(c.failed, in.Now)
-	expire(c.moved, in.Now)
+	expire(c.cooldownUntil, in.Now)
+	expire(c.failedUntil, in.Now)
+	expire(c.roleCooldownUntil, in.Now)
 }
 
 // expire drops the entries whose time is over.
@@ -213,26 +213,26 @@
 }
 
 // storeIdle tells whether another load may begin.
-func (c *Controller) storeIdle(now time.Time) bool { return !c.storeFree.After(now) }
+func (c *Controller) storeIdle(now time.Time) bool { return !c.storeBusyUntil.After(now) }
 
-// send returns the command that gives an engine a role.
-func (c *Controller) send(now time.Time, f *census, u upstream.Upstream, target role, reason string) Effect {
+// assign returns the command that gives an engine a role.
+func (c *Controller) assign(now time.Time, cov *coverage, u upstream.Upstream, target role, reason string) Effect {
 	kind := upstream.LoadModel
-	load := time.Duration(0)
-	if c.local[u.ID].roles[target] {
+	loadTime := time.Duration(0)
+	if c.localWeights[u.ID].roles[target] {
 		kind = upstream.ChangeRole
 	} else if c.settings.BytesPerSecond > 0 {
 		size := float64(int64(target.layers.Len()) * c.settings.LayerBytes)
-		load = time.Duration(size / float64(c.settings.BytesPerSecond) * float64(time.Second))
+		loadTime = time.Duration(size / float64(c.settings.BytesPerSecond) * float64(time.Second))
 	}
-	c.issued++
-	c.storeFree = now.Add(load)
-	c.pending[u.ID] = pending{target, now.Add(overdueFactor*load + overdueSlack)}
-	f.move(u, target)
+	c.issuedCommands++
+	c.storeBusyUntil = now.Add(loadTime)
+	c.pending[u.ID] = pendingCommand{target, now.Add(commandTimeoutFactor*loadTime + commandTimeoutMargin)}
+	cov.move(u, target)
 	return Effect{
 		Upstream: u, Reason: reason,
 		Command: upstream.Command{
-			ID:   fmt.Sprintf("repair-%s-%d-%d", c.settings.Instance, now.UnixNano(), c.issued),
+			ID:   fmt.Sprintf("repair-%s-%d-%d", c.settings.Instance, now.UnixNano(), c.issuedCommands),
 			Kind: kind, Model: target.model, Version: target.version, Adapter: target.adapter,
 			Layers: target.layers,
 		},
@@ -244,20 +244,20 @@
 }
 
 func (s Settings) withDefaults() Settings {
-	if s.Grace == 0 {
-		s.Grace = DefaultGrace
+	if s.GracePeriod == 0 {
+		s.GracePeriod = DefaultGracePeriod
 	}
-	if s.Hold == 0 {
-		s.Hold = DefaultHold
+	if s.StabilizationWindow == 0 {
+		s.StabilizationWindow = DefaultStabilizationWindow
 	}
 	if s.Cooldown == 0 {
 		s.Cooldown = DefaultCooldown
 	}
-	if s.High == 0 {
-		s.High = DefaultHigh
+	if s.HighLoad == 0 {
+		s.HighLoad = DefaultHighLoad
 	}
-	if s.Low == 0 {
-		s.Low = DefaultLow
+	if s.LowLoad == 0 {
+		s.LowLoad = DefaultLowLoad
 	}
 	return s
 }
--- a/internal/pipeline/repair/repair_test.go
+++ b/internal/pipeline/repair/repair_test.go
@@ -26,23 +26,23 @@
 	cooldown     = 10 * time.Minute
 )
 
-// world is a fleet of engines that follow commands, and a weight store. It
+// simulation is a fleet of engines that follow commands, and a weight store. It
 // implements upstream.Roster and pipeline.Commander.
-type world struct {
+type simulation struct {
 	t       testing.TB
 	clock   *fakeclock.Clock
 	model   document.Model
 	engines map[fleet.UpstreamID]*upstream.Upstream
 	loading map[fleet.UpstreamID]load
-	// busy is when the weight store is done.
-	busy    time.Time
-	rate    int64
-	refuses map[fleet.UpstreamID]bool
-	log     strings.Builder
-	moves   int
-	loop    *repair.Loop
-	// demand gives the load of a range of layers at a time.
-	demand func(upstream.LayerRange, time.Duration) float64
+	// storeBusyUntil is when the weight store is done.
+	storeBusyUntil time.Time
+	rate           int64
+	refusing       map[fleet.UpstreamID]bool
+	log            strings.Builder
+	moves          int
+	loop           *repair.Loop
+	// loadAt gives the load of a range of layers at a time.
+	loadAt func(upstream.LayerRange, time.Duration) float64
 }
 
 type load struct {
@@ -50,14 +50,14 @@
 	done    time.Time
 }
 
-func newWorld(t testing.TB, layers, holders int, rate int64) *world {
-	w := &world{
+func newSimulation(t testing.TB, layers, holders int, rate int64) *simulation {
+	w := &simulation{
 		t: t, clock: fakeclock.New(fakeclock.Start),
-		model:   document.Model{ID: "m", Version: "1", Layers: fleet.Layer(layers), MinHolders: holders},
-		engines: make(map[fleet.UpstreamID]*upstream.Upstream),
-		rate:    rate,
-		loading: make(map[fleet.UpstreamID]load),
-		refuses: make(map[fleet.UpstreamID]bool),
+		model:    document.Model{ID: "m", Version: "1", Layers: fleet.Layer(layers), MinHolders: holders},
+		engines:  make(map[fleet.UpstreamID]*upstream.Upstream),
+		rate:     rate,
+		loading:  make(map[fleet.UpstreamID]load),
+		refusing: make(map[fleet.UpstreamID]bool),
 	}
 	w.loop = &repair.Loop{
 		Controller: repair.NewController(repair.Settings{Instance: "i1", LayerBytes: layerSeconds, BytesPerSecond: rate, Cooldown: cooldown}),
@@ -67,14 +67,14 @@
 	return w
 }
 
-func (w *world) add(id, version string, from, to int) {
+func (w *simulation) add(id, version string, from, to int) {
 	w.engines[fleet.UpstreamID(id)] = &upstream.Upstream{Announcement: upstream.Announcement{
 		ID: fleet.UpstreamID(id), Kind: upstream.Engine, Model: "m", Version: version, Slots: 10,
 		Layers: upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(to)},
 	}}
 }
 
-func (w *world) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
+func (w *simulation) Usable(fleet.PoolID, time.Time) []upstream.Upstream {
 	var list []upstream.Upstream
 	for _, u := range w.engines {
 		list = append(list, *u)
@@ -82,31 +82,33 @@
 	return list
 }
 
-func (w *world) Get(fleet.UpstreamID) (upstream.Upstream, bool) { return upstream.Upstream{}, false }
+func (w *simulation) Get(fleet.UpstreamID) (upstream.Upstream, bool) {
+	return upstream.Upstream{}, false
+}
 
 // Send starts a load, and fails the test when the weight store is still busy.
-func (w *world) Send(_ context.Context, u upstream.Upstream, c upstream.Command) error {
+func (w *simulation) Send(_ context.Context, u upstream.Upstream, c upstream.Command) error {
 	now := w.clock.Now()
 	fmt.Fprintf(&w.log, "%4.0fs %s %s %s %d:%d\n", now.Sub(fakeclock.Start).Seconds(), c.Kind, u.ID, c.Version, c.Layers.From, c.Layers.To)
 	w.moves++
-	if w.refuses[u.ID] {
+	if w.refusing[u.ID] {
 		return refusal.New(refusal.Conflict, "refused")
 	}
 	done := now
 	if c.Kind == upstream.LoadModel && w.rate > 0 {
-		if w.busy.After(now) {
+		if w.storeBusyUntil.After(now) {
 			w.t.Fatalf("load begins while the weight store is busy:\n%s", w.log.String())
 		}
 		done = now.Add(time.Duration(c.Layers.Len()*layerSeconds) * time.Second)
-		w.busy = done
+		w.storeBusyUntil = done
 	}
 	w.loading[u.ID] = load{c, done}
 	return nil
 }
 
-// second runs one second. A load that is done must not take away the last holder
+// advanceSecond runs one second. A load that is done must not take away the last holder
 // of a layer.
-func (w *world) second() {
+func (w *simulation) advanceSecond() {
 	w.clock.Advance(time.Second)
 	for id, l := range w.loading {
 		u, ok := w.engines[id]
@@ -123,16 +125,16 @@
 		}
 	}
 	for _, u := range w.engines {
-		if w.demand != nil {
-			u.Load.Running = int(w.demand(u.Layers, w.clock.Now().Sub(fakeclock.Start)))
+		if w.loadAt != nil {
+			u.Load.Running = int(w.loadAt(u.Layers, w.clock.Now().Sub(fakeclock.Start)))
 		}
 	}
-	w.loop.Once(context.Background())
+	w.loop.RunOnce(context.Background())
 }
 
 // holders counts the engines that hold each layer, of the version that covers
 // more of the layers.
-func (w *world) holders() []int {
+func (w *simulation) holders() []int {
 	counts := make(map[string][]int)
 	best := make([]int, w.model.Layers)
 	for _, u := range w.engines {
@@ -159,7 +161,7 @@
 // takes away the last holder of a layer.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var w *world
+		var w *simulation
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "fleet":
@@ -168,7 +170,7 @@
 				d.ScanArgs(t, "holders", &holders)
 				rate := 1 // zero means no limit
 				d.MaybeScanArgs(t, "rate", &rate)
-				w = newWorld(t, layers, holders, int64(rate))
+				w = newSimulation(t, layers, holders, int64(rate))
 				for _, line := range strings.Split(d.Input, "\n") {
 					var id, version string
 					var from, to int
@@ -180,7 +182,7 @@
 			case "lose":
 				delete(w.engines, fleet.UpstreamID(d.CmdArgs[0].Key))
 			case "refuse":
-				w.refuses[fleet.UpstreamID(d.CmdArgs[0].Key)] = true
+				w.refusing[fleet.UpstreamID(d.CmdArgs[0].Key)] = true
 			case "version":
 				w.model.Version = d.CmdArgs[0].Key
 			case "run":
@@ -188,7 +190,7 @@
 				d.ScanArgs(t, "s", &seconds)
 				w.log.Reset()
 				for range seconds {
-					w.second()
+					w.advanceSecond()
 				}
 				return fmt.Sprintf("%sholders %v\n", w.log.String(), w.holders())
 			default:
@@ -199,54 +201,54 @@
 	})
 }
 
-// TestSwingingLoad guards against engines that are moved to and fro when the load
+// TestOscillatingLoad guards against engines that are moved to and fro when the load
 // swings between two ranges of layers.
-func TestSwingingLoad(t *testing.T) {
+func TestOscillatingLoad(t *testing.T) {
 	const hours = 2
 	for _, c := range []struct {
-		period time.Duration
-		most   int
+		period   time.Duration
+		maxMoves int
 	}{
 		{20 * time.Second, 0},
 		{100 * time.Second, 0},
 		// A slow swing is followed, but not faster than the cooldown.
 		{10 * time.Minute, int(hours * time.Hour / cooldown)},
 	} {
-		w := newWorld(t, 8, 2, 1)
+		w := newSimulation(t, 8, 2, 1)
 		for i := range 8 {
 			w.add(fmt.Sprintf("e%d", i), "1", i%2*4, i%2*4+4)
 		}
-		w.demand = func(r upstream.LayerRange, now time.Duration) float64 {
+		w.loadAt = func(r upstream.LayerRange, now time.Duration) float64 {
 			// Between 0 and 15 sequences on 10 slots, in opposite phase.
 			phase := 2 * math.Pi * (float64(now)/float64(c.period) + float64(r.From)/8)
 			return 7.5 + 7.5*math.Sin(phase)
 		}
 		for range hours * 3600 {
-			w.second()
+			w.advanceSecond()
 		}
 		t.Logf("period %v: %d moves in %d hours", c.period, w.moves, hours)
-		if w.moves > c.most {
-			t.Errorf("period %v: %d moves, at most %d expected:\n%s", c.period, w.moves, c.most, w.log.String())
+		if w.moves > c.maxMoves {
+			t.Errorf("period %v: %d moves, at most %d expected:\n%s", c.period, w.moves, c.maxMoves, w.log.String())
 		}
 	}
 }
 
-// TestShortRole guards against a role that stays short although another one has
+// TestOverloadedRole guards against a role that stays short although another one has
 // engines to spare.
-func TestShortRole(t *testing.T) {
+func TestOverloadedRole(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 8, 2, 1)
+	w := newSimulation(t, 8, 2, 1)
 	for i := range 8 {
 		w.add(fmt.Sprintf("e%d", i), "1", i%2*4, i%2*4+4)
 	}
-	w.demand = func(r upstream.LayerRange, _ time.Duration) float64 {
+	w.loadAt = func(r upstream.LayerRange, _ time.Duration) float64 {
 		if r.From == 0 {
 			return 12
 		}
 		return 1
 	}
 	for range 3600 {
-		w.second()
+		w.advanceSecond()
 	}
 	holders := w.holders()
 	is.True(holders[0] > 4)  // engines moved to the short role
