--- a/internal/pipeline/inflight/inflight.go
+++ b/internal/pipeline/inflight/inflight.go
@@ -1,4 +1,4 @@
-// Package inflight counts the sequences that this instance has on each upstream.
+// Package inflight counts the sequences that this instance runs on each upstream.
 // The zero value of Counts is ready for use:
 //
 //	var counts inflight.Counts
@@ -18,7 +18,8 @@
 	counters board.Shards[fleet.UpstreamID, *atomic.Int64]
 }
 
-// Counter returns the counter of an upstream, which stays the same until Forget.
+// Counter returns the counter of an upstream. It returns the same counter until
+// Forget is called.
 func (c *Counts) Counter(id fleet.UpstreamID) *atomic.Int64 {
 	if n, ok := c.counters.Get(id); ok {
 		return n
@@ -37,5 +38,5 @@
 // Add implements pipeline.Gauge.
 func (c *Counts) Add(id fleet.UpstreamID, n int) { c.Counter(id).Add(int64(n)) }
 
-// Forget drops the counter of an upstream that is gone.
+// Forget deletes the counter of an upstream that has left.
 func (c *Counts) Forget(id fleet.UpstreamID) { c.counters.Delete(id) }
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,5 +1,5 @@
-// Package pipeline holds the types of chains of engines that together hold all
-// layers of a model.
+// Package pipeline defines chains of engines that together run all layers of a
+// model, and the interfaces of the components that plan and execute them.
 package pipeline
 
 import (
@@ -23,14 +23,14 @@
 	Stages  []Stage
 }
 
-// Planner gives chains.
+// Planner plans chains.
 type Planner interface {
-	// Plan returns a chain for model that avoids the given upstreams. The error
+	// Plan returns a chain for model without the upstreams in exclude. The error
 	// is of kind refusal.NoUpstream when the layers cannot be covered.
 	Plan(model fleet.ModelID, exclude []fleet.UpstreamID) (Chain, error)
 }
 
-// Generation is a request for generated tokens.
+// GenerationRequest is a request to generate tokens.
 type Generation struct {
 	Request   fleet.RequestID
 	Model     fleet.ModelID
@@ -39,27 +39,27 @@
 	MaxTokens int
 }
 
-// Piece is one token of an answer.
+// Token is one token of the generated text.
 type Piece struct {
-	// Index counts the tokens of the answer from 0.
+	// Index is the position in the generated text, starting at 0.
 	Index int
 	Text  string
 }
 
-// FinishReason tells why an answer ended.
+// FinishReason tells why the generation ended.
 type FinishReason int
 
 // The finish reasons.
 const (
-	// Stopped means that the model ended the answer.
+	// FinishStop means that the model ended the text.
 	Stopped FinishReason = iota // stop
-	// LengthReached means that MaxTokens was reached.
+	// FinishLength means that MaxTokens was reached.
 	LengthReached // length
 )
 
-// Courier runs a generation over a chain.
+// Executor runs a generation request over a chain.
 type Courier interface {
 	// Run calls emit for every token in order, exactly once each, and returns
-	// when the answer is whole. An error of emit ends the generation.
+	// when the generation is complete. An error of emit ends the generation.
 	Run(ctx context.Context, g Generation, emit func(Piece) error) (FinishReason, error)
 }
--- a/internal/pipeline/planner/cover.go
+++ b/internal/pipeline/planner/cover.go
@@ -9,23 +9,25 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// scratch is the memory of one plan.
+// scratch holds the buffers of one plan. Costs are in nanoseconds.
 type scratch struct {
 	// positions is the number of positions that a stage has to run.
 	positions int
-	bounds    []fleet.Layer
-	// For each class: the drawn engine, its cost (fixed, for a layer, for all its
-	// layers), the cost of the best chain that ends on it, and the bound at which
-	// its stage starts.
+	// bounds are the layers at which a stage may start or end.
+	bounds []fleet.Layer
+	// For each class: the picked engine, its cost (fixed, per layer, for all its
+	// layers), the cost of the best chain that ends on it, and the index of the
+	// bound at which its stage starts.
 	picked []int
-	// kept are the classes that can be part of the best chain.
+	// kept are the indices of the classes that can be part of the best chain.
 	kept       []int
 	fixedCost  []float64
 	layerCost  []float64
 	fullCost   []float64
 	classCost  []float64
 	classStart []int
-	// For each bound: the cost of the best chain up to it, and its last stage.
+	// For each bound: the cost of the best chain up to it, and the class and the
+	// index of the first bound of its last stage.
 	bestCost  []float64
 	lastClass []int
 	lastStart []int
@@ -50,8 +52,8 @@
 	return s.collect(g, end, stages), true
 }
 
-// pickEngines draws an engine of each class. It leaves out a class of which no
-// engine can be faster than one that was drawn for the same layers.
+// pickEngines picks an engine of each class. It skips a class of which no engine
+// can be faster than one that was picked for the same layers.
 func (p *Planner) pickEngines(g *group, s *scratch, exclude []fleet.UpstreamID) {
 	s.kept = s.kept[:0]
 	first, fastest := 0, -1
@@ -81,8 +83,8 @@
 	s.prune(first)
 }
 
-// prune drops the kept classes from index first on, all with the same layers,
-// that are worse than another one of them.
+// prune removes dominated classes from those kept at index first and later, all
+// with the same layers.
 func (s *scratch) prune(first int) {
 	sameLayers := s.kept[first:]
 	n := 0
@@ -104,15 +106,15 @@
 	return false
 }
 
-// dominatedBy tells whether an engine is slower than another one for all layers, and
-// not faster for any number of layers: the time is linear in that number, so it
-// is enough to compare the fixed times and the times of all layers.
+// dominatedBy tells whether an engine is not faster than another one for any number
+// of layers, and not equally fast for all of them. The time is linear in the number
+// of layers, so it suffices to compare the fixed times and the times of all layers.
 func dominatedBy(fixed, full, otherFixed, otherFull float64) bool {
 	return fixed >= otherFixed && full >= otherFull && (fixed > otherFixed || full > otherFull)
 }
 
-// pickSecondChoices draws a second engine for each stage of the best chain and keeps
-// the faster one of the two.
+// pickSecondChoices picks a second engine for each stage of the best chain and
+// keeps the faster of the two.
 func (p *Planner) pickSecondChoices(g *group, s *scratch, end int, exclude []fleet.UpstreamID) {
 	for k := end; k > 0; k = s.lastStart[k] {
 		i := s.lastClass[k]
@@ -156,8 +158,9 @@
 	s.bestCost[0] = 0
 }
 
-// extend moves all chains over the segment between bounds k and k+1. The classes
-// are visited from a random one on, so that equal chains are taken in turn.
+// extend extends all chains over the segment between bounds k and k+1. It visits
+// the classes starting at a random one, so that chains of equal cost are chosen
+// equally often.
 func (s *scratch) extend(k int, g *group, randIntN func(int) int) {
 	if len(s.kept) == 0 || math.IsInf(s.bestCost[k], 1) {
 		return
@@ -171,7 +174,8 @@
 	}
 }
 
-// visit moves the best chain that ends on class c over the segment after bound k.
+// visit extends the best chain that ends on class c over the segment after bound k.
+// The chain either stays on the class or enters it at bound k.
 func (s *scratch) visit(k, c int, held upstream.LayerRange) {
 	from, to := s.bounds[k], s.bounds[k+1]
 	if from < held.From || to > held.To {
@@ -208,7 +212,8 @@
 	return stages
 }
 
-// pickEngine returns the index of an engine of a class that is not avoided, or -1.
+// pickEngine returns the index of a random engine of a class that is not excluded,
+// or -1.
 func (p *Planner) pickEngine(c *class, exclude []fleet.UpstreamID) int {
 	i := 0
 	if len(c.engines) > 1 {
--- a/internal/pipeline/planner/planner.go
+++ b/internal/pipeline/planner/planner.go
@@ -4,15 +4,16 @@
 //	p := planner.New(roster, models, speeds, clock, planner.WithCounts(&counts))
 //	chain, err := p.Plan("ledger", nil)
 //
-// A chain minimizes the expected time to the next token at the present load. A
+// A chain minimizes the expected time to the next token at the current load. A
 // stage may run a part of the layers that its engine holds.
 //
-// The planner keeps a view of the engines of each model, which it renews after
-// the refresh time. Engines with the same layers and similar speeds form a class.
-// A plan draws an engine of each class and finds the best chain of these by
-// dynamic programming over the boundaries between layer ranges. For each stage of
-// it, it draws a second engine of the class and keeps the faster one. Up to
-// exactLimit engines, each is a class of its own, and the chain is the best one.
+// The planner keeps a view of the engines of each model, which it rebuilds after
+// the refresh interval. Engines with the same layers and similar speeds form a
+// class. A plan picks a random engine of each class and finds the best chain of
+// these by dynamic programming over the boundaries between layer ranges. For each
+// stage of that chain, it picks a second engine of the class and keeps the faster
+// one. With up to maxExactEngines engines, each is a class of its own, and the
+// chain is optimal.
 package planner
 
 import (
@@ -31,21 +32,20 @@
 )
 
 const (
-	// DefaultRefreshInterval is the age at which a view of the engines is renewed.
+	// DefaultRefreshInterval is the age at which a view of the engines is rebuilt.
 	DefaultRefreshInterval = 250 * time.Millisecond
-	// refreshCostFactor bounds the share of time that goes into renewals: a view stays
-	// for renewalShare times the time that it took to build it, but not longer
-	// than maxAge, because a leaving engine has to be noticed within seconds.
+	// refreshCostFactor limits the share of time spent on rebuilding views: a view is
+	// used for refreshCostFactor times its build duration, but not longer than
+	// maxViewAge, because a leaving engine has to be noticed within seconds.
 	refreshCostFactor = 100
 	maxViewAge        = time.Second
-	// suspectExclusion is the time for which a suspect is avoided. It is longer than the
-	// time after which an upstream without a confirmation gets no new work.
+	// suspectExclusion is the time for which a suspect is excluded. It is longer
+	// than the heartbeat timeout, after which an upstream gets no new work anyway.
 	suspectExclusion = 5 * time.Second
-	// maxSuspects bounds the suspects that are remembered.
-	maxSuspects = 64
+	maxSuspects      = 64
 )
 
-// ModelLookup returns a model of the configuration in force.
+// ModelLookup returns a model of the active configuration.
 type ModelLookup func(fleet.ModelID) (document.Model, bool)
 
 // Planner implements pipeline.Replanner. It is safe for concurrent use.
@@ -63,7 +63,7 @@
 	scratch  sync.Pool
 }
 
-// viewCell holds the current view of a model; mu is held while it is renewed.
+// viewCell holds the current view of a model. It is rebuilt under mu.
 type viewCell struct {
 	mu   sync.Mutex
 	view board.Cell[view]
@@ -72,22 +72,24 @@
 // Option changes a Planner.
 type Option func(*Planner)
 
-// WithCounts sets the counters of the sequences of this instance.
+// WithCounts sets the counters of the sequences that this instance runs on each
+// upstream.
 func WithCounts(c *inflight.Counts) Option {
 	return func(p *Planner) { p.counts = c }
 }
 
-// WithRefreshInterval sets the age at which a view is renewed.
+// WithRefreshInterval sets the age at which a view is rebuilt.
 func WithRefreshInterval(d time.Duration) Option {
 	return func(p *Planner) { p.refreshInterval = d }
 }
 
-// WithRandIntN sets the source of random numbers in [0, n).
+// WithRandIntN sets the function that returns a random number in [0, n). The
+// default is rand.IntN.
 func WithRandIntN(randIntN func(n int) int) Option {
 	return func(p *Planner) { p.randIntN = randIntN }
 }
 
-// New returns a Planner over the engines of a roster.
+// New returns a Planner for the engines of a roster.
 func New(roster upstream.Roster, lookupModel ModelLookup, speeds pipeline.SpeedEstimator, clock fleet.Clock, options ...Option) *Planner {
 	p := &Planner{
 		roster: roster, lookupModel: lookupModel, speeds: speeds, clock: clock,
@@ -154,8 +156,8 @@
 	return next, nil
 }
 
-// Suspect implements pipeline.Suspecter. For some seconds plans use the engine
-// only when the others do not cover the layers.
+// Suspect implements pipeline.Suspecter. During suspectExclusion, plans use the
+// engine only when the others do not cover the layers.
 func (p *Planner) Suspect(id fleet.UpstreamID) {
 	now := p.clock.Now()
 	for {
@@ -174,14 +176,14 @@
 	}
 }
 
-// suspect is an engine that did not answer.
+// suspect is an engine that did not respond.
 type suspect struct {
 	id            fleet.UpstreamID
 	excludedUntil time.Time
 }
 
-// exclusionPasses returns the lists of engines to avoid that are tried in turn: with the
-// suspects first, then without them.
+// exclusionPasses returns the lists of excluded engines that are tried in turn:
+// first the given ones with the suspects, then the given ones alone.
 func (p *Planner) exclusionPasses(exclude []fleet.UpstreamID) (passes [2][]fleet.UpstreamID, count int) {
 	suspects := p.suspects.Load()
 	if suspects == nil {
@@ -200,8 +202,8 @@
 	return [2][]fleet.UpstreamID{all, exclude}, 2
 }
 
-// ExpectedTokenTime returns the expected time from one token to the next on a chain at
-// the present load.
+// ExpectedTokenTime returns the expected time from one token to the next on a
+// chain at the current load.
 func (p *Planner) ExpectedTokenTime(c pipeline.Chain) time.Duration {
 	var total float64
 	for _, s := range c.Stages {
@@ -212,8 +214,10 @@
 	return time.Duration(total)
 }
 
-// view returns the current view of a model and renews it when it is too old.
-// While one caller renews it, the others use the one before.
+// view returns the view of a model and rebuilds it when it is too old. While one
+// caller rebuilds it, the others use the previous one. They wait for the new one
+// only when the previous one is missing or was built for another definition of the
+// model.
 func (p *Planner) view(id fleet.ModelID) (*view, error) {
 	model, ok := p.lookupModel(id)
 	if !ok {
--- a/internal/pipeline/planner/planner_test.go
+++ b/internal/pipeline/planner/planner_test.go
@@ -22,7 +22,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// TestMain fixes the seed of rapid, so that every run has the same verdict.
+// TestMain sets a constant seed for rapid, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -31,7 +31,8 @@
 	os.Exit(m.Run())
 }
 
-// testFleet is a roster, speeds and a model for tests.
+// testFleet implements upstream.Roster and pipeline.SpeedEstimator for the engines
+// of one model.
 type testFleet struct {
 	model   document.Model
 	engines []upstream.Upstream
@@ -74,7 +75,8 @@
 	return planner.New(f, models, f, f.clock, append([]planner.Option{planner.WithCounts(&f.counts), planner.WithRandIntN(r.IntN)}, options...)...)
 }
 
-// bestCost tries all chains over layers [from, to).
+// bestCost returns the cost of the best chain over layers [from, to) by exhaustive
+// search.
 func (f *testFleet) bestCost(from, to int) (time.Duration, bool) {
 	if from == to {
 		return 0, true
@@ -112,8 +114,8 @@
 	}
 }
 
-// TestBestChain guards against a chain that skips or repeats a layer, or is
-// slower than the best of all chains.
+// TestBestChain guards against a chain that skips or repeats a layer or that is
+// slower than the optimal chain.
 func TestBestChain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 6).Draw(t, "layers")
@@ -144,8 +146,8 @@
 	})
 }
 
-// newMixedFleet returns a fleet of n engines on 5 kinds of accelerators with links that
-// differ by a factor of 100, in ranges of 8 to 20 of 40 layers.
+// newMixedFleet returns a fleet of n engines on 5 kinds of accelerators with links
+// that differ by a factor of 100. Each holds 8 to 20 of the 40 layers.
 func newMixedFleet(n int) *testFleet {
 	const layers = 40
 	r := rand.New(rand.NewPCG(7, uint64(n)))
@@ -160,9 +162,9 @@
 	return f
 }
 
-// TestLargeFleet guards against a choice by classes that is far from the best
-// chain. The bound is the best chain without load; engines of a class differ by
-// less than a factor of two.
+// TestLargeFleet guards against plans by classes that are far from the optimal
+// chain. The lower bound is the optimal chain without load. Engines of a class
+// differ by less than a factor of two, so the plan must too.
 func TestLargeFleet(t *testing.T) {
 	for _, n := range []int{43, 1200, 12000} {
 		is := is.New(t)
@@ -182,7 +184,8 @@
 	}
 }
 
-// lowerBound is the best chain without load, engine by engine and layer by layer.
+// lowerBound returns the cost of the optimal chain without load, computed over all
+// engines and layers without classes.
 func lowerBound(f *testFleet) (time.Duration, bool) {
 	layers := int(f.model.Layers)
 	const none = time.Duration(1 << 62)
@@ -201,7 +204,7 @@
 	return best[layers], best[layers] < none
 }
 
-// TestSpread guards against equal engines of which one gets most of the work.
+// TestSpread guards against an uneven distribution of work over equal engines.
 func TestSpread(t *testing.T) {
 	for _, n := range []int{8, 400} {
 		is := is.New(t)
@@ -217,7 +220,8 @@
 				f.counts.Add(s.Upstream.ID, 1)
 			}
 		}
-		// 20 sequences are the mean. Two choices among 200 stay close to it.
+		// The mean is 20 sequences. The better of two random choices among the 200
+		// engines of a range stays close to it.
 		for _, u := range f.engines {
 			count := f.counts.Counter(u.ID).Load()
 			is.True(count >= 14 && count <= 26)
@@ -225,8 +229,8 @@
 	}
 }
 
-// TestTies guards against instances that all take the same one of equal idle
-// engines, because none of them sees the sequences of the others.
+// TestTies guards against instances that all choose the same one of equal idle
+// engines, because no instance knows the sequences of the others.
 func TestTies(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(2)
@@ -243,8 +247,8 @@
 	is.Equal(len(taken), 4)
 }
 
-// TestReplace guards against a replanning that moves sound stages, and against
-// another version in the chain.
+// TestReplace guards against a replacement that moves healthy stages or that mixes
+// versions in a chain.
 func TestReplace(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6)
@@ -264,7 +268,7 @@
 	is.Equal(next.Stages[1].Layers, c.Stages[1].Layers)
 	is.Equal(next.Stages[2], c.Stages[2])
 
-	// With many positions to run, the engine that runs a prompt faster wins,
+	// With many positions to compute, the engine with the faster prefill is chosen,
 	// although it is slower for one token.
 	quick := f.add(2, 4, 0, 9*time.Millisecond)
 	f.speeds["e3"] = pipeline.Speed{Layer: 3 * time.Millisecond, Position: time.Millisecond}
@@ -275,7 +279,7 @@
 	f.engines = f.engines[:4]
 	f.clock.Advance(planner.DefaultRefreshInterval)
 
-	// A second loss leaves layers without a holder, until an engine joins.
+	// After a second failure, layers have no holder until an engine joins.
 	_, err = p.Replace(next, []fleet.UpstreamID{"e1", "e3"}, 1)
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
 	f.add(2, 3, 0, time.Millisecond)
@@ -286,7 +290,7 @@
 	checkChain(t, again, 6)
 	is.Equal(len(again.Stages), 4)
 
-	// The same engines with another version are of no use for the chain.
+	// Engines of another version cannot replace a stage of the chain.
 	for i := range f.engines {
 		f.engines[i].Version = "2"
 	}
@@ -295,8 +299,8 @@
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
 }
 
-// TestVersions guards against a chain of mixed versions, and against a version
-// that is not in force while the one in force covers all layers.
+// TestVersions guards against a chain of mixed versions and against the use of an
+// inactive version while the active one covers all layers.
 func TestVersions(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(4)
@@ -318,8 +322,8 @@
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
 }
 
-// TestSuspects guards against new work for an engine that just did not answer, and
-// against a refusal when only suspects hold some layers.
+// TestSuspects guards against new work for an engine that recently did not respond,
+// and against a refusal when only suspects hold some layers.
 func TestSuspects(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(2)
@@ -340,8 +344,8 @@
 	is.Equal(first(), fleet.UpstreamID("e0"))
 }
 
-// TestDegraded guards against plans that go on with an engine that became slow,
-// and against a replanning of another stage that moves it.
+// TestDegraded guards against plans that keep using an engine that became slow, and
+// against its replacement when only another stage is replaced.
 func TestDegraded(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(4)
@@ -363,8 +367,7 @@
 	is.Equal(next.Stages[0], before.Stages[0])
 }
 
-// BenchmarkPlan measures a plan on a current view. BenchmarkView measures the
-// renewal of the view, which happens four times a second at most.
+// BenchmarkPlan measures a plan on a current view.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{43, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -381,6 +384,8 @@
 	}
 }
 
+// BenchmarkView measures the rebuilding of a view, which happens at most four times
+// a second, and a plan on it.
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{43, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/pipeline/planner/view.go
+++ b/internal/pipeline/planner/view.go
@@ -14,44 +14,48 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// maxExactEngines is the number of engines of a group up to which each engine is a
-// class of its own.
+// maxExactEngines is the largest group in which each engine forms a class of its
+// own, so that the plan is optimal.
 const maxExactEngines = 64
 
-// view is what the planner knows of the engines of one model. It is not changed
-// after it was built, apart from the counters.
+// view is a snapshot of the engines of one model. It is immutable apart from the
+// counters of sequences.
 type view struct {
 	builtAt       time.Time
-	buildDuration time.Duration // time to build it
+	buildDuration time.Duration
 	model         document.Model
 	layers        fleet.Layer
-	// groups are the engines by version and adapter. The one in force is first;
-	// another one serves only while that one does not cover all layers.
+	// groups are the engines by version and adapter. The group of the active
+	// version comes first. Others are used only while it does not cover all layers.
 	groups []group
 }
 
+// group is the engines of one version and adapter.
 type group struct {
 	version, adapter string
-	// boundaries are the layers at which a range of an engine starts or ends.
-	// The best cuts are among them, because the cost of a stage is linear in its
-	// number of layers.
+	// boundaries are the layers at which the range of an engine starts or ends.
+	// The optimal cuts are among them, because the cost of a stage is linear in
+	// its number of layers.
 	boundaries []fleet.Layer
-	// classes are in the order of their layers, and then of their times.
+	// classes are sorted by their layers and then by their times.
 	classes []class
 }
 
-// class is engines with the same layers and similar speeds. No engine of it has
-// a lower cost than fixed, layer and position.
+// class is a set of engines with the same layers and similar speeds. Its fixed,
+// layer and position costs, in nanoseconds, are lower bounds of those of its
+// engines.
 type class struct {
 	layers       upstream.LayerRange
 	fixed, layer float64
 	position     float64
-	// engines and costs are in the same order. A draw only touches the costs.
+	// engines and costs have the same order. They are separate slices because
+	// picking an engine reads only the costs.
 	engines []upstream.Upstream
 	costs   []cost
 }
 
-// minStepTime is the lowest time of a step of one position over all layers.
+// minStepTime returns the lower bound of the time of a step of one position over
+// all layers of the class.
 func (c class) minStepTime() float64 { return c.fixed + c.layer*float64(c.layers.Len()) }
 
 // candidate is one engine with its cost.
@@ -66,7 +70,7 @@
 	layer    float64 // nanoseconds
 	position float64 // nanoseconds
 	slots    float64
-	// otherLoad is the reported load without the part of this instance.
+	// otherLoad is the reported load without the sequences of this instance.
 	otherLoad float64
 	inFlight  *atomic.Int64
 }
@@ -82,9 +86,10 @@
 	return m
 }
 
-// estimate returns the fixed time and the time of each layer for a number of
-// positions at the present load. A batch takes longer with each sequence in it,
-// and sequences beyond the batch limit wait for another batch.
+// estimate returns the fixed time and the time per layer of a step, in
+// nanoseconds, for a number of positions at the current load. A batch takes longer
+// with each sequence in it, and sequences beyond the batch limit wait for another
+// batch.
 func (m *cost) estimate(positions int) (fixed, layer float64) {
 	load := (m.otherLoad + float64(max(m.inFlight.Load(), 0))) / m.slots
 	return m.fixed, (m.layer + float64(positions-1)*m.position) * (1 + load)
@@ -120,7 +125,7 @@
 	return 0
 }
 
-// builtFor tells whether the view was built for a model as it is now.
+// builtFor tells whether the view was built from the given definition of the model.
 func (v *view) builtFor(m document.Model) bool { return v.model == m }
 
 func (v *view) group(version, adapter string) *group {
@@ -159,8 +164,8 @@
 		c.fixed, c.layer = min(c.fixed, m.fixed), min(c.layer, m.layer)
 		c.position = min(c.position, m.position)
 	}
-	// The fastest class of some layers comes first, so that a plan can leave out
-	// most of the others.
+	// Of classes with the same layers the fastest comes first, so that a plan can
+	// skip most of the others.
 	slices.SortStableFunc(g.classes, func(a, b class) int {
 		return cmp.Or(
 			cmp.Compare(a.layers.From, b.layers.From), cmp.Compare(a.layers.To, b.layers.To),
@@ -171,8 +176,8 @@
 	return g
 }
 
-// classKey is what the engines of a class have in common: layers, and speeds
-// within a factor of two.
+// classKey identifies a class: its engines have the same layers, and speeds within
+// a factor of two. The id is set only when each engine forms a class of its own.
 type classKey struct {
 	layers       upstream.LayerRange
 	fixed, layer int
@@ -183,6 +188,7 @@
 	return classKey{layers: m.upstream.Layers, fixed: log2Bucket(m.fixed), layer: log2Bucket(m.layer)}
 }
 
+// log2Bucket returns the power of two at or below a time as its exponent.
 func log2Bucket(nanoseconds float64) int {
 	return int(math.Floor(math.Log2(max(nanoseconds, 1))))
 }
--- a/internal/pipeline/repair/balance.go
+++ b/internal/pipeline/repair/balance.go
@@ -9,12 +9,13 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// loadState tells since when the load of a role has been above High or below Low.
+// loadState holds the times since which the load of a role has been above HighLoad
+// and below LowLoad, or zero.
 type loadState struct {
 	highSince, lowSince time.Time
 }
 
-// roleLoad is the load of all engines of a role.
+// roleLoad is the load of all engines of a role, in sequences per slot.
 type roleLoad struct {
 	role    role
 	engines int
@@ -23,8 +24,8 @@
 
 func (t roleLoad) mean() float64 { return t.load / float64(max(t.engines, 1)) }
 
-// balance moves one engine from a role with little load to one that is short,
-// when both have been so for the time Hold.
+// balance moves one engine from a role with low load to an overloaded one, when both
+// have been so for the StabilizationWindow.
 func (c *Controller) balance(now time.Time, cov *coverage, roleLoads []roleLoad) (Effect, bool) {
 	overloaded, ok := c.overloadedRole(now, roleLoads)
 	if !ok {
@@ -32,7 +33,7 @@
 	}
 	for _, t := range roleLoads {
 		state := c.loads[t.role]
-		// The engines that stay take over the load of the one that goes.
+		// The remaining engines take over the load of the one that leaves.
 		loadAfter := t.load / float64(max(t.engines-1, 1))
 		if c.roleCooldownUntil[t.role].After(now) || state.lowSince.IsZero() || now.Sub(state.lowSince) < c.settings.StabilizationWindow || loadAfter >= c.settings.HighLoad/2 {
 			continue
@@ -55,8 +56,8 @@
 	return Effect{}, false
 }
 
-// overloadedRole returns the role with the highest load that has been above High for the
-// time Hold.
+// overloadedRole returns the role with the highest load of those whose load has been
+// above HighLoad for the StabilizationWindow.
 func (c *Controller) overloadedRole(now time.Time, roleLoads []roleLoad) (roleLoad, bool) {
 	for i := len(roleLoads) - 1; i >= 0; i-- {
 		r := roleLoads[i].role
@@ -68,8 +69,8 @@
 	return roleLoad{}, false
 }
 
-// measureLoads sums the loads of the roles in force, the lowest first, and notes since
-// when they have been high or low.
+// measureLoads returns the loads of the roles of active versions in ascending order,
+// and records since when they have been high or low.
 func (c *Controller) measureLoads(now time.Time, cov *coverage) []roleLoad {
 	byRole := make(map[role]*roleLoad)
 	for _, u := range cov.engines {
@@ -106,7 +107,7 @@
 	return ok && u.Version == m.Version && u.Adapter == m.Adapter
 }
 
-// conditionSince returns the time from which on a condition has held, or zero.
+// conditionSince returns the time since which a condition has held, or zero.
 func conditionSince(previous time.Time, holds bool, now time.Time) time.Time {
 	if !holds {
 		return time.Time{}
--- a/internal/pipeline/repair/census.go
+++ b/internal/pipeline/repair/census.go
@@ -12,9 +12,9 @@
 // coverage counts the holders of each layer.
 type coverage struct {
 	models  []document.Model
-	engines []upstream.Upstream // without those that wait for a role, by id
-	// serving counts the engines that hold a layer and stay. Coming counts those
-	// that were told to load it.
+	engines []upstream.Upstream // without those with a pending command, sorted by id
+	// serving counts the engines that hold a layer and have no pending command.
+	// Loading counts those that were told to load it.
 	serving map[layerKey]int
 	loading map[layerKey]int
 }
@@ -43,17 +43,17 @@
 	}
 }
 
-// move takes an engine out of its role and counts it as coming for another.
+// move removes an engine from its role and counts it as loading another.
 func (c *coverage) move(u upstream.Upstream, target role) {
 	c.count(c.serving, roleOf(u), -1)
 	c.count(c.loading, target, 1)
 	c.engines = slices.DeleteFunc(c.engines, func(x upstream.Upstream) bool { return x.ID == u.ID })
 }
 
-// holders returns the engines that hold a layer or will hold it.
+// holders returns the number of engines that hold a layer or are loading it.
 func (c *coverage) holders(k layerKey) int { return c.serving[k] + c.loading[k] }
 
-// model returns the model of an engine, if the document has it.
+// model returns a model, if the configuration document contains it.
 func (c *coverage) model(id fleet.ModelID) (document.Model, bool) {
 	for _, m := range c.models {
 		if m.ID == id {
@@ -63,8 +63,8 @@
 	return document.Model{}, false
 }
 
-// covered tells whether each layer of the version in force has an engine that
-// serves it.
+// covered tells whether each layer of the active version has an engine that serves
+// it.
 func (c *coverage) covered(m document.Model) bool {
 	for l := fleet.Layer(0); l < m.Layers; l++ {
 		if c.serving[layerKeyOf(m, l)] <= 0 {
@@ -74,10 +74,10 @@
 	return true
 }
 
-// canLeave tells whether an engine may leave its role so that each of its layers
-// keeps at least floor holders that serve it. The last holder of a layer stays
-// while the layer is of use: layers of another version are so until the version
-// in force is covered.
+// canLeave tells whether an engine may leave its role, so that each of its layers
+// keeps at least minRemaining holders that serve it. The last holder of a layer has
+// to stay while the layer is needed. Layers of another version are needed until the
+// active version is covered.
 func (c *coverage) canLeave(u upstream.Upstream, minRemaining int) bool {
 	m, ok := c.model(u.Model)
 	if !ok {
--- a/internal/pipeline/repair/cover.go
+++ b/internal/pipeline/repair/cover.go
@@ -9,11 +9,12 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// noHolderPriority is the value of a layer without a holder. It is more than all layers
-// of a model with some holders have together.
+// noHolderPriority is the priority of a layer without a holder. It is higher than the
+// sum over all other layers of a model, whose priorities are below 1 each.
 const noHolderPriority = 1000
 
-// updateLackingSince notes since when layers lack holders.
+// updateLackingSince records since when layers have had fewer holders than
+// MinHolders.
 func (c *Controller) updateLackingSince(now time.Time, cov *coverage) {
 	lacking := make(map[layerKey]time.Time)
 	for _, m := range cov.models {
@@ -31,7 +32,8 @@
 	c.lackingSince = lacking
 }
 
-// priority is what another holder of a layer is worth.
+// priority returns the priority of loading another holder of a layer. It is zero
+// when the layer has enough holders or has lacked them for less than GracePeriod.
 func (c *Controller) priority(now time.Time, cov *coverage, m document.Model, l fleet.Layer) float64 {
 	k := layerKeyOf(m, l)
 	since, lacking := c.lackingSince[k]
@@ -46,19 +48,19 @@
 	}
 }
 
-// candidate is a possible move.
+// candidate is a possible move of an engine to a role.
 type candidate struct {
 	engine   upstream.Upstream
 	target   role
 	priority float64
 	bytes    int64
-	// unneeded tells that the engine serves nothing that is of use.
+	// unneeded tells that none of the layers that the engine serves is needed.
 	unneeded  bool
 	load      float64
 	knownRole bool // the target is the role of another engine
 }
 
-// cover returns the most valuable load for layers that lack holders.
+// cover returns the command with the highest priority for layers that lack holders.
 func (c *Controller) cover(now time.Time, cov *coverage) (Effect, bool) {
 	var best candidate
 	knownRoles := make(map[role]bool, len(cov.engines))
@@ -113,8 +115,8 @@
 	return c.assign(now, cov, best.engine, r, reason), true
 }
 
-// excluded tells whether an engine is passed over. After a move it may still cover
-// layers that have no holder.
+// excluded tells whether an engine is not to be moved. During the cooldown after a
+// move it may still cover layers without a holder, which the total priority shows.
 func (c *Controller) excluded(now time.Time, id fleet.UpstreamID, totalPriority float64) bool {
 	if c.failedUntil[id].After(now) {
 		return true
@@ -122,9 +124,9 @@
 	return c.cooldownUntil[id].After(now) && totalPriority < noHolderPriority
 }
 
-// bestRange returns the range of a number of layers with the highest value. Of
-// equal ranges one that other engines hold is better, because chains with equal
-// stages can replace each other's.
+// bestRange returns the range of size layers with the highest total priority. Of
+// equal ranges it prefers one that other engines hold, because engines with equal
+// ranges can replace each other in a chain.
 func bestRange(m document.Model, size int, prefixSums []float64, knownRoles map[role]bool) candidate {
 	var best candidate
 	for from := 0; size > 0 && from+size <= int(m.Layers); from++ {
@@ -138,8 +140,8 @@
 	return best
 }
 
-// better orders moves: value, then engines that serve nothing, then bytes, then
-// load.
+// better orders moves by higher priority, then engines whose layers are not needed,
+// then fewer bytes to load, then lower load of the engine.
 func (t candidate) better(o candidate) bool {
 	switch {
 	case t.priority != o.priority:
@@ -153,7 +155,7 @@
 	}
 }
 
-// loadOf is the reported number of sequences for each slot.
+// loadOf returns the reported number of sequences per slot.
 func loadOf(u upstream.Upstream) float64 {
 	return float64(u.Load.Running+u.Load.Waiting) / float64(max(u.Slots, 1))
 }
--- a/internal/pipeline/repair/loop.go
+++ b/internal/pipeline/repair/loop.go
@@ -15,19 +15,19 @@
 // TickInterval is the time between two ticks.
 const TickInterval = time.Second
 
-// Loop runs a Controller.
+// Loop runs a Controller and sends its commands.
 type Loop struct {
 	Controller *Controller
 	Roster     upstream.Roster
-	// Models returns the models of the configuration in force.
+	// Models returns the models of the active configuration.
 	Models    func() []document.Model
 	Commander pipeline.Commander
 	Clock     fleet.Clock
 	Logger    *zap.Logger
 }
 
-// Run ticks until ctx ends. Only one instance of a data centre should run it; the
-// Commander refuses the commands of any other.
+// Run calls RunOnce every TickInterval until ctx ends. Only one instance of a data
+// centre should run it. The Commander rejects the commands of all others.
 func (l *Loop) Run(ctx context.Context) {
 	for {
 		select {
--- a/internal/pipeline/repair/repair.go
+++ b/internal/pipeline/repair/repair.go
@@ -1,24 +1,26 @@
-// Package repair restores the coverage of layers when too few engines hold them,
-// and moves engines to roles that are short under load.
+// Package repair restores the coverage of layers that too few engines hold, and
+// moves engines to overloaded roles.
 //
-// Controller is pure: Tick takes what is known of the fleet and returns commands.
-// Loop runs it every second against a roster and a Commander.
+// Controller does no I/O: Tick takes the state of the fleet and returns commands.
+// Loop runs it every second with a roster and a Commander.
 //
 //	c := repair.NewController(repair.Settings{LayerBytes: 2 << 30, BytesPerSecond: 1 << 30})
 //	for _, e := range c.Tick(repair.Input{Now: now, Models: models, Engines: engines}) {
 //		err := commander.Send(ctx, e.Upstream, e.Command)
 //	}
 //
-// The rules, in this order:
+// The rules, in order of precedence:
 //
-//   - An engine never leaves layers of which it is the last holder. It counts as
-//     gone from its old role as soon as it was told to load another one.
-//   - Layers without a holder come first, then those with the smallest share of
-//     their holders. Of equal moves the one with fewer bytes to load comes first.
-//   - Loads take turns, so that they stay within the rate of the weight store.
-//   - A role is short when its load is above High, and another one can give an
-//     engine when its load is below Low, both for the time Hold. The engine and
-//     both roles then stay as they are for the time Cooldown.
+//   - An engine never leaves layers of which it is the last holder. It no longer
+//     counts as a holder of its old layers once it was told to load others.
+//   - Layers without a holder come first, then those with the smallest fraction of
+//     their required holders. Of equal moves the one with fewer bytes to load comes
+//     first.
+//   - Weights are loaded by one engine at a time, to stay within the rate of the
+//     weight store.
+//   - A role is overloaded when its load is above HighLoad, and another role can give
+//     up an engine when its load is below LowLoad, both for the StabilizationWindow.
+//     The engine and both roles are then left unchanged for the Cooldown.
 package repair
 
 import (
@@ -30,20 +32,20 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// Settings are the limits of a Controller. The zero value of a field stands for
-// its default.
+// Settings configures a Controller. A zero field stands for its default.
 type Settings struct {
 	// Instance makes the ids of commands unique.
 	Instance fleet.InstanceID
-	// LayerBytes is the size of the weights of one layer, and BytesPerSecond the
-	// rate of the weight store. A rate of zero means no limit.
+	// LayerBytes is the size of the weights of one layer. BytesPerSecond is the
+	// rate of the weight store; zero means no limit.
 	LayerBytes     int64
 	BytesPerSecond int64
-	// GracePeriod is the time that a lack of holders lasts before a load begins, so
-	// that a restarted engine can come back with its old role.
+	// GracePeriod is the time for which a layer has to lack holders before its
+	// weights are loaded on another engine, so that a restarted engine can return
+	// to its old role.
 	GracePeriod time.Duration
-	// StabilizationWindow, Cooldown, High and Low bound moves because of load. Loads are
-	// sequences for each slot.
+	// StabilizationWindow, Cooldown, HighLoad and LowLoad limit the moves between
+	// roles because of load. Loads are in sequences per slot.
 	StabilizationWindow time.Duration
 	Cooldown            time.Duration
 	HighLoad            float64
@@ -60,18 +62,19 @@
 )
 
 const (
-	// commandTimeoutFactor is the ratio of the time after which a load is given up to
-	// its expected time.
+	// commandTimeoutFactor is the ratio of the timeout of a command to the expected
+	// time of loading the weights.
 	commandTimeoutFactor = 3
-	// commandTimeoutMargin is added to it for the announcement of the new role.
+	// commandTimeoutMargin is added to the timeout for the announcement of the new
+	// role.
 	commandTimeoutMargin = 10 * time.Second
 )
 
-// Input is what is known of the fleet.
+// Input is the state of the fleet.
 type Input struct {
 	Now    time.Time
 	Models []document.Model
-	// Engines are the engines that may get new work.
+	// Engines are the engines that accept new work.
 	Engines []upstream.Upstream
 }
 
@@ -79,33 +82,36 @@
 type Effect struct {
 	Upstream upstream.Upstream
 	Command  upstream.Command
-	// Reason says why the command is sent.
+	// Reason tells operators why the command is sent.
 	Reason string
 }
 
-// Controller decides on loads and role changes. It is used by one goroutine.
+// Controller decides which engines load weights or change roles. It is not safe for
+// concurrent use.
 type Controller struct {
 	settings       Settings
 	issuedCommands uint64
-	// pending are the commands whose role was not announced yet.
+	// pending are the commands whose target role has not been announced yet.
 	pending map[fleet.UpstreamID]pendingCommand
-	// cooldownUntil are engines that are not moved again until a time, except to layers
-	// without a holder. Failed are engines that are not moved at all until then.
+	// cooldownUntil holds the times until which engines are moved only to layers
+	// without a holder, and failedUntil those until which they are not moved at all.
 	cooldownUntil map[fleet.UpstreamID]time.Time
 	failedUntil   map[fleet.UpstreamID]time.Time
-	// localWeights are the roles that an engine has announced: their weights are on it.
+	// localWeights holds the roles that an engine has announced. Their weights are on
+	// the engine.
 	localWeights map[fleet.UpstreamID]localWeights
-	// storeBusyUntil is when the weight store is expected to be done with all loads.
+	// storeBusyUntil is the time when the weight store is expected to have delivered
+	// all weights.
 	storeBusyUntil time.Time
-	// lackingSince tells how long a layer has lacked holders.
+	// lackingSince holds the times since which layers have lacked holders.
 	lackingSince map[layerKey]time.Time
-	// loads are the load states of roles, and moved the times until which roles
-	// neither give nor get engines because of load.
+	// loads holds the load states of roles, and roleCooldownUntil the times until
+	// which roles neither give nor get engines because of load.
 	loads             map[role]loadState
 	roleCooldownUntil map[role]time.Time
 }
 
-// role is what an engine runs.
+// role is the model, version, adapter and layers that an engine runs.
 type role struct {
 	model            fleet.ModelID
 	version, adapter string
@@ -128,7 +134,7 @@
 	roles       map[role]bool
 }
 
-// NewController returns a Controller with the given limits.
+// NewController returns a Controller with the given settings.
 func NewController(s Settings) *Controller {
 	return &Controller{
 		settings:          s.withDefaults(),
@@ -143,7 +149,7 @@
 }
 
 // Tick returns the commands that are due. Engines that do not announce their new
-// role in time are passed over for the time Cooldown.
+// role in time are excluded for the Cooldown.
 func (c *Controller) Tick(in Input) []Effect {
 	c.observe(in)
 	cov := newCoverage(in, c.pending)
@@ -163,16 +169,17 @@
 	return effects
 }
 
-// MarkFailed tells that a command was not accepted. Its engine is passed over for the
-// time Cooldown.
+// MarkFailed records that an engine did not accept its command or did not carry it
+// out in time. The engine is excluded for the Cooldown.
 func (c *Controller) MarkFailed(id fleet.UpstreamID, now time.Time) {
 	delete(c.pending, id)
-	// The engine may have lost weights that it announced before.
+	// The engine may no longer have the weights that it announced before.
 	delete(c.localWeights, id)
 	c.failedUntil[id] = now.Add(c.settings.Cooldown)
 }
 
-// observe takes note of announced roles and drops what is over.
+// observe records announced roles and removes expired entries and the entries of
+// engines that have left.
 func (c *Controller) observe(in Input) {
 	present := make(map[fleet.UpstreamID]bool, len(in.Engines))
 	for _, u := range in.Engines {
@@ -203,7 +210,7 @@
 	expire(c.roleCooldownUntil, in.Now)
 }
 
-// expire drops the entries whose time is over.
+// expire deletes the entries whose time has come.
 func expire[K comparable](until map[K]time.Time, now time.Time) {
 	for k, t := range until {
 		if !t.After(now) {
@@ -212,10 +219,10 @@
 	}
 }
 
-// storeIdle tells whether another load may begin.
+// storeIdle tells whether another engine may begin to load weights.
 func (c *Controller) storeIdle(now time.Time) bool { return !c.storeBusyUntil.After(now) }
 
-// assign returns the command that gives an engine a role.
+// assign records that an engine gets a role and returns the command for it.
 func (c *Controller) assign(now time.Time, cov *coverage, u upstream.Upstream, target role, reason string) Effect {
 	kind := upstream.LoadModel
 	loadTime := time.Duration(0)
--- a/internal/pipeline/repair/repair_test.go
+++ b/internal/pipeline/repair/repair_test.go
@@ -26,22 +26,23 @@
 	cooldown     = 10 * time.Minute
 )
 
-// simulation is a fleet of engines that follow commands, and a weight store. It
-// implements upstream.Roster and pipeline.Commander.
+// simulation simulates a fleet of engines that execute commands, and a weight store.
+// It implements upstream.Roster and pipeline.Commander.
 type simulation struct {
 	t       testing.TB
 	clock   *fakeclock.Clock
 	model   document.Model
 	engines map[fleet.UpstreamID]*upstream.Upstream
 	loading map[fleet.UpstreamID]load
-	// storeBusyUntil is when the weight store is done.
+	// storeBusyUntil is the time when the weight store has delivered all weights.
 	storeBusyUntil time.Time
 	rate           int64
 	refusing       map[fleet.UpstreamID]bool
 	log            strings.Builder
 	moves          int
 	loop           *repair.Loop
-	// loadAt gives the load of a range of layers at a time.
+	// loadAt returns the running sequences of an engine with a range of layers at a
+	// time since the start.
 	loadAt func(upstream.LayerRange, time.Duration) float64
 }
 
@@ -86,7 +87,7 @@
 	return upstream.Upstream{}, false
 }
 
-// Send starts a load, and fails the test when the weight store is still busy.
+// Send starts to load weights. It fails the test when the weight store is still busy.
 func (w *simulation) Send(_ context.Context, u upstream.Upstream, c upstream.Command) error {
 	now := w.clock.Now()
 	fmt.Fprintf(&w.log, "%4.0fs %s %s %s %d:%d\n", now.Sub(fakeclock.Start).Seconds(), c.Kind, u.ID, c.Version, c.Layers.From, c.Layers.To)
@@ -97,7 +98,7 @@
 	done := now
 	if c.Kind == upstream.LoadModel && w.rate > 0 {
 		if w.storeBusyUntil.After(now) {
-			w.t.Fatalf("load begins while the weight store is busy:\n%s", w.log.String())
+			w.t.Fatalf("engine starts loading while the weight store is busy:\n%s", w.log.String())
 		}
 		done = now.Add(time.Duration(c.Layers.Len()*layerSeconds) * time.Second)
 		w.storeBusyUntil = done
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// advanceSecond runs one second. A load that is done must not take away the last holder
-// of a layer.
+// advanceSecond advances the simulation by one second. It fails the test when a
+// completed command removes the last holder of a layer.
 func (w *simulation) advanceSecond() {
 	w.clock.Advance(time.Second)
 	for id, l := range w.loading {
@@ -120,7 +121,7 @@
 		u.Version, u.Layers = l.command.Version, l.command.Layers
 		for i, n := range w.holders() {
 			if n == 0 && before[i] > 0 {
-				w.t.Fatalf("layer %d lost its last holder to a command:\n%s", i, w.log.String())
+				w.t.Fatalf("command removed the last holder of layer %d:\n%s", i, w.log.String())
 			}
 		}
 	}
@@ -132,8 +133,8 @@
 	w.loop.RunOnce(context.Background())
 }
 
-// holders counts the engines that hold each layer, of the version that covers
-// more of the layers.
+// holders returns the number of holders of each layer, for the version that covers
+// more layers.
 func (w *simulation) holders() []int {
 	counts := make(map[string][]int)
 	best := make([]int, w.model.Layers)
@@ -156,9 +157,9 @@
 	return best
 }
 
-// TestScripts runs the losses of testdata. It guards against a layer that stays
-// without a holder, loads beyond the rate of the weight store, and a command that
-// takes away the last holder of a layer.
+// TestScripts runs the engine failures of testdata. It guards against a layer that
+// remains without a holder, against loading beyond the rate of the weight store, and
+// against a command that removes the last holder of a layer.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var w *simulation
@@ -201,8 +202,8 @@
 	})
 }
 
-// TestOscillatingLoad guards against engines that are moved to and fro when the load
-// swings between two ranges of layers.
+// TestOscillatingLoad guards against engines that are moved back and forth when the
+// load oscillates between two ranges of layers.
 func TestOscillatingLoad(t *testing.T) {
 	const hours = 2
 	for _, c := range []struct {
@@ -211,7 +212,7 @@
 	}{
 		{20 * time.Second, 0},
 		{100 * time.Second, 0},
-		// A slow swing is followed, but not faster than the cooldown.
+		// Engines follow a slow oscillation, but move at most once per cooldown.
 		{10 * time.Minute, int(hours * time.Hour / cooldown)},
 	} {
 		w := newSimulation(t, 8, 2, 1)
@@ -233,8 +234,8 @@
 	}
 }
 
-// TestOverloadedRole guards against a role that stays short although another one has
-// engines to spare.
+// TestOverloadedRole guards against a role that stays overloaded although another one
+// has enough engines to give some up.
 func TestOverloadedRole(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(t, 8, 2, 1)
@@ -251,6 +252,6 @@
 		w.advanceSecond()
 	}
 	holders := w.holders()
-	is.True(holders[0] > 4)  // engines moved to the short role
-	is.True(holders[7] >= 2) // the other one keeps its holders
+	is.True(holders[0] > 4)  // engines moved to the overloaded role
+	is.True(holders[7] >= 2) // the other one keeps its required holders
 }
--- a/internal/pipeline/speeds/speeds.go
+++ b/internal/pipeline/speeds/speeds.go
@@ -1,7 +1,8 @@
-// Package speeds learns the times of engines from the steps that ran on them.
+// Package speeds estimates the speed of engines from the measured times of the
+// steps that ran on them.
 //
 //	s := speeds.New(initial)
-//	s.Observe(id, 4, 1, elapsed) // a step of 4 layers and 1 position
+//	s.Observe(u, 4, 1, elapsed) // a step of 4 layers and 1 position
 //	speed := s.Speed(u)
 package speeds
 
@@ -14,19 +15,21 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// ewmaWeight is the share of a new observation in the average.
+// ewmaWeight is the weight of a new observation in the moving average.
 const ewmaWeight = 0.2
 
-// Estimator implements pipeline.Speeds. An engine that was never used has the
-// speed of its accelerator, or else the initial one.
+// Estimator implements pipeline.Speeds. An engine without observations
+// has the speed of its kind of accelerator or else the initial speed.
 type Estimator struct {
 	initial      pipeline.Speed
 	accelerators map[string]pipeline.Speed
 	corrections  board.Shards[fleet.UpstreamID, correction]
 }
 
-// correction are the ratios of observed to expected times of one engine: for steps
-// of one position, and for the further positions of longer ones.
+// correction holds the observations of one engine: the ratios of observed to
+// expected times for steps of one position (decode) and for the additional
+// positions of longer steps (prefill), and the throughput of its link in bytes per
+// second, which is zero until it is observed.
 type correction struct {
 	decode, prefill, linkRate float64
 }
@@ -34,12 +37,13 @@
 // Option changes a Learned.
 type Option func(*Estimator)
 
-// WithAccelerator sets the first speed of engines on a kind of accelerator.
+// WithAccelerator sets the initial speed of engines on a kind of accelerator.
 func WithAccelerator(name string, s pipeline.Speed) Option {
 	return func(l *Estimator) { l.accelerators[name] = s }
 }
 
-// New returns a Learned with the speed of engines of which nothing is known.
+// New returns an Estimator. Initial is the speed of engines whose kind of
+// accelerator has no speed of its own.
 func New(initial pipeline.Speed, options ...Option) *Estimator {
 	l := &Estimator{initial: initial, accelerators: make(map[string]pipeline.Speed)}
 	for _, o := range options {
@@ -64,7 +68,7 @@
 	return s
 }
 
-// Observe learns from a step of an engine.
+// Observe records the time of a step on an engine.
 func (l *Estimator) Observe(u upstream.Upstream, layers, positions int, elapsed time.Duration) {
 	s := l.initialSpeed(u.Accelerator)
 	expectedDecode := s.Fixed + time.Duration(layers)*s.Layer
@@ -84,7 +88,7 @@
 	})
 }
 
-// ObserveTransfer learns the rate of a link from the transfer of bytes.
+// ObserveTransfer records a transfer over the link of an engine.
 func (l *Estimator) ObserveTransfer(u upstream.Upstream, bytes int, elapsed time.Duration) {
 	if elapsed <= 0 || bytes <= 0 {
 		return
@@ -102,7 +106,7 @@
 	})
 }
 
-// Forget drops what was learned of an upstream that is gone.
+// Forget deletes the observations of an upstream that has left.
 func (l *Estimator) Forget(id fleet.UpstreamID) { l.corrections.Delete(id) }
 
 func (l *Estimator) initialSpeed(accelerator string) pipeline.Speed {
--- a/internal/pipeline/speeds/speeds_test.go
+++ b/internal/pipeline/speeds/speeds_test.go
@@ -11,8 +11,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// TestLearned guards against an estimate that does not follow an engine that
-// becomes slower, or that follows one slow step at once.
+// TestEstimator guards against an estimate that does not follow an engine that
+// becomes slower, or that follows a single slow step immediately.
 func TestLearned(t *testing.T) {
 	is := is.New(t)
 	const ms = time.Millisecond
@@ -28,10 +28,10 @@
 		l.Observe(u, 4, 1, 50*ms)
 	}
 	is.True(l.Speed(u).Layer > 9*ms && l.Speed(u).Layer <= 10*ms)
-	is.Equal(l.Speed(u).Position, ms) // not learned from single positions
+	is.Equal(l.Speed(u).Position, ms) // steps of one position do not change it
 
 	for range 40 {
-		l.Observe(u, 4, 11, 130*ms) // 50 ms, and 2 ms for each of 40 further ones
+		l.Observe(u, 4, 11, 130*ms) // 50 ms, and 2 ms for each of 4 layers × 10 additional positions
 	}
 	is.True(l.Speed(u).Position > 19*ms/10 && l.Speed(u).Position < 21*ms/10)
 	is.Equal(l.Speed(u).BytesPerSecond, 0.0)
