--- a/internal/pipeline/courier/courier.go
+++ b/internal/pipeline/courier/courier.go
@@ -1,15 +1,16 @@
-// Package courier drives one request token by token over a chain of engines.
+// Package courier executes generation requests token by token over chains of
+// engines.
 //
 //	c := courier.New(planner, dialer, courier.WithSpeeds(speeds))
 //	defer c.Close()
-//	reason, err := c.Run(ctx, generation, func(p pipeline.Piece) error {
-//		return stream.Write(p.Text)
+//	reason, err := c.Run(ctx, request, func(t pipeline.Token) error {
+//		return stream.Write(t.Text)
 //	})
 //
-// Every step carries the request, an epoch and a position. The courier keeps the
-// values that crossed each boundary between stages. When a stage is lost, only
-// that stage is replaced: under a new epoch the replacement imports the KV cache,
-// or computes it again from the kept values. The other stages go on with theirs.
+// Every step carries the request ID, an epoch and a position. The Executor keeps the
+// activations that crossed each boundary between stages. When a stage fails, only
+// that stage is replaced: under a new epoch the replacement imports the KV cache or
+// recomputes it from the stored activations. The other stages keep their caches.
 package courier
 
 import (
@@ -27,34 +28,34 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// Defaults of a Courier.
+// Defaults of an Executor.
 const (
-	// DefaultMinTimeout and DefaultMaxTimeout bound the time to wait for a step.
+	// DefaultMinTimeout and DefaultMaxTimeout are the bounds of the timeout of a step.
 	DefaultMinTimeout = time.Second
 	DefaultMaxTimeout = time.Minute
 	// DefaultKVEntryBytes is the size of the KV cache of one layer and position.
 	DefaultKVEntryBytes = 4096
-	// DefaultOverloadBackoff is the time before a step is sent again to an engine
+	// DefaultOverloadBackoff is the pause before a step is sent again to an engine
 	// that was overloaded.
 	DefaultOverloadBackoff = 20 * time.Millisecond
 	// timeoutFactor is the ratio of the timeout of a call to its expected time.
 	timeoutFactor = 4
-	// releaseTimeout bounds the call that frees the memory of a request.
+	// releaseTimeout is the timeout of the call that frees the memory of a request.
 	releaseTimeout = time.Second
-	// maxRecoveries bounds the recoveries of one request without a new token.
+	// maxRecoveries is the maximum number of recoveries without a new token.
 	maxRecoveries = 16
-	// leaveReplanInterval is the time before a chain with a leaving engine is replanned
-	// again.
+	// leaveReplanInterval is the minimum time between two replannings of a chain
+	// because of leaving engines.
 	leaveReplanInterval = time.Second
 )
 
-// Observer learns from steps and transfers.
+// Observer records the times of steps and transfers.
 type Observer interface {
 	Observe(u upstream.Upstream, layers, positions int, elapsed time.Duration)
 	ObserveTransfer(u upstream.Upstream, bytes int, elapsed time.Duration)
 }
 
-// Courier implements pipeline.Courier. It is safe for concurrent use.
+// Courier implements pipeline.Executor. It is safe for concurrent use.
 type Courier struct {
 	planner         pipeline.Planner
 	dialer          upstream.Dialer
@@ -73,40 +74,41 @@
 	releases sync.WaitGroup
 }
 
-// Option changes a Courier.
+// Option configures an Executor.
 type Option func(*Courier)
 
 // WithClock sets the clock, by default that of the operating system.
 func WithClock(clock fleet.Clock) Option { return func(c *Courier) { c.clock = clock } }
 
-// WithSpeeds sets the estimates that timeouts and recoveries are based on.
+// WithSpeeds sets the estimates on which timeouts and recoveries are based. Without
+// it all timeouts are the minimum, and no KV cache is imported.
 func WithSpeeds(s pipeline.SpeedEstimator) Option { return func(c *Courier) { c.speeds = s } }
 
-// WithObserver sets what learns from steps and transfers.
+// WithObserver sets the observer of steps and transfers.
 func WithObserver(o Observer) Option { return func(c *Courier) { c.observer = o } }
 
-// WithRoster sets the roster in which leaving engines are noticed.
+// WithRoster sets the roster that shows which engines are leaving.
 func WithRoster(r upstream.Roster) Option { return func(c *Courier) { c.roster = r } }
 
-// WithTrail sets where decisions are recorded, under the request id.
+// WithTrail sets the trail in which decisions are recorded under the request ID.
 func WithTrail(t report.Trail) Option { return func(c *Courier) { c.trail = t } }
 
-// WithGauge sets what counts the sequences on each upstream.
+// WithSequenceCounter sets the counter of the sequences on each upstream.
 func WithGauge(g pipeline.SequenceCounter) Option { return func(c *Courier) { c.sequences = g } }
 
-// WithTimeouts bounds the time to wait for a step.
+// WithTimeouts sets the bounds of the timeout of a step.
 func WithTimeouts(minimum, maximum time.Duration) Option {
 	return func(c *Courier) { c.minTimeout, c.maxTimeout = minimum, maximum }
 }
 
-// WithOverloadBackoff sets the time before a step is sent again to an engine that
+// WithOverloadBackoff sets the pause before a step is sent again to an engine that
 // was overloaded.
 func WithOverloadBackoff(d time.Duration) Option { return func(c *Courier) { c.overloadBackoff = d } }
 
 // WithKVEntryBytes sets the size of the KV cache of one layer and position.
 func WithKVEntryBytes(n int) Option { return func(c *Courier) { c.kvEntryBytes = n } }
 
-// New returns a Courier that takes chains from planner.
+// New returns an Executor that obtains chains from planner.
 func New(planner pipeline.Planner, dialer upstream.Dialer, options ...Option) *Courier {
 	c := &Courier{
 		planner: planner, dialer: dialer,
@@ -121,11 +123,11 @@
 	return c
 }
 
-// Close waits until the memory of all ended requests was freed.
+// Close waits until the memory of all ended requests has been freed.
 func (c *Courier) Close() { c.releases.Wait() }
 
-// Run implements pipeline.Courier. An error after the first token is of kind
-// refusal.StreamBroken or refusal.Deadline.
+// Run implements pipeline.Executor. An error after the first token is of kind
+// refusal.StreamBroken or refusal.Deadline, unless emit returned it.
 func (c *Courier) Run(ctx context.Context, g pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
 	if len(g.Prompt) == 0 {
 		return 0, refusal.New(refusal.BadRequest, "prompt is empty")
@@ -153,8 +155,8 @@
 	return pipeline.LengthReached, nil
 }
 
-// callerError gives an error the kind that the caller has to see. A kind that says
-// "not run" is kept only when no layer can have run.
+// callerError converts an error to the kind that is reported to the caller. A kind
+// that says "not run" is kept only when no layer can have run.
 func (r *run) callerError(ctx context.Context, index int, err error) error {
 	if ctx.Err() != nil {
 		return refusal.Because(refusal.Deadline, err, "request ended after %d tokens", index)
@@ -183,15 +185,16 @@
 	}
 }
 
-// release frees the memory of a request on an engine, even after ctx has ended.
-// The engine may serve a newer epoch when the call arrives.
+// release frees the memory of a request on an engine in the background, even after
+// ctx has ended. It cancels only one epoch if the client can do so, because the
+// engine may already serve a newer epoch when the call arrives.
 func (c *Courier) release(ctx context.Context, r fleet.RequestID, e fleet.Epoch, client upstream.EngineClient) {
 	c.releases.Add(1)
 	go func() {
 		defer c.releases.Done()
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 		defer cancel()
-		// An engine that cannot be reached drops the request by itself.
+		// An engine that cannot be reached discards the request by itself.
 		if canceller, ok := client.(upstream.EpochCanceller); ok {
 			_ = canceller.CancelEpoch(ctx, r, e)
 			return
@@ -200,15 +203,15 @@
 	}()
 }
 
-// timeout returns the time to wait for a call with an expected time.
+// timeout returns the timeout of a call that is expected to take the given time.
 func (c *Courier) timeout(expected time.Duration) time.Duration {
 	return min(max(timeoutFactor*expected, c.minTimeout), c.maxTimeout)
 }
 
 var errTimeout = errors.New("timeout expired")
 
-// callWithTimeout calls f and cancels its context after d by the clock of c. It calls f on
-// the same goroutine, which spares the step a switch between goroutines.
+// callWithTimeout calls f and cancels its context after d by the clock of c. It
+// calls f on the same goroutine, which saves a goroutine switch per step.
 func callWithTimeout[V any](ctx context.Context, c *Courier, d time.Duration, f func(context.Context) (V, error)) (V, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -227,16 +230,16 @@
 	return value, err
 }
 
-// noEstimates knows no speeds: all timeouts are the least one.
+// noEstimates provides no estimates: all timeouts are the minimum.
 type noEstimates struct{}
 
 func (noEstimates) Speed(upstream.Upstream) pipeline.Speed { return pipeline.Speed{} }
 
-// FixedPlanner is a Planner that always gives the same chain.
+// FixedPlanner is a Planner that always returns the same chain.
 type FixedPlanner pipeline.Chain
 
-// Plan returns the chain, or an error of kind refusal.NoUpstream when it has a
-// stage to avoid.
+// Plan returns the chain, or an error of kind refusal.NoUpstream when one of its
+// upstreams is excluded.
 func (f FixedPlanner) Plan(model fleet.ModelID, exclude []fleet.UpstreamID) (pipeline.Chain, error) {
 	for _, s := range f.Stages {
 		for _, id := range exclude {
--- a/internal/pipeline/courier/courier_test.go
+++ b/internal/pipeline/courier/courier_test.go
@@ -27,8 +27,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/standin"
 )
 
-// httpFleet is a fleet of stand-ins behind HTTP on loopback. It implements
-// upstream.Roster.
+// httpFleet is a fleet of simulated engines that are served over HTTP on loopback. It
+// implements upstream.Roster.
 type httpFleet struct {
 	standins map[fleet.UpstreamID]*standin.Standin
 	servers  map[fleet.UpstreamID]*httptest.Server
@@ -95,7 +95,7 @@
 		courier.WithRoster(f), courier.WithGauge(&f.counts), courier.WithTimeouts(3*time.Second, time.Minute))
 }
 
-// activeEngine returns an engine of a range that serves the request.
+// activeEngine returns an engine that serves the request and whose ID has a prefix.
 func (f *httpFleet) activeEngine(t *testing.T, prefix string) fleet.UpstreamID {
 	for id := range f.standins {
 		if strings.HasPrefix(string(id), prefix) && f.counts.Counter(id).Load() > 0 {
@@ -106,10 +106,10 @@
 	return ""
 }
 
-// TestFaultsOverHTTP guards against a layer that is skipped, repeated or run out
-// of order, and against missing or repeated text, on the whole path from the
-// courier to the engines, while these lose answers, give stale ones, freeze, die
-// and leave.
+// TestFaultsOverHTTP guards against a layer that is skipped, repeated or run out of
+// order, and against missing or repeated text. It covers the whole path from the
+// Executor to the engines, while these drop responses, return stale ones, freeze,
+// crash and leave.
 func TestFaultsOverHTTP(t *testing.T) {
 	is := is.New(t)
 	var record bytes.Buffer
@@ -119,7 +119,7 @@
 	prompt := []uint64{5, 7, 11}
 	want, wantReason := standin.Generate("ledger", "1", "", 8, prompt, 60)
 	for wantReason != pipeline.LengthReached {
-		prompt[0]++ // an answer that ends early meets few faults
+		prompt[0]++ // a text that ends early would see few of the faults
 		want, wantReason = standin.Generate("ledger", "1", "", 8, prompt, 60)
 	}
 	var frozen fleet.UpstreamID
@@ -151,7 +151,7 @@
 	})
 	is.NoErr(err)
 	c.Close()
-	f.close() // a thawed engine runs what it got before it ends
+	f.close() // an engine that was frozen runs its received steps before it closes
 	dialer.Close()
 	is.Equal(text.String(), want)
 	is.Equal(reason, wantReason)
@@ -162,11 +162,11 @@
 	for _, r := range runs {
 		epoch = max(epoch, r.Epoch)
 	}
-	is.True(epoch >= 3) // the frozen and the dead engine were replaced
+	is.True(epoch >= 3) // the frozen and the crashed engine were replaced
 }
 
-// BenchmarkStreams measures tokens of 64 requests at once over four engines on
-// loopback, each with a batch limit of 64 and 2 ms for a batch.
+// BenchmarkStreams measures the throughput of 64 concurrent requests over four
+// engines on loopback, each with a batch limit of 64 and 2 ms per batch.
 func BenchmarkStreams(b *testing.B) {
 	const streams = 64
 	ranges := []upstream.LayerRange{{From: 0, To: 2}, {From: 2, To: 4}, {From: 4, To: 6}, {From: 6, To: 8}}
@@ -205,7 +205,7 @@
 	}
 }
 
-// runDirect runs 50 tokens of one request by calls of the client.
+// runDirect runs 50 tokens of one request by calling the engine clients directly.
 func (f *httpFleet) runDirect(b *testing.B, dialer *engine.Dialer, ranges []upstream.LayerRange, tokens *atomic.Int64) {
 	request := fleet.NewRequestID()
 	input := []uint64{rand.Uint64()}
@@ -229,7 +229,7 @@
 }
 
 // BenchmarkToken measures one token over four engines on loopback: through the
-// courier, and by direct calls of the client in the same order.
+// Executor, and by direct calls of the engine clients in the same order.
 func BenchmarkToken(b *testing.B) {
 	ranges := []upstream.LayerRange{{From: 0, To: 2}, {From: 2, To: 4}, {From: 4, To: 6}, {From: 6, To: 8}}
 	b.Run("courier", func(b *testing.B) {
@@ -240,7 +240,7 @@
 		c := f.newExecutor(dialer, 8)
 		defer c.Close()
 		b.ReportAllocs()
-		// An answer ends by itself now and then; the next one starts anew.
+		// The model ends some texts early. Then another request follows.
 		for done := 0; done < b.N; {
 			g := pipeline.Generation{Request: fleet.NewRequestID(), Model: "ledger", Prompt: []uint64{uint64(done)}, MaxTokens: b.N - done}
 			_, err := c.Run(context.Background(), g, func(pipeline.Piece) error {
--- a/internal/pipeline/courier/local_test.go
+++ b/internal/pipeline/courier/local_test.go
@@ -27,8 +27,8 @@
 
 const kvEntryBytes = 1000
 
-// clock is a fake clock that knows when the newest timer ends. The fake engines
-// move it by the time that a call takes.
+// clock is a fake clock that records when its newest timer expires. The simulated
+// engines advance it by the time that a call takes.
 type clock struct {
 	*fakeclock.Clock
 	mu          sync.Mutex
@@ -42,21 +42,22 @@
 	return c.Clock.After(d)
 }
 
-// newestDeadline returns the end of the newest timer.
+// newestDeadline returns the time when the newest timer expires.
 func (c *clock) newestDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newestTimer
 }
 
-// simulation is a fleet of stand-ins in process, reached without sockets, under a
-// fake clock. It implements Dialer, Roster, Speeds and Trail.
+// simulation is a fleet of simulated engines in this process, which are called
+// without sockets and run on a fake clock. It implements upstream.Dialer,
+// upstream.Roster, pipeline.SpeedEstimator and report.Trail.
 type simulation struct {
 	clock  *clock
 	layers int
-	// version is that of the expected text.
+	// version is the model version that generates the expected text.
 	version string
-	// rateOverestimate is the factor by which the rates of links are overestimated.
+	// rateOverestimate is the ratio of estimated to true throughput of the links.
 	rateOverestimate float64
 	counts           inflight.Counts
 
@@ -64,21 +65,22 @@
 	engines map[fleet.UpstreamID]*simEngine
 	record  bytes.Buffer
 	entries []report.Entry
-	// frozenSteps holds steps that frozen engines got and run when they go on.
+	// frozenSteps are the steps that frozen engines received. They run when the engines
+	// resume.
 	frozenSteps []func()
-	// events are the steps that were answered or failed.
+	// events are the steps that completed or failed.
 	events []event
 }
 
 type event struct {
 	id                 fleet.UpstreamID
 	epoch              fleet.Epoch
-	endPosition        fleet.Position // position after the last one of the step
+	endPosition        fleet.Position // position after the last position of the step
 	startedAt, endedAt time.Time
 	failed             bool
 }
 
-// simEngine is one stand-in with its true speed and its faults.
+// simEngine is a simulated engine with its true speed and its faults.
 type simEngine struct {
 	simulation *simulation
 	standin    *standin.Standin
@@ -88,7 +90,7 @@
 	// faults maps a position to the fault of the step that covers it.
 	faults map[fleet.Position]string
 	dead   bool
-	// overloaded engines refuse every step.
+	// overloaded tells that the engine refuses every step.
 	overloaded bool
 	lastResult upstream.StepResult
 }
@@ -111,7 +113,7 @@
 	return e
 }
 
-// start starts the stand-in, or starts it again with an empty memory.
+// start starts the engine or restarts it with empty memory.
 func (e *simEngine) start() {
 	e.close()
 	e.standin = standin.New(standin.Config{
@@ -182,7 +184,7 @@
 	w.events = append(w.events, e)
 }
 
-// Step runs a step with the fault of its positions, if there is one.
+// Step runs a step with the fault of its last position, if there is one.
 func (e *simEngine) Step(ctx context.Context, s upstream.Step) (upstream.StepResult, error) {
 	w := e.simulation
 	stepEvent := event{id: e.ID, epoch: s.Epoch, endPosition: s.Position + fleet.Position(len(s.Input)), startedAt: w.clock.Now()}
@@ -192,7 +194,7 @@
 	}
 	delete(e.faults, stepEvent.endPosition-1)
 	if fault == "freeze" {
-		// The event is there before the courier goes on.
+		// The event has to be recorded before the Executor continues.
 		stepEvent.endedAt, stepEvent.failed = w.clock.newestDeadline(), true
 		w.logEvent(stepEvent)
 		return e.freeze(ctx, s)
@@ -203,7 +205,8 @@
 	return result, err
 }
 
-// freeze lets the timeout of the courier expire. The step runs later.
+// freeze advances the clock until the timeout of the Executor expires. The step runs
+// later.
 func (e *simEngine) freeze(ctx context.Context, s upstream.Step) (upstream.StepResult, error) {
 	w := e.simulation
 	w.frozenSteps = append(w.frozenSteps, func() { _, _ = e.run(context.Background(), s) })
@@ -217,7 +220,7 @@
 	case "die":
 		e.dead, e.absent = true, true
 	case "thaw":
-		// An engine that was frozen goes on and runs what it got.
+		// The frozen engines resume and run the steps that they received.
 		for _, f := range e.simulation.frozenSteps {
 			f()
 		}
@@ -225,7 +228,7 @@
 		_, _ = e.run(ctx, s)
 		return upstream.StepResult{}, refusal.New(refusal.UpstreamFailed, "connection closed")
 	case "stale":
-		// The step runs, and the answer before comes once more.
+		// The step runs, but the previous response is returned again.
 		last := e.lastResult
 		_, err := e.run(ctx, s)
 		return last, err
@@ -251,7 +254,7 @@
 	return result, err
 }
 
-// post calls the handler of the stand-in.
+// post calls the HTTP handler of the engine.
 func (e *simEngine) post(method, path string, in, out any) error {
 	if e.dead {
 		return refusal.New(refusal.NoUpstream, "connection refused")
@@ -294,7 +297,7 @@
 	return e.post(http.MethodPut, fmt.Sprintf("/v1/requests/%s/kv?epoch=%d", kv.Request, epoch), kv, new(struct{}))
 }
 
-// advanceTransfer takes the time of the transfer of kv.
+// advanceTransfer advances the clock by the time of the transfer of kv.
 func (e *simEngine) advanceTransfer(kv upstream.KV) {
 	size := float64(kv.Layers.Len() * int(kv.Positions) * kvEntryBytes)
 	if e.speed.BytesPerSecond > 0 {
--- a/internal/pipeline/courier/recovery.go
+++ b/internal/pipeline/courier/recovery.go
@@ -13,11 +13,11 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// infinite is the expected time of what is not possible.
+// infinite is the expected time of an import that is not possible.
 const infinite = time.Duration(math.MaxInt64)
 
 // recoverStage replaces stage i after an error. It returns an error when the request
-// cannot go on.
+// cannot continue.
 func (r *run) recoverStage(ctx context.Context, index, i int, cause error) error {
 	if ctx.Err() != nil {
 		return cause
@@ -31,7 +31,7 @@
 	r.reportSuspect(old.Upstream.ID, cause)
 	next, err := r.replan(index, r.excluded)
 	if err != nil && len(r.excluded) > 1 {
-		// An engine that was lost before may have come back.
+		// An engine that failed before may be available again.
 		r.excluded = []fleet.UpstreamID{old.Upstream.ID}
 		next, err = r.replan(index, r.excluded)
 	}
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// reportSuspect keeps other requests from an engine that did not answer.
+// reportSuspect reports an engine that did not respond to the planner, so that other
+// requests do not use it.
 func (r *run) reportSuspect(id fleet.UpstreamID, cause error) {
 	s, ok := r.executor.planner.(pipeline.Suspecter)
 	if !ok {
@@ -54,7 +55,8 @@
 	}
 }
 
-// canExport tells whether an engine that answered with err can still export.
+// canExport tells whether an engine that failed with err can still export its KV
+// cache.
 func canExport(err error) bool {
 	switch refusal.KindOf(err) {
 	case refusal.Overloaded, refusal.Stopping:
@@ -64,9 +66,9 @@
 	}
 }
 
-// retryChain goes on with the same chain under a new epoch when there is no other
-// engine. An engine that answered may have restarted or lost its cache, so stage i
-// starts from the first position on, unless it was only overloaded or late.
+// retryChain continues with the same chain under a new epoch when there is no other
+// engine. An engine that responded may have restarted or lost its cache, so stage i
+// restarts at the first position, unless it was only overloaded or late.
 func (r *run) retryChain(i int, cause, planErr error) error {
 	switch refusal.KindOf(cause) {
 	case refusal.NoUpstream, refusal.Stopping:
@@ -89,8 +91,8 @@
 	return nil
 }
 
-// replan returns a chain without the avoided engines. It keeps the version and
-// adapter once a token was emitted.
+// replan returns a chain without the excluded engines. After the first token it
+// returns only chains of the same version and adapter.
 func (r *run) replan(index int, exclude []fleet.UpstreamID) (pipeline.Chain, error) {
 	if p, ok := r.executor.planner.(pipeline.Replanner); ok {
 		if next, err := p.Replace(r.chain, exclude, len(r.layerInputs[0])); err == nil {
@@ -112,9 +114,9 @@
 	return next, nil
 }
 
-// migrate goes on with another chain under a new epoch. A stage that stays keeps
-// its KV cache. One that replaces an engine which can still export imports its
-// cache when that is expected to be faster than to compute it again.
+// migrate continues with another chain under a new epoch. An unchanged stage keeps
+// its KV cache. A stage whose engine replaces one that can still export imports the
+// cache if that is expected to be faster than to recompute it.
 func (r *run) migrate(ctx context.Context, next pipeline.Chain, export bool, cause string) {
 	old, oldClients, oldCachedPositions := r.chain, r.clients, r.cachedPositions
 	same := next.Version == old.Version && next.Adapter == old.Adapter
@@ -142,8 +144,8 @@
 	r.releaseUnused(ctx, old, oldClients)
 }
 
-// restoration is a way to fill the KV cache of a stage. Without a client there is no
-// engine to import from.
+// restoration describes how to fill the KV cache of a stage with a number of
+// positions. It can be imported from the engine from, unless client is nil.
 type restoration struct {
 	stage     int
 	positions int
@@ -151,9 +153,9 @@
 	client    upstream.EngineClient
 }
 
-// estimate returns the expected times until a stage has answered the newest
-// position, with an import and with a computation. An import that is not possible
-// takes for ever.
+// estimate returns the expected times until a stage has computed the newest
+// position, if its KV cache is imported and if it is recomputed. The import time is
+// infinite if an import is not possible.
 func (r *run) estimate(s pipeline.Stage, o restoration) (importTime, recomputeTime time.Duration) {
 	c := r.executor
 	to, layers := c.speeds.Speed(s.Upstream), s.Layers.Len()
@@ -168,8 +170,8 @@
 	return expectedTransferTime(from, to, layers*o.positions*c.kvEntryBytes) + expectedStepTime(to, layers, 1), recomputeTime
 }
 
-// restore fills the KV cache of a new stage by the faster way and records the
-// decision. A cache that is not imported is computed by the next step.
+// restore fills the KV cache of a new stage in the faster way and records the
+// decision. A cache that is not imported is recomputed by the next step.
 func (r *run) restore(ctx context.Context, o restoration, cause string) {
 	s := r.chain.Stages[o.stage]
 	importTime, recomputeTime := r.estimate(s, o)
@@ -201,13 +203,14 @@
 	return -1
 }
 
-// expectedTransferTime is the expected time of an export and an import.
+// expectedTransferTime returns the expected time to export and import a number of
+// bytes.
 func expectedTransferTime(from, to pipeline.Speed, size int) time.Duration {
 	seconds := float64(size)/from.BytesPerSecond + float64(size)/to.BytesPerSecond
 	return from.Fixed + to.Fixed + time.Duration(seconds*float64(time.Second))
 }
 
-// transferCache moves the KV cache of an old stage to a new one.
+// transferCache copies the KV cache of an old stage to a new one.
 func (r *run) transferCache(ctx context.Context, o restoration) error {
 	c, s, request, k := r.executor, r.chain.Stages[o.stage], r.request.Request, o.stage
 	size := s.Layers.Len() * o.positions * c.kvEntryBytes
@@ -252,8 +255,9 @@
 	}
 }
 
-// resumeLayer returns the layer at which a pass goes on under a new chain: the first
-// stage that lacks the current position, among those up to layer at.
+// resumeLayer returns the layer at which a forward pass continues under a new chain:
+// that of the first stage whose cache lacks the current position, or of the first
+// one that starts at layer current or after it.
 func (r *run) resumeLayer(current fleet.Layer) fleet.Layer {
 	positions := fleet.Position(len(r.layerInputs[0]))
 	for i, s := range r.chain.Stages {
@@ -264,9 +268,9 @@
 	return current
 }
 
-// migrateFromLeaving replaces the engines that are leaving, when the rest of the answer is
-// expected to take longer than the move. Without other engines the leaving ones
-// finish the request.
+// migrateFromLeaving replaces the engines that are leaving if the remaining tokens
+// are expected to take longer than the migration. Without other engines the leaving
+// ones finish the request.
 func (r *run) migrateFromLeaving(ctx context.Context, index int) {
 	c := r.executor
 	if c.roster == nil || index == 0 || c.clock.Now().Sub(r.lastLeaveReplan) < leaveReplanInterval {
@@ -289,7 +293,8 @@
 	r.migrate(ctx, next, true, fmt.Sprintf("engines %v are leaving", leaving))
 }
 
-// worthMigrating compares the move to a chain with the longest rest of the answer.
+// worthMigrating tells whether the migration to a chain is expected to take no longer
+// than the maximum number of remaining tokens.
 func (r *run) worthMigrating(next pipeline.Chain, index int) bool {
 	var tokenTime, migrationTime time.Duration
 	for k, s := range next.Stages {
--- a/internal/pipeline/courier/recovery_test.go
+++ b/internal/pipeline/courier/recovery_test.go
@@ -28,14 +28,15 @@
 	return prompt
 }
 
-// runAndCheck runs a request and compares what the caller got with the expected
-// text, and what the engines ran with one run of each layer for each position.
+// runAndCheck runs a request. It checks that the caller got the expected text, that
+// the engines ran each layer once for each position, and that no sequence is still
+// counted.
 func (w *simulation) runAndCheck(c *courier.Courier, prompt, maxTokens int) (string, error) {
 	var got []string
 	g := pipeline.Generation{Request: "r", Model: "m", Prompt: newPrompt(prompt), MaxTokens: maxTokens}
 	reason, err := c.Run(context.Background(), g, func(p pipeline.Piece) error {
 		if p.Index != len(got) {
-			return fmt.Errorf("piece %d came as number %d", p.Index, len(got))
+			return fmt.Errorf("token %d was emitted as number %d", p.Index, len(got))
 		}
 		got = append(got, p.Text)
 		return nil
@@ -49,7 +50,7 @@
 		return "", fmt.Errorf("caller got %q, expected %q", got, want)
 	}
 	if len(got) > len(want) || strings.Join(got, "") != strings.Join(want[:len(got)], "") {
-		return "", fmt.Errorf("caller got %q, which is not the start of %q", got, want)
+		return "", fmt.Errorf("caller got %q, which is not a prefix of %q", got, want)
 	}
 	runs, readErr := standin.ReadRuns(bytes.NewReader(w.record.Bytes()))
 	if readErr != nil {
@@ -66,9 +67,9 @@
 	return fmt.Sprintf("%d tokens, %s", len(got), reason), err
 }
 
-// TestScripts runs the faults of testdata. It guards against an answer with
-// missing or repeated text, a layer that runs twice in an epoch, and a decision
-// other than the recorded one.
+// TestScripts runs the faults of testdata. It guards against missing or repeated
+// text, a layer that runs twice in an epoch, and decisions other than those in
+// testdata.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var w *simulation
@@ -113,7 +114,7 @@
 	})
 }
 
-// newSpeed takes times in microseconds and a rate in kB/s.
+// newSpeed returns a speed from times in microseconds and a rate in kB/s.
 func newSpeed(fixed, layer, position, rate int) pipeline.Speed {
 	us := time.Microsecond
 	return pipeline.Speed{
@@ -122,10 +123,11 @@
 	}
 }
 
-// TestRandomFaults runs seeded schedules of faults in the middle of answers: deaths,
-// freezes that thaw, lost, late and stale answers, restarts, refusals, joins and
-// leaves. It guards against a gap, a repetition or a swap of text or layers, and
-// against a request that fails although all layers keep a holder.
+// TestRandomFaults runs random schedules of faults during generations, one per seed:
+// crashes, freezes with and without resumption, dropped, late and stale responses,
+// restarts, refusals, joins and leaves. It guards against missing, repeated or
+// reordered text or layers, and against a request that fails although all layers
+// have a holder.
 func TestRandomFaults(t *testing.T) {
 	faults := []string{"die", "freeze", "thaw", "lose", "stale", "refuse", "stop", "leave", "restart"}
 	const schedules = 150
@@ -134,7 +136,7 @@
 		r := rand.New(rand.NewPCG(seed, 0))
 		w := newSimulation(6)
 		for i := range 15 {
-			// Ranges overlap, so that replacements may cut layers anew.
+			// Ranges overlap, so that a replacement may change the stage boundaries.
 			from := i % 3 * 2
 			to := min(from+2+r.IntN(2), 6)
 			e := w.add(fmt.Sprintf("e%02d", i), from, to, newSpeed(100+r.IntN(900), 100+r.IntN(900), 10+r.IntN(90), 100+r.IntN(10000)))
@@ -142,7 +144,7 @@
 				for range 2 {
 					e.faults[fleet.Position(r.IntN(60))] = faults[r.IntN(len(faults))]
 				}
-				// The prompt ends at position 19; its step may fail, too.
+				// The prompt ends at position 19. Its step may fail, too.
 				if r.IntN(4) == 0 {
 					e.faults[19] = faults[r.IntN(len(faults))]
 				}
@@ -161,11 +163,11 @@
 	}
 	t.Logf("%d of %d schedules had a recovery", recovered, schedules)
 	if recovered < schedules/2 {
-		t.Fatal("schedules have too few recoveries to be of use")
+		t.Fatal("fewer than half of the schedules had a recovery")
 	}
 }
 
-// joinObserver lets an engine join in the middle of an answer.
+// joinObserver lets an engine join during the generation.
 type joinObserver struct{ engine *simEngine }
 
 func (j joinObserver) Observe(upstream.Upstream, int, int, time.Duration) {
@@ -174,28 +176,28 @@
 
 func (joinObserver) ObserveTransfer(upstream.Upstream, int, time.Duration) {}
 
-// TestRecoveryTime compares the time of a recovery with its lower bound: the
-// detection and the faster of a transfer and a computation, on the best
-// replacement. It guards against a recovery beyond 1.5 times the bound.
+// TestRecoveryTime compares the time of a recovery with its lower bound: the sum of
+// the detection time and the faster of an import and a recomputation on the best
+// replacement. It guards against a recovery that takes more than 1.5 times the bound.
 func TestRecoveryTime(t *testing.T) {
 	is := is.New(t)
 	for _, cause := range []string{"die", "freeze", "leave", "stop"} {
 		for _, position := range []int{100, 1000, 4000} {
 			for _, rate := range []int{1000, 100000, 1000000} {
 				w := newSimulation(6)
-				// At 100 MB/s an import takes longer than a computation, and the
-				// estimate says so only by a little.
+				// At 100 MB/s an import takes longer than a recomputation, but the
+				// difference in the estimates is small.
 				w.rateOverestimate = 1.2
 				w.add("a", 0, 2, newSpeed(500, 300, 20, rate))
 				w.add("b", 2, 4, newSpeed(500, 300, 20, rate))
 				w.add("c", 4, 6, newSpeed(500, 300, 20, rate))
 				w.add("y", 2, 4, newSpeed(500, 350, 25, rate))
 				w.add("z", 2, 4, newSpeed(900, 350, 15, rate))
-				// Faults hit a token in the middle of the answer.
+				// The fault hits a token in the middle of the generated text.
 				w.engines["b"].faults[fleet.Position(position+2)] = cause
 				maxTokens := 8
 				if cause == "leave" {
-					maxTokens = 400 // long enough for a move to be worth it
+					maxTokens = 400 // enough remaining tokens for a migration to pay off
 				}
 				_, err := w.runAndCheck(w.newExecutor(), position, maxTokens)
 				is.NoErr(err)
@@ -210,15 +212,15 @@
 }
 
 // measureRecovery returns the time from the fault of engine b at a position until its
-// replacement had run all positions, without the steps of other stages, and the
-// lower bound of that time.
+// replacement has run all positions, without the steps of other stages, and the lower
+// bound of that time.
 func (w *simulation) measureRecovery(position fleet.Position, cause string) (took, bound time.Duration) {
 	var startedAt, detectedAt time.Time
 	var detection time.Duration
 	for _, e := range w.events {
 		switch {
 		case cause == "leave" && e.id == "c" && e.endPosition == position+1:
-			startedAt = e.endedAt // the move begins with the next token
+			startedAt = e.endedAt // the migration begins with the next token
 		case cause == "leave" && e.id == "a" && e.endPosition == position+2:
 			took += e.startedAt.Sub(startedAt)
 			startedAt = e.endedAt
@@ -233,7 +235,8 @@
 	return took, bound
 }
 
-// minReplacementTime is the time of the fastest replacement of engine b.
+// minReplacementTime returns the time that the fastest replacement of engine b takes
+// by import or recomputation.
 func (w *simulation) minReplacementTime(position fleet.Position, cause string) time.Duration {
 	best := time.Duration(1 << 62)
 	for _, id := range []fleet.UpstreamID{"y", "z"} {
@@ -262,7 +265,7 @@
 	_, err = w.runAndCheck(w.newExecutor(), 5, 5)
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
 
-	// An engine that stays overloaded ran nothing.
+	// An engine that remains overloaded did not run a layer.
 	busy := newSimulation(4)
 	defer busy.close()
 	busy.add("a", 0, 4, newSpeed(1, 1, 1, 1)).overloaded = true
@@ -270,8 +273,9 @@
 	is.Equal(refusal.KindOf(err), refusal.Overloaded)
 }
 
-// TestVersionChange guards against a text of mixed versions: before the first
-// token another version starts from the prompt, after it the answer ends.
+// TestVersionChange guards against a text from mixed versions: before the first token
+// another version restarts from the prompt, after it the generation ends with an
+// error.
 func TestVersionChange(t *testing.T) {
 	for position, version := range map[fleet.Position]string{4: "2", 6: "1"} {
 		is := is.New(t)
@@ -293,8 +297,8 @@
 	}
 }
 
-// TestCancel guards against a request that goes on after its caller has gone, and
-// against memory that stays on the engines.
+// TestCancel guards against a request that continues after its caller has canceled
+// it, and against memory that is not freed on the engines.
 func TestCancel(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(4)
--- a/internal/pipeline/courier/run.go
+++ b/internal/pipeline/courier/run.go
@@ -13,26 +13,27 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// run is one request in progress. It is used by one goroutine.
+// run is one request in progress. It is not safe for concurrent use.
 type run struct {
 	executor *Courier
 	request  pipeline.Generation
 	chain    pipeline.Chain
 	epoch    fleet.Epoch
-	// clients and have belong to the stages of chain: have is the number of
-	// positions in the KV cache of a stage.
+	// clients and cachedPositions have one element for each stage of chain: the client
+	// of its engine and the number of positions in its KV cache.
 	clients         []upstream.EngineClient
 	cachedPositions []fleet.Position
-	// layerInputs holds, for each boundary of a stage, the values of all positions
-	// that entered that layer.
+	// layerInputs holds the inputs of all positions for each layer at a boundary of
+	// stages: the tokens at layer 0, activations at the others.
 	layerInputs map[fleet.Layer][]uint64
-	// excluded are the engines that are not used for this request again.
+	// excluded are the engines that failed. They are not used for this request while
+	// others cover their layers.
 	excluded []fleet.UpstreamID
 	// recoveries counts the recoveries since the last token.
 	recoveries int
-	// mayHaveRun tells that a layer may have run.
+	// mayHaveRun tells whether a layer may have run for this request.
 	mayHaveRun bool
-	// lastLeaveReplan is the time of the last replanning for a leaving engine.
+	// lastLeaveReplan is the time of the last replanning because of a leaving engine.
 	lastLeaveReplan time.Time
 }
 
@@ -46,7 +47,7 @@
 	return r
 }
 
-// startEpoch goes on with a chain under a new epoch.
+// startEpoch continues with a chain under a new epoch.
 func (r *run) startEpoch(chain pipeline.Chain, cachedPositions []fleet.Position) {
 	c := r.executor
 	for _, s := range r.chain.Stages {
@@ -69,8 +70,8 @@
 	}
 }
 
-// forwardPass runs all layers for the positions of input and returns the result of the
-// last stage.
+// forwardPass runs all layers for the positions of input and returns the result of
+// the last stage.
 func (r *run) forwardPass(ctx context.Context, index int, input []uint64) (upstream.StepResult, error) {
 	if err := ctx.Err(); err != nil {
 		return upstream.StepResult{}, err
@@ -98,9 +99,9 @@
 	return result, nil
 }
 
-// step runs a stage for all positions that are not in its KV cache. After an
-// unknown outcome it sends the same step once more, which the engine answers from
-// memory if it ran.
+// step runs a stage for all positions that are not in its KV cache. After an unknown
+// outcome or an overload it sends the same step once more. The engine returns the
+// stored result if the step already ran.
 func (r *run) step(ctx context.Context, i int) (upstream.StepResult, error) {
 	s := r.chain.Stages[i]
 	input := r.layerInputs[s.Layers.From][r.cachedPositions[i]:]
@@ -129,7 +130,7 @@
 	return result, nil
 }
 
-// sendStep sends a step and checks that the answer belongs to it.
+// sendStep sends a step and checks that the response belongs to it.
 func (r *run) sendStep(ctx context.Context, i int, step upstream.Step) (upstream.StepResult, error) {
 	c, u := r.executor, r.chain.Stages[i].Upstream
 	startedAt := c.clock.Now()
@@ -150,8 +151,8 @@
 	return result, nil
 }
 
-// storeInputs sets the values that enter layer l from a position on. Values that a call
-// in progress may still read are not overwritten.
+// storeInputs sets the inputs of layer l, starting at a position. It does not
+// overwrite inputs that a call in progress may still read.
 func (r *run) storeInputs(l fleet.Layer, from fleet.Position, output []uint64) {
 	kept := r.layerInputs[l][:from]
 	if len(kept) < len(r.layerInputs[l]) {
@@ -171,7 +172,7 @@
 
 func (r *run) endLayer() fleet.Layer { return r.chain.Stages[len(r.chain.Stages)-1].Layers.To }
 
-// expectedStepTime is the expected time of a step without load.
+// expectedStepTime returns the expected time of a step without load.
 func expectedStepTime(s pipeline.Speed, layers, positions int) time.Duration {
 	return s.Fixed + time.Duration(layers)*s.Layer + time.Duration(layers*(positions-1))*s.Position
 }
--- a/internal/pipeline/speeds/speeds_test.go
+++ b/internal/pipeline/speeds/speeds_test.go
@@ -13,7 +13,7 @@
 
 // TestEstimator guards against an estimate that does not follow an engine that
 // becomes slower, or that follows a single slow step immediately.
-func TestLearned(t *testing.T) {
+func TestEstimator(t *testing.T) {
 	is := is.New(t)
 	const ms = time.Millisecond
 	l := speeds.New(pipeline.Speed{Fixed: ms, Layer: ms, Position: ms},
