--- a/internal/pipeline/courier/local_test.go
+++ b/internal/pipeline/courier/local_test.go
@@ -87,7 +87,7 @@
 	upstream.Upstream
 	speed  pipeline.Speed
 	absent bool
-	// faults maps a position to the fault of the step that covers it.
+	// faults maps a position to the fault of the step that ends with it.
 	faults map[fleet.Position]string
 	dead   bool
 	// overloaded tells that the engine refuses every step.
--- a/internal/pipeline/courier/recovery.go
+++ b/internal/pipeline/courier/recovery.go
@@ -256,8 +256,8 @@
 }
 
 // resumeLayer returns the layer at which a forward pass continues under a new chain:
-// that of the first stage whose cache lacks the current position, or of the first
-// one that starts at layer current or after it.
+// the start of the first stage whose cache lacks the current position, or of the first
+// stage that starts at layer current or after it, whichever comes first.
 func (r *run) resumeLayer(current fleet.Layer) fleet.Layer {
 	positions := fleet.Position(len(r.layerInputs[0]))
 	for i, s := range r.chain.Stages {
--- a/internal/pipeline/inflight/inflight.go
+++ b/internal/pipeline/inflight/inflight.go
@@ -13,7 +13,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/board"
 )
 
-// Counts implements pipeline.Gauge.
+// Counts implements pipeline.SequenceCounter.
 type Counts struct {
 	counters board.Shards[fleet.UpstreamID, *atomic.Int64]
 }
@@ -35,7 +35,7 @@
 	return counter
 }
 
-// Add implements pipeline.Gauge.
+// Add implements pipeline.SequenceCounter.
 func (c *Counts) Add(id fleet.UpstreamID, n int) { c.Counter(id).Add(int64(n)) }
 
 // Forget deletes the counter of an upstream that has left.
--- a/internal/pipeline/planner/planner.go
+++ b/internal/pipeline/planner/planner.go
@@ -69,7 +69,7 @@
 	view board.Cell[view]
 }
 
-// Option changes a Planner.
+// Option configures a Planner.
 type Option func(*Planner)
 
 // WithCounts sets the counters of the sequences that this instance runs on each
--- a/internal/pipeline/planner/view.go
+++ b/internal/pipeline/planner/view.go
@@ -103,8 +103,8 @@
 		if u.Kind != upstream.Engine || u.Model != model.ID || !within(u.Layers, whole) {
 			continue
 		}
-		key := [2]string{u.Version, u.Adapter}
-		candidates[key] = append(candidates[key], newCandidate(u, speeds, counts))
+		k := [2]string{u.Version, u.Adapter}
+		candidates[k] = append(candidates[k], newCandidate(u, speeds, counts))
 	}
 	for k, list := range candidates {
 		v.groups = append(v.groups, newGroup(k[0], k[1], list))
--- a/internal/pipeline/repair/cover.go
+++ b/internal/pipeline/repair/cover.go
@@ -10,7 +10,7 @@
 )
 
 // noHolderPriority is the priority of a layer without a holder. It is higher than the
-// sum over all other layers of a model, whose priorities are below 1 each.
+// sum over all layers of a model that have a holder, whose priorities are below 1.
 const noHolderPriority = 1000
 
 // updateLackingSince records since when layers have had fewer holders than
--- a/internal/pipeline/repair/repair.go
+++ b/internal/pipeline/repair/repair.go
@@ -210,7 +210,7 @@
 	expire(c.roleCooldownUntil, in.Now)
 }
 
-// expire deletes the entries whose time has come.
+// expire deletes the entries whose time has passed.
 func expire[K comparable](until map[K]time.Time, now time.Time) {
 	for k, t := range until {
 		if !t.After(now) {
--- a/internal/pipeline/speeds/speeds.go
+++ b/internal/pipeline/speeds/speeds.go
@@ -18,8 +18,8 @@
 // ewmaWeight is the weight of a new observation in the moving average.
 const ewmaWeight = 0.2
 
-// Estimator implements pipeline.Speeds. An engine without observations
-// has the speed of its kind of accelerator or else the initial speed.
+// Estimator implements pipeline.SpeedEstimator. An engine without observations has
+// the speed of its kind of accelerator or else the initial speed.
 type Estimator struct {
 	initial      pipeline.Speed
 	accelerators map[string]pipeline.Speed
@@ -34,7 +34,7 @@
 	decode, prefill, linkRate float64
 }
 
-// Option changes a Learned.
+// Option configures an Estimator.
 type Option func(*Estimator)
 
 // WithAccelerator sets the initial speed of engines on a kind of accelerator.
@@ -52,7 +52,7 @@
 	return l
 }
 
-// Speed implements pipeline.Speeds.
+// Speed implements pipeline.SpeedEstimator.
 func (l *Estimator) Speed(u upstream.Upstream) pipeline.Speed {
 	s := l.initialSpeed(u.Accelerator)
 	f, ok := l.corrections.Get(u.ID)
