--- a/internal/pipeline/courier/courier.go
+++ b/internal/pipeline/courier/courier.go
@@ -93,7 +93,7 @@
 // WithTrail sets the trail in which decisions are recorded under the request ID.
 func WithTrail(t report.Trail) Option { return func(c *Courier) { c.trail = t } }
 
-// WithSequenceCounter sets the counter of the sequences on each upstream.
+// WithGauge sets the counter of the sequences on each upstream.
 func WithGauge(g pipeline.SequenceCounter) Option { return func(c *Courier) { c.sequences = g } }
 
 // WithTimeouts sets the bounds of the timeout of a step.
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -30,7 +30,7 @@
 	Plan(model fleet.ModelID, exclude []fleet.UpstreamID) (Chain, error)
 }
 
-// GenerationRequest is a request to generate tokens.
+// Generation is a request to generate tokens.
 type Generation struct {
 	Request   fleet.RequestID
 	Model     fleet.ModelID
@@ -39,7 +39,7 @@
 	MaxTokens int
 }
 
-// Token is one token of the generated text.
+// Piece is one token of the generated text.
 type Piece struct {
 	// Index is the position in the generated text, starting at 0.
 	Index int
@@ -57,7 +57,7 @@
 	LengthReached // length
 )
 
-// Executor runs a generation request over a chain.
+// Courier runs a generation request over a chain.
 type Courier interface {
 	// Run calls emit for every token in order, exactly once each, and returns
 	// when the generation is complete. An error of emit ends the generation.
