--- a/internal/pipeline/courier/recovery_test.go
+++ b/internal/pipeline/courier/recovery_test.go
@@ -151,8 +151,8 @@
 			}
 			e.absent = i < 12 && r.IntN(5) == 0
 		}
-		joins := w.engines["e00"]
-		c := w.newExecutor(courier.WithObserver(joinObserver{joins}))
+		joining := w.engines["e00"]
+		c := w.newExecutor(courier.WithObserver(joinObserver{joining}))
 		if _, err := w.runAndCheck(c, 20, 40); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
