--- a/internal/pipeline/planner/view.go
+++ b/internal/pipeline/planner/view.go
@@ -14,48 +14,52 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// exactLimit is the number of engines of a group up to which each engine is a
-// class of its own.
-const exactLimit = 64
+// maxExactEngines is the largest group in which each engine forms a class of its
+// own, so that the plan is optimal.
+const maxExactEngines = 64
 
-// view is what the planner knows of the engines of one model. It is not changed
-// after it was built, apart from the counters.
+// view is a snapshot of the engines of one model. It is immutable apart from the
+// counters of sequences.
 type view struct {
-	built    time.Time
-	took     time.Duration // time to build it
-	revision document.Model
-	layers   fleet.Layer
-	// groups are the engines by version and adapter. The one in force is first;
-	// another one serves only while that one does not cover all layers.
+	builtAt       time.Time
+	buildDuration time.Duration
+	model         document.Model
+	layers        fleet.Layer
+	// groups are the engines by version and adapter. The group of the active
+	// version comes first. Others are used only while it does not cover all layers.
 	groups []group
 }
 
+// group is the engines of one version and adapter.
 type group struct {
 	version, adapter string
-	// boundaries are the layers at which a range of an engine starts or ends.
-	// The best cuts are among them, because the cost of a stage is linear in its
-	// number of layers.
+	// boundaries are the layers at which the range of an engine starts or ends.
+	// The optimal cuts are among them, because the cost of a stage is linear in
+	// its number of layers.
 	boundaries []fleet.Layer
-	// classes are in the order of their layers, and then of their times.
+	// classes are sorted by their layers and then by their times.
 	classes []class
 }
 
-// class is engines with the same layers and similar speeds. No engine of it has
-// a lower cost than fixed, layer and position.
+// class is a set of engines with the same layers and similar speeds. Its fixed,
+// layer and position costs, in nanoseconds, are lower bounds of those of its
+// engines.
 type class struct {
 	layers       upstream.LayerRange
 	fixed, layer float64
 	position     float64
-	// engines and costs are in the same order. A draw only touches the costs.
+	// engines and costs have the same order. They are separate slices because
+	// picking an engine reads only the costs.
 	engines []upstream.Upstream
 	costs   []cost
 }
 
-// least is the lowest time of a step of one position over all layers.
-func (c class) least() float64 { return c.fixed + c.layer*float64(c.layers.Len()) }
+// minStepTime returns the lower bound of the time of a step of one position over
+// all layers of the class.
+func (c class) minStepTime() float64 { return c.fixed + c.layer*float64(c.layers.Len()) }
 
-// member is one engine with its cost.
-type member struct {
+// candidate is one engine with its cost.
+type candidate struct {
 	upstream upstream.Upstream
 	cost
 }
@@ -66,62 +70,63 @@
 	layer    float64 // nanoseconds
 	position float64 // nanoseconds
 	slots    float64
-	// others is the reported load without the part of this instance.
-	others   float64
-	inFlight *atomic.Int64
+	// otherLoad is the reported load without the sequences of this instance.
+	otherLoad float64
+	inFlight  *atomic.Int64
 }
 
-func newMember(u upstream.Upstream, speeds pipeline.Speeds, counts *inflight.Counts) *member {
+func newCandidate(u upstream.Upstream, speeds pipeline.SpeedEstimator, counts *inflight.Counts) *candidate {
 	s := speeds.Speed(u)
-	m := &member{upstream: u, cost: cost{
+	m := &candidate{upstream: u, cost: cost{
 		fixed: float64(s.Fixed), layer: float64(s.Layer), position: float64(s.Position),
-		slots: float64(max(u.Slots, 1)), inFlight: counts.Of(u.ID),
+		slots: float64(max(u.Slots, 1)), inFlight: counts.Counter(u.ID),
 	}}
 	reported := float64(u.Load.Running + u.Load.Waiting)
-	m.others = max(reported-float64(m.inFlight.Load()), 0)
+	m.otherLoad = max(reported-float64(m.inFlight.Load()), 0)
 	return m
 }
 
-// of returns the fixed time and the time of each layer for a number of
-// positions at the present load. A batch takes longer with each sequence in it,
-// and sequences beyond the batch limit wait for another batch.
-func (m *cost) of(positions int) (fixed, layer float64) {
-	load := (m.others + float64(max(m.inFlight.Load(), 0))) / m.slots
+// estimate returns the fixed time and the time per layer of a step, in
+// nanoseconds, for a number of positions at the current load. A batch takes longer
+// with each sequence in it, and sequences beyond the batch limit wait for another
+// batch.
+func (m *cost) estimate(positions int) (fixed, layer float64) {
+	load := (m.otherLoad + float64(max(m.inFlight.Load(), 0))) / m.slots
 	return m.fixed, (m.layer + float64(positions-1)*m.position) * (1 + load)
 }
 
-func newView(model document.Model, engines []upstream.Upstream, now time.Time, speeds pipeline.Speeds, counts *inflight.Counts) *view {
-	v := &view{built: now, revision: model, layers: model.Layers}
-	members := make(map[[2]string][]*member)
+func newView(model document.Model, engines []upstream.Upstream, now time.Time, speeds pipeline.SpeedEstimator, counts *inflight.Counts) *view {
+	v := &view{builtAt: now, model: model, layers: model.Layers}
+	candidates := make(map[[2]string][]*candidate)
 	for _, u := range engines {
 		whole := upstream.LayerRange{From: 0, To: model.Layers}
 		if u.Kind != upstream.Engine || u.Model != model.ID || !within(u.Layers, whole) {
 			continue
 		}
 		k := [2]string{u.Version, u.Adapter}
-		members[k] = append(members[k], newMember(u, speeds, counts))
+		candidates[k] = append(candidates[k], newCandidate(u, speeds, counts))
 	}
-	for k, list := range members {
+	for k, list := range candidates {
 		v.groups = append(v.groups, newGroup(k[0], k[1], list))
 	}
 	slices.SortFunc(v.groups, func(a, b group) int {
 		return cmp.Or(
-			-cmp.Compare(bit(a.version == model.Version && a.adapter == model.Adapter), bit(b.version == model.Version && b.adapter == model.Adapter)),
+			-cmp.Compare(boolToInt(a.version == model.Version && a.adapter == model.Adapter), boolToInt(b.version == model.Version && b.adapter == model.Adapter)),
 			cmp.Compare(a.version, b.version), cmp.Compare(a.adapter, b.adapter))
 	})
 	v.groups = slices.DeleteFunc(v.groups, func(g group) bool { return g.adapter != model.Adapter })
 	return v
 }
 
-func bit(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// fits tells whether the view was built for a model as it is now.
-func (v *view) fits(m document.Model) bool { return v.revision == m }
+// builtFor tells whether the view was built from the given definition of the model.
+func (v *view) builtFor(m document.Model) bool { return v.model == m }
 
 func (v *view) group(version, adapter string) *group {
 	for i := range v.groups {
@@ -132,18 +137,18 @@
 	return nil
 }
 
-func newGroup(version, adapter string, members []*member) group {
+func newGroup(version, adapter string, candidates []*candidate) group {
 	g := group{version: version, adapter: adapter}
-	slices.SortFunc(members, func(a, b *member) int {
+	slices.SortFunc(candidates, func(a, b *candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.upstream.Layers.From, b.upstream.Layers.From),
 			cmp.Compare(a.upstream.Layers.To, b.upstream.Layers.To),
 			cmp.Compare(a.upstream.ID, b.upstream.ID))
 	})
 	index := make(map[classKey]int)
-	for _, m := range members {
-		k := keyOf(m)
-		if len(members) <= exactLimit {
+	for _, m := range candidates {
+		k := classKeyOf(m)
+		if len(candidates) <= maxExactEngines {
 			k.id = m.upstream.ID
 		}
 		i, ok := index[k]
@@ -159,31 +164,32 @@
 		c.fixed, c.layer = min(c.fixed, m.fixed), min(c.layer, m.layer)
 		c.position = min(c.position, m.position)
 	}
-	// The fastest class of some layers comes first, so that a plan can leave out
-	// most of the others.
+	// Of classes with the same layers the fastest comes first, so that a plan can
+	// skip most of the others.
 	slices.SortStableFunc(g.classes, func(a, b class) int {
 		return cmp.Or(
 			cmp.Compare(a.layers.From, b.layers.From), cmp.Compare(a.layers.To, b.layers.To),
-			cmp.Compare(a.least(), b.least()))
+			cmp.Compare(a.minStepTime(), b.minStepTime()))
 	})
 	slices.Sort(g.boundaries)
 	g.boundaries = slices.Compact(g.boundaries)
 	return g
 }
 
-// classKey is what the engines of a class have in common: layers, and speeds
-// within a factor of two.
+// classKey identifies a class: its engines have the same layers, and speeds within
+// a factor of two. The id is set only when each engine forms a class of its own.
 type classKey struct {
 	layers       upstream.LayerRange
 	fixed, layer int
 	id           fleet.UpstreamID
 }
 
-func keyOf(m *member) classKey {
-	return classKey{layers: m.upstream.Layers, fixed: octave(m.fixed), layer: octave(m.layer)}
+func classKeyOf(m *candidate) classKey {
+	return classKey{layers: m.upstream.Layers, fixed: log2Bucket(m.fixed), layer: log2Bucket(m.layer)}
 }
 
-func octave(nanoseconds float64) int {
+// log2Bucket returns the power of two at or below a time as its exponent.
+func log2Bucket(nanoseconds float64) int {
 	return int(math.Floor(math.Log2(max(nanoseconds, 1))))
 }
 
--- a/internal/pipeline/repair/loop.go
+++ b/internal/pipeline/repair/loop.go
@@ -12,35 +12,35 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// DefaultInterval is the time between two ticks.
-const DefaultInterval = time.Second
+// TickInterval is the time between two ticks.
+const TickInterval = time.Second
 
-// Loop runs a Controller.
+// Loop runs a Controller and sends its commands.
 type Loop struct {
 	Controller *Controller
 	Roster     upstream.Roster
-	// Models returns the models of the configuration in force.
+	// Models returns the models of the active configuration.
 	Models    func() []document.Model
 	Commander pipeline.Commander
 	Clock     fleet.Clock
 	Logger    *zap.Logger
 }
 
-// Run ticks until ctx ends. Only one instance of a data centre should run it; the
-// Commander refuses the commands of any other.
+// Run calls RunOnce every TickInterval until ctx ends. Only one instance of a data
+// centre should run it. The Commander rejects the commands of all others.
 func (l *Loop) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.Clock.After(DefaultInterval):
-			l.Once(ctx)
+		case <-l.Clock.After(TickInterval):
+			l.RunOnce(ctx)
 		}
 	}
 }
 
-// Once runs one tick and sends its commands.
-func (l *Loop) Once(ctx context.Context) {
+// RunOnce runs one tick and sends its commands.
+func (l *Loop) RunOnce(ctx context.Context) {
 	now := l.Clock.Now()
 	in := Input{Now: now, Models: l.Models()}
 	seen := make(map[fleet.PoolID]bool)
@@ -54,7 +54,7 @@
 		err := l.Commander.Send(ctx, e.Upstream, e.Command)
 		l.Logger.Info("A command was sent.", zap.String("upstream", string(e.Upstream.ID)), zap.String("reason", e.Reason), zap.Error(err))
 		if err != nil {
-			l.Controller.Failed(e.Upstream.ID, now)
+			l.Controller.MarkFailed(e.Upstream.ID, now)
 		}
 	}
 }
