--- a/internal/membership/gossip/centres.go
+++ b/internal/membership/gossip/centres.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// summaryPeriod is the least time between two summaries of a data centre
+	// minSummaryInterval is the least time between two summaries of a data centre
 	// when its contacts change. Counts and revisions alone wait longer.
-	summaryPeriod     = 2 * time.Second
-	slowSummaryPeriod = 30 * time.Second
-	// usagePeriod is multiplied by the number of origins in a scope, so that the
+	minSummaryInterval  = 2 * time.Second
+	slowSummaryInterval = 30 * time.Second
+	// usageInterval is multiplied by the number of origins in a scope, so that the
 	// bytes for usages don't grow with their number.
-	usagePeriod    = 750 * time.Millisecond
+	usageInterval  = 750 * time.Millisecond
 	usageRetention = time.Minute
-	// heartbeatRestart is the silence after which any other heartbeat counts as
+	// heartbeatResetAge is the silence after which any other heartbeat counts as
 	// newer, because the 16 bits may have wrapped.
-	heartbeatRestart = time.Hour
-	centreBytes      = 8
-	// introductionTime is the time for which an introduction is passed on.
-	introductionTime = 30 * time.Second
+	heartbeatResetAge = time.Hour
+	centreEntryBytes  = 8
+	// maxIntroductionAge is the time for which an introduction is passed on.
+	maxIntroductionAge = 30 * time.Second
 )
 
-// centre is what is known of one data centre.
-type centre struct {
-	heartbeat uint16
-	heard     time.Time
-	summary   *gossipv1.Summary
+// centreState is what is known of one data centre.
+type centreState struct {
+	heartbeat     uint16
+	lastHeartbeat time.Time
+	summary       *gossipv1.Summary
 	// address is the last address that a message from there came from.
 	address string
 	// introduced lists the last instances from there that introduced themselves
@@ -43,49 +43,49 @@
 }
 
 type introduction struct {
-	record *gossipv1.Member
-	at     time.Time
+	record     *gossipv1.Member
+	receivedAt time.Time
 }
 
 type usage struct {
-	record *gossipv1.Usage
-	heard  time.Time
+	record     *gossipv1.Usage
+	receivedAt time.Time
 }
 
-// Centre is what is known of one data centre.
-type Centre struct {
+// DataCentre is what is known of one data centre.
+type DataCentre struct {
 	ID fleet.DataCentreID
 	// Alive counts the live instances, and Highest and Lowest bound their
 	// revisions in force.
-	Alive           int
-	Highest, Lowest fleet.Revision
-	// Usable counts the usable upstreams of each pool.
-	Usable map[fleet.PoolID]int
-	// Silence is the time since the last heartbeat.
-	Silence time.Duration
+	Alive                           int
+	HighestRevision, LowestRevision fleet.Revision
+	// UsableUpstreams counts the usable upstreams of each pool.
+	UsableUpstreams map[fleet.PoolID]int
+	// HeartbeatAge is the time since the last heartbeat.
+	HeartbeatAge time.Duration
 }
 
-// Centres returns the known data centres at now, ordered by ID.
-func (c *Core) Centres(now time.Time) []Centre {
-	var all []Centre
+// DataCentres returns the known data centres at now, ordered by ID.
+func (c *Core) DataCentres(now time.Time) []DataCentre {
+	var all []DataCentre
 	for _, id := range sortedKeys(c.centres) {
-		all = append(all, c.viewCentre(id, now))
+		all = append(all, c.dataCentreView(id, now))
 	}
 	return all
 }
 
-func (c *Core) viewCentre(id fleet.DataCentreID, now time.Time) Centre {
+func (c *Core) dataCentreView(id fleet.DataCentreID, now time.Time) DataCentre {
 	s := c.centres[id].summary
 	if id == fleet.DataCentreID(c.self.record.DataCentre) {
 		s = c.summarize()
 	}
-	v := Centre{
-		ID: id, Alive: int(s.GetAlive()), Highest: fleet.Revision(s.GetHighestRevision()),
-		Lowest: fleet.Revision(s.GetLowestRevision()), Usable: make(map[fleet.PoolID]int),
-		Silence: c.silence(id, now),
+	v := DataCentre{
+		ID: id, Alive: int(s.GetAlive()), HighestRevision: fleet.Revision(s.GetHighestRevision()),
+		LowestRevision: fleet.Revision(s.GetLowestRevision()), UsableUpstreams: make(map[fleet.PoolID]int),
+		HeartbeatAge: c.heartbeatAge(id, now),
 	}
 	for _, p := range s.GetPools() {
-		v.Usable[fleet.PoolID(p.Id)] = int(p.Upstreams)
+		v.UsableUpstreams[fleet.PoolID(p.Id)] = int(p.Upstreams)
 	}
 	return v
 }
@@ -115,12 +115,12 @@
 func chooseContacts(ring []*member) []*member {
 	contacts := slices.Clone(ring)
 	slices.SortFunc(contacts, func(a, b *member) int {
-		return cmp.Compare(rendezvous(b.record), rendezvous(a.record))
+		return cmp.Compare(rendezvousHash(b.record), rendezvousHash(a.record))
 	})
 	return contacts[:min(len(contacts), contactCount)]
 }
 
-func rendezvous(r *gossipv1.Member) uint64 {
+func rendezvousHash(r *gossipv1.Member) uint64 {
 	return xxhash.Sum64String(r.DataCentre + "/" + r.Id)
 }
 
@@ -129,96 +129,96 @@
 	return slices.Contains(c.contacts, m)
 }
 
-// speaks reports whether this instance writes the summary and the heartbeat of
+// isPublisher reports whether this instance writes the summary and the heartbeat of
 // its data centre.
-func (c *Core) speaks() bool {
+func (c *Core) isPublisher() bool {
 	c.currentRing()
 	return len(c.contacts) > 0 && c.contacts[0] == c.self
 }
 
-func (c *Core) centre(id fleet.DataCentreID, now time.Time) *centre {
+func (c *Core) centre(id fleet.DataCentreID, now time.Time) *centreState {
 	s, ok := c.centres[id]
 	if !ok {
-		s = &centre{heard: now}
+		s = &centreState{lastHeartbeat: now}
 		c.centres[id] = s
 	}
 	return s
 }
 
-// noteSender keeps the address of a sender in another data centre to answer to.
-func (c *Core) noteSender(m *gossipv1.Message, address string, now time.Time) {
-	if m.DataCentre != "" && !c.local(m.DataCentre) {
+// recordSender keeps the address of a sender in another data centre to answer to.
+func (c *Core) recordSender(m *gossipv1.Message, address string, now time.Time) {
+	if m.DataCentre != "" && !c.isLocal(m.DataCentre) {
 		c.centre(fleet.DataCentreID(m.DataCentre), now).address = address
 	}
 }
 
-// acquaint adds to an answer the instances of the asking data centre that
+// shareIntroductions adds to an answer the instances of the asking data centre that
 // introduced themselves here shortly before. In a large fleet this instance
 // keeps no records of them, and they may have no other way to find each other.
-func (c *Core) acquaint(answer, ping *gossipv1.Message, now time.Time) {
-	if c.local(ping.DataCentre) {
+func (c *Core) shareIntroductions(answer, ping *gossipv1.Message, now time.Time) {
+	if c.isLocal(ping.DataCentre) {
 		return
 	}
 	s := c.centre(fleet.DataCentreID(ping.DataCentre), now)
 	s.introduced = slices.DeleteFunc(s.introduced, func(i introduction) bool {
-		return i.record.Id == ping.From || now.Sub(i.at) > introductionTime
+		return i.record.Id == ping.From || now.Sub(i.receivedAt) > maxIntroductionAge
 	})
 	for _, i := range s.introduced {
 		answer.Members = append(answer.Members, i.record)
 	}
 	at := slices.IndexFunc(ping.Members, func(u *gossipv1.Member) bool { return u.Id == ping.From })
-	if at < 0 || ended(ping.Members[at]) {
+	if at < 0 || deadOrLeft(ping.Members[at]) {
 		return
 	}
-	s.introduced = append(s.introduced, introduction{record: ping.Members[at], at: now})
+	s.introduced = append(s.introduced, introduction{record: ping.Members[at], receivedAt: now})
 	s.introduced = s.introduced[max(0, len(s.introduced)-contactCount):]
 }
 
-// silence is the time since the last heartbeat of a data centre.
-func (c *Core) silence(id fleet.DataCentreID, now time.Time) time.Duration {
+// heartbeatAge is the time since the last heartbeat of a data centre.
+func (c *Core) heartbeatAge(id fleet.DataCentreID, now time.Time) time.Duration {
 	s, ok := c.centres[id]
-	if !ok || c.local(string(id)) {
+	if !ok || c.isLocal(string(id)) {
 		return 0
 	}
-	return max(0, now.Sub(s.heard))
+	return max(0, now.Sub(s.lastHeartbeat))
 }
 
 // fleetSize counts the live instances everywhere.
 func (c *Core) fleetSize() int {
 	size := len(c.currentRing())
-	counted := make(map[string]int)
+	knownMembers := make(map[string]int)
 	for _, m := range c.members {
-		if m.present() && !c.local(m.record.DataCentre) {
-			counted[m.record.DataCentre]++
+		if m.present() && !c.isLocal(m.record.DataCentre) {
+			knownMembers[m.record.DataCentre]++
 		}
 	}
 	for id, s := range c.centres {
-		if c.local(string(id)) {
+		if c.isLocal(string(id)) {
 			continue
 		}
 		if s.summary != nil {
 			size += int(s.summary.Alive)
 			continue
 		}
-		size += counted[string(id)]
+		size += knownMembers[string(id)]
 	}
 	return size
 }
 
-// advanceHeartbeat advances the heartbeat, the summary and the usage of the data centre when
+// publishState advances the heartbeat, the summary and the usage of the data centre when
 // this instance speaks for it, and the usage of this instance.
-func (c *Core) advanceHeartbeat(now time.Time) {
-	if now.Before(c.nextSummaryHeartbeat) {
+func (c *Core) publishState(now time.Time) {
+	if now.Before(c.nextCentreHeartbeat) {
 		return
 	}
-	c.nextSummaryHeartbeat = now.Add(heartbeatPeriod)
+	c.nextCentreHeartbeat = now.Add(heartbeatInterval)
 	own := c.centre(fleet.DataCentreID(c.self.record.DataCentre), now)
 	c.publishUsage(now)
-	if !c.speaks() {
+	if !c.isPublisher() {
 		return
 	}
 	own.heartbeat = nextHeartbeat(own.heartbeat, now)
-	own.heard = now
+	own.lastHeartbeat = now
 	c.publishSummary(own, now)
 }
 
@@ -226,13 +226,13 @@
 // instances of a data centre restart at once.
 func nextHeartbeat(h uint16, now time.Time) uint16 {
 	next := h + 1
-	if clock := uint16(now.Unix()); int16(clock-next) > 0 {
-		return clock
+	if seconds := uint16(now.Unix()); int16(seconds-next) > 0 {
+		return seconds
 	}
 	return next
 }
 
-func (c *Core) publishSummary(own *centre, now time.Time) {
+func (c *Core) publishSummary(own *centreState, now time.Time) {
 	s := c.summarize()
 	old := own.summary
 	if old != nil {
@@ -244,20 +244,20 @@
 	if !c.summaryDue(s, old, now) {
 		return
 	}
-	c.nextSummary = now
+	c.lastSummary = now
 	s.Version = max(s.Version+1, uint64(now.UnixMilli()))
 	own.summary = s
 }
 
 func (c *Core) summaryDue(s, old *gossipv1.Summary, now time.Time) bool {
-	period := slowSummaryPeriod
-	if !c.large {
-		period = summaryPeriod * 2
+	period := slowSummaryInterval
+	if !c.largeFleet {
+		period = minSummaryInterval * 2
 	}
 	if old == nil || !slices.EqualFunc(s.Contacts, old.Contacts, func(a, b *gossipv1.Contact) bool { return a.Id == b.Id }) {
-		period = summaryPeriod
+		period = minSummaryInterval
 	}
-	return now.Sub(c.nextSummary) >= period
+	return now.Sub(c.lastSummary) >= period
 }
 
 func (c *Core) summarize() *gossipv1.Summary {
@@ -286,15 +286,15 @@
 	}
 	s.summary = u
 	c.highest = max(c.highest, fleet.Revision(u.HighestRevision))
-	if c.local(u.DataCentre) {
-		c.meet(u.Contacts, now)
+	if c.isLocal(u.DataCentre) {
+		c.pingAbsentContacts(u.Contacts, now)
 	}
 }
 
-// meet pings contacts of the own data centre that are not known as present.
+// pingAbsentContacts pings contacts of the own data centre that are not known as present.
 // Instances that joined by seeds elsewhere, and the halves of a partition, find
 // the others of their data centre in this way.
-func (c *Core) meet(contacts []*gossipv1.Contact, now time.Time) {
+func (c *Core) pingAbsentContacts(contacts []*gossipv1.Contact, now time.Time) {
 	for _, t := range contacts {
 		m, ok := c.members[fleet.InstanceID(t.Id)]
 		if ok && m.present() {
@@ -306,7 +306,7 @@
 
 func (c *Core) publishUsage(now time.Time) {
 	for origin, u := range c.usages {
-		if now.Sub(u.heard) > usageRetention {
+		if now.Sub(u.receivedAt) > usageRetention {
 			delete(c.usages, origin)
 		}
 	}
@@ -314,17 +314,17 @@
 	if now.Before(c.nextUsage) {
 		return
 	}
-	c.nextUsage = now.Add(max(time.Second, usagePeriod*time.Duration(origins)))
+	c.nextUsage = now.Add(max(time.Second, usageInterval*time.Duration(origins)))
 	if c.ownUsage != nil {
 		c.mergeUsage(&gossipv1.Usage{Origin: c.self.record.Id, Version: uint64(now.UnixMilli()), Data: c.ownUsage}, now)
 	}
-	if data := c.combined(); data != nil && c.speaks() {
+	if data := c.combinedUsage(); data != nil && c.isPublisher() {
 		c.mergeUsage(&gossipv1.Usage{Origin: c.self.record.DataCentre, Version: uint64(now.UnixMilli()), Data: data, Wide: true}, now)
 	}
 }
 
-func (c *Core) combined() []byte {
-	if c.combine == nil {
+func (c *Core) combinedUsage() []byte {
+	if c.combineUsages == nil {
 		return c.ownUsage
 	}
 	var all [][]byte
@@ -333,7 +333,7 @@
 			all = append(all, u.record.Data)
 		}
 	}
-	data := c.combine(all)
+	data := c.combineUsages(all)
 	if len(data) > MaxUsage {
 		return nil
 	}
@@ -349,19 +349,19 @@
 	if len(u.Data) > MaxUsage || (ok && u.Version <= old.record.Version) {
 		return
 	}
-	c.usages[key] = &usage{record: u, heard: now}
+	c.usages[key] = &usage{record: u, receivedAt: now}
 	c.enqueue(usageKey(key))
 }
 
 // probeCentres makes a contact exchange news with one other data centre.
 func (c *Core) probeCentres(now time.Time) {
-	if now.Before(c.nextCross) || !c.isContact(c.self) {
+	if now.Before(c.nextCentreProbe) || !c.isContact(c.self) {
 		return
 	}
-	c.nextCross = now.Add(crossPeriod)
+	c.nextCentreProbe = now.Add(centreProbeInterval)
 	var others []fleet.DataCentreID
 	for _, id := range sortedKeys(c.centres) {
-		if !c.local(string(id)) {
+		if !c.isLocal(string(id)) {
 			others = append(others, id)
 		}
 	}
@@ -369,25 +369,25 @@
 		return
 	}
 	rank := slices.Index(c.contacts, c.self)
-	c.centreTurn++
+	c.centreIndex++
 	// Contacts start at different data centres.
-	id := others[(c.centreTurn+rank*len(others)/contactCount)%len(others)]
-	to, address := c.contactOf(id)
+	id := others[(c.centreIndex+rank*len(others)/contactCount)%len(others)]
+	to, address := c.chooseContact(id)
 	if address != "" {
 		c.ping(to, address, string(id), now, false)
 	}
 }
 
-// contactOf chooses an instance of another data centre: one of its contacts, a
+// chooseContact chooses an instance of another data centre: one of its contacts, a
 // known member, or the last sender from there.
-func (c *Core) contactOf(id fleet.DataCentreID) (fleet.InstanceID, string) {
+func (c *Core) chooseContact(id fleet.DataCentreID) (fleet.InstanceID, string) {
 	s := c.centres[id]
 	if contacts := s.summary.GetContacts(); len(contacts) > 0 {
 		t := contacts[c.random.IntN(len(contacts))]
 		return fleet.InstanceID(t.Id), t.Gossip
 	}
 	var known []*member
-	for _, m := range c.byID() {
+	for _, m := range c.membersByID() {
 		if m.record.DataCentre == string(id) && m.present() {
 			known = append(known, m)
 		}
@@ -401,12 +401,12 @@
 
 // version returns the low 16 bits of the version of the summary, which tell that
 // two summaries differ but not which is newer.
-func (s *centre) version() uint16 { return uint16(s.summary.GetVersion()) }
+func (s *centreState) version() uint16 { return uint16(s.summary.GetVersion()) }
 
 // packCentres returns, for each data centre, 4 bytes of the hash of its id, 2
 // bytes of its heartbeat and 2 bytes of the version of its summary.
 func (c *Core) packCentres() []byte {
-	b := make([]byte, 0, centreBytes*len(c.centres))
+	b := make([]byte, 0, centreEntryBytes*len(c.centres))
 	for _, id := range sortedKeys(c.centres) {
 		s := c.centres[id]
 		b = binary.LittleEndian.AppendUint32(b, hash32(string(id), 0))
@@ -419,47 +419,47 @@
 // mergeCentres applies heartbeats. Another version of a summary makes the next
 // ping ask for it.
 func (c *Core) mergeCentres(b []byte, now time.Time) {
-	byHash := make(map[uint32]*centre, len(c.centres))
+	byHash := make(map[uint32]*centreState, len(c.centres))
 	for id, s := range c.centres {
 		byHash[hash32(string(id), 0)] = s
 	}
-	for ; len(b) >= centreBytes; b = b[centreBytes:] {
+	for ; len(b) >= centreEntryBytes; b = b[centreEntryBytes:] {
 		s, ok := byHash[binary.LittleEndian.Uint32(b)]
 		if !ok {
-			c.lacksSummary = true
+			c.needsSummary = true
 			continue
 		}
-		s.advance(binary.LittleEndian.Uint16(b[4:]), now)
+		s.mergeHeartbeat(binary.LittleEndian.Uint16(b[4:]), now)
 		if s.version() != binary.LittleEndian.Uint16(b[6:]) {
-			c.lacksSummary = true
+			c.needsSummary = true
 		}
 	}
 }
 
 // serveSummaries adds the summaries that the sender of a ping has in another
 // version, as far as there is room.
-func (c *Core) serveSummaries(m *gossipv1.Message, theirs []byte) {
-	if len(theirs) == 0 {
+func (c *Core) serveSummaries(m *gossipv1.Message, peerCentres []byte) {
+	if len(peerCentres) == 0 {
 		return
 	}
 	versions := make(map[uint32]uint16)
-	for b := theirs; len(b) >= centreBytes; b = b[centreBytes:] {
+	for b := peerCentres; len(b) >= centreEntryBytes; b = b[centreEntryBytes:] {
 		versions[binary.LittleEndian.Uint32(b)] = binary.LittleEndian.Uint16(b[6:])
 	}
 	room := MaxMessage - proto.Size(m)
 	for _, id := range sortedKeys(c.centres) {
 		s := c.centres[id]
 		if s.summary != nil && versions[hash32(string(id), 0)] != s.version() {
-			room -= add(&m.Summaries, s.summary, room)
+			room -= appendRecord(&m.Summaries, s.summary, room)
 		}
 	}
 }
 
-func (s *centre) advance(heartbeat uint16, now time.Time) {
+func (s *centreState) mergeHeartbeat(heartbeat uint16, now time.Time) {
 	newer := int16(heartbeat-s.heartbeat) > 0
-	restarted := heartbeat != s.heartbeat && now.Sub(s.heard) > heartbeatRestart
+	restarted := heartbeat != s.heartbeat && now.Sub(s.lastHeartbeat) > heartbeatResetAge
 	if newer || restarted {
 		s.heartbeat = heartbeat
-		s.heard = now
+		s.lastHeartbeat = now
 	}
 }
--- a/internal/membership/gossip/core.go
+++ b/internal/membership/gossip/core.go
@@ -81,39 +81,39 @@
 const UpstreamRetention = 10 * time.Minute
 
 const (
-	probePeriod = 350 * time.Millisecond
-	// repairPeriod replaces probePeriod while the records of the data centre are
+	probeInterval = 350 * time.Millisecond
+	// repairInterval replaces probePeriod while the records of the data centre are
 	// read. 600 upstreams take 54 KB, which is 21 s at the usual period.
-	repairPeriod  = 100 * time.Millisecond
-	probeTimeout  = 300 * time.Millisecond
-	probeDeadline = time.Second
-	minSuspicion  = 3 * time.Second
-	maxSuspicion  = 6 * time.Second
-	crossPeriod   = time.Second
-	rejoinPeriod  = 5 * time.Second
-	joinPeriod    = time.Second
-	// seedPeriod keeps the load of a seed low: 60 contacts of 20 data centres
+	repairInterval      = 100 * time.Millisecond
+	probeTimeout        = 300 * time.Millisecond
+	probeDeadline       = time.Second
+	minSuspicionTimeout = 3 * time.Second
+	maxSuspicionTimeout = 6 * time.Second
+	centreProbeInterval = time.Second
+	rejoinInterval      = 5 * time.Second
+	joinInterval        = time.Second
+	// seedInterval keeps the load of a seed low: 60 contacts of 20 data centres
 	// that ping 2 seeds make one ping a second for each.
-	seedPeriod      = 30 * time.Second
-	heartbeatPeriod = time.Second
-	// pauseLimit is the time without a tick after which the process counts as
+	seedInterval      = 30 * time.Second
+	heartbeatInterval = time.Second
+	// pauseThreshold is the time without a tick after which the process counts as
 	// paused.
-	pauseLimit = time.Second
-	// silenceSuspect and silenceDead are the times without a heartbeat after
+	pauseThreshold = time.Second
+	// centreSuspectTimeout and silenceDead are the times without a heartbeat after
 	// which the members of another data centre are shown as suspect and dead.
-	silenceSuspect = 15 * time.Second
-	silenceDead    = 45 * time.Second
-	// centreAnswers is the number of answers within the data centre for each one
+	centreSuspectTimeout = 15 * time.Second
+	centreDeadTimeout    = 45 * time.Second
+	// acksPerCentreHeartbeat is the number of answers within the data centre for each one
 	// that carries the heartbeats of the data centres.
-	centreAnswers = 3
-	maxScore      = 8
+	acksPerCentreHeartbeat = 3
+	maxHealthScore         = 8
 	// leaveTargets is the number of instances that hear of a leave directly.
-	leaveTargets = 8
-	helpers      = 3
-	contactCount = 3
-	// wantedAccusers is the number of independent suspicions that shorten the
+	leaveTargets   = 8
+	indirectProbes = 3
+	contactCount   = 3
+	// expectedAccusers is the number of independent suspicions that shorten the
 	// suspicion to its minimum.
-	wantedAccusers = 3
+	expectedAccusers = 3
 )
 
 // Envelope is a message to send. To is empty when only the address is known.
@@ -150,50 +150,50 @@
 
 // Core is the state of one instance. It is not safe for concurrent use.
 type Core struct {
-	random  *rand.Rand
-	combine func([][]byte) []byte
-	seeds   []string
-	self    *member
-	leaving bool
-	last    time.Time
-
-	members   map[fleet.InstanceID]*member
-	byHash    map[uint32]*member
-	ordered   []*member
-	ring      []*member
-	contacts  []*member
-	ringStale bool
-	large     bool
-
-	sequence uint64
-	probes   map[uint64]*probe
-	relays   map[uint64]relay
-	distance int
-	score    int
-	answers  int
-
-	nextProbe, nextCross, nextRejoin, nextSummaryHeartbeat, nextPrune, nextUsage, nextSummary, nextSeed time.Time
-
-	queue  map[string]*queued
-	queued uint64
-	// settled is set while records are merged that are no news.
-	settled bool
-	repairs [2]repair
-	sums    digests
-
-	tables       map[uint32]*table
-	slot         uint32
-	items        map[fleet.UpstreamID]*item
+	random        *rand.Rand
+	combineUsages func([][]byte) []byte
+	seeds         []string
+	self          *member
+	leaving       bool
+	lastCall      time.Time
+
+	members    map[fleet.InstanceID]*member
+	byHash     map[uint32]*member
+	ordered    []*member
+	ring       []*member
+	contacts   []*member
+	ringStale  bool
+	largeFleet bool
+
+	sequence    uint64
+	probes      map[uint64]*probe
+	relays      map[uint64]relay
+	repairRound int
+	healthScore int
+	acksSent    int
+
+	nextProbe, nextCentreProbe, nextRejoin, nextCentreHeartbeat, nextPrune, nextUsage, lastSummary, nextSeed time.Time
+
+	queue        map[string]*queuedRecord
+	queueOrdinal uint64
+	// mergingRepair is set while records are merged that are no news.
+	mergingRepair bool
+	repairs       [2]repair
+	digests       digests
+
+	slotTables   map[uint32]*slotTable
+	lastSlot     uint32
+	upstreams    map[fleet.UpstreamID]*upstreamEntry
 	reportOffset int
 	highest      fleet.Revision
-	// answered is the highest revision that the sender of the answer in work
+	// ackRevision is the highest revision that the sender of the answer in work
 	// knows of.
-	answered fleet.Revision
+	ackRevision fleet.Revision
 
-	centres    map[fleet.DataCentreID]*centre
-	centreTurn int
-	// lacksSummary tells that another instance has another version of a summary.
-	lacksSummary bool
+	centres     map[fleet.DataCentreID]*centreState
+	centreIndex int
+	// needsSummary tells that another instance has another version of a summary.
+	needsSummary bool
 	ownPools     map[fleet.PoolID]int
 	ownUsage     []byte
 	usages       map[string]*usage
@@ -213,7 +213,7 @@
 // its data centre from the usages of the instances. Without it the usage of the
 // contact is taken.
 func WithCombine(f func([][]byte) []byte) Option {
-	return func(c *Core) { c.combine = f }
+	return func(c *Core) { c.combineUsages = f }
 }
 
 // New returns a Core for self. The incarnation of self must be higher than that
@@ -221,18 +221,18 @@
 // do. Seeds are gossip addresses to join by.
 func New(self membership.Member, seeds []string, options ...Option) *Core {
 	c := &Core{
-		random:   rand.New(rand.NewPCG(xxhash.Sum64String(string(self.ID)), uint64(self.Incarnation))),
-		seeds:    seeds,
-		members:  make(map[fleet.InstanceID]*member),
-		byHash:   make(map[uint32]*member),
-		probes:   make(map[uint64]*probe),
-		relays:   make(map[uint64]relay),
-		queue:    make(map[string]*queued),
-		tables:   make(map[uint32]*table),
-		items:    make(map[fleet.UpstreamID]*item),
-		centres:  make(map[fleet.DataCentreID]*centre),
-		usages:   make(map[string]*usage),
-		ownPools: make(map[fleet.PoolID]int),
+		random:     rand.New(rand.NewPCG(xxhash.Sum64String(string(self.ID)), uint64(self.Incarnation))),
+		seeds:      seeds,
+		members:    make(map[fleet.InstanceID]*member),
+		byHash:     make(map[uint32]*member),
+		probes:     make(map[uint64]*probe),
+		relays:     make(map[uint64]relay),
+		queue:      make(map[string]*queuedRecord),
+		slotTables: make(map[uint32]*slotTable),
+		upstreams:  make(map[fleet.UpstreamID]*upstreamEntry),
+		centres:    make(map[fleet.DataCentreID]*centreState),
+		usages:     make(map[string]*usage),
+		ownPools:   make(map[fleet.PoolID]int),
 	}
 	for _, o := range options {
 		o(c)
@@ -252,41 +252,41 @@
 
 // Tick does what is due at now. It is meant to be called about every 50 ms.
 func (c *Core) Tick(now time.Time) Effects {
-	c.notePause(now)
+	c.detectPause(now)
 	if c.leaving {
-		return c.take()
+		return c.takeEffects()
 	}
 	c.expireProbes(now)
 	c.expireSuspicions(now)
 	c.prune(now)
-	c.advanceHeartbeat(now)
+	c.publishState(now)
 	c.probeRing(now)
 	c.probeCentres(now)
 	c.rejoin(now)
-	return c.take()
+	return c.takeEffects()
 }
 
 // Receive handles a message that came from address.
 func (c *Core) Receive(m *gossipv1.Message, address string, now time.Time) Effects {
-	c.notePause(now)
+	c.detectPause(now)
 	if m.From == c.self.record.Id {
-		return c.take()
+		return c.takeEffects()
 	}
 	c.highest = max(c.highest, fleet.Revision(m.Revision))
-	c.noteSender(m, address, now)
+	c.recordSender(m, address, now)
 	// Records that were asked for by repair are old news and aren't spread.
-	c.settled = m.Kind == gossipv1.Kind_KIND_ACK && m.Repair != nil
+	c.mergingRepair = m.Kind == gossipv1.Kind_KIND_ACK && m.Repair != nil
 	c.mergeAll(m, now)
-	c.settled = false
+	c.mergingRepair = false
 	switch m.Kind {
 	case gossipv1.Kind_KIND_PING:
-		c.answer(m, address, now)
+		c.handlePing(m, address, now)
 	case gossipv1.Kind_KIND_ACK:
-		c.acknowledge(m, now)
+		c.handleAck(m, now)
 	case gossipv1.Kind_KIND_PING_REQUEST:
-		c.help(m, address, now)
+		c.handlePingRequest(m, address, now)
 	}
-	return c.take()
+	return c.takeEffects()
 }
 
 func (c *Core) mergeAll(m *gossipv1.Message, now time.Time) {
@@ -313,7 +313,7 @@
 // Leave announces that this instance leaves. The core sends nothing afterwards
 // but answers and, when Leave is called again, the announcement once more.
 func (c *Core) Leave(now time.Time) Effects {
-	c.last = later(c.last, now)
+	c.lastCall = laterOf(c.lastCall, now)
 	if !c.leaving {
 		c.leaving = true
 		record := clone(c.self.record)
@@ -325,7 +325,7 @@
 	for _, t := range targets[:min(len(targets), leaveTargets)] {
 		c.ping(t.id(), t.record.Gossip, t.record.DataCentre, now, true)
 	}
-	return c.take()
+	return c.takeEffects()
 }
 
 // SetRevision records the configuration in force on this instance.
@@ -333,9 +333,9 @@
 	if r > c.self.revision {
 		c.self.revision, c.self.since = r, since
 		c.highest = max(c.highest, r)
-		c.changed(c.self)
+		c.reportChange(c.self)
 	}
-	return c.take()
+	return c.takeEffects()
 }
 
 // SetPools records the number of usable upstreams of each pool, for the summary
@@ -352,10 +352,10 @@
 	return true
 }
 
-// Highest returns the highest revision in force anywhere that is known.
-func (c *Core) Highest() fleet.Revision { return c.highest }
+// HighestRevision returns the highest revision in force anywhere that is known.
+func (c *Core) HighestRevision() fleet.Revision { return c.highest }
 
-func (c *Core) take() Effects {
+func (c *Core) takeEffects() Effects {
 	e := c.effects
 	c.effects = Effects{}
 	return e
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -17,10 +17,10 @@
 // are the cases of runScript.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var w *world
+		var w *simulation
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd == "new" {
-				w = newWorld(t, 1, number(t, d, "centres"), number(t, d, "each"))
+				w = newSimulation(t, 1, intArg(t, d, "centres"), intArg(t, d, "each"))
 				w.bootAll()
 				return ""
 			}
@@ -29,44 +29,44 @@
 	})
 }
 
-func (w *world) runScript(t *testing.T, d *datadriven.TestData) string {
+func (w *simulation) runScript(t *testing.T, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "run":
-		w.run(length(t, d, "for"))
+		w.run(durationArg(t, d, "for"))
 	case "crash":
-		w.hosts[number(t, d, "host")].up = false
+		w.hosts[intArg(t, d, "host")].up = false
 	case "boot":
-		w.boot(w.hosts[number(t, d, "host")])
+		w.boot(w.hosts[intArg(t, d, "host")])
 	case "freeze":
-		w.hosts[number(t, d, "host")].frozen = true
+		w.hosts[intArg(t, d, "host")].frozen = true
 	case "thaw":
-		w.thaw(w.hosts[number(t, d, "host")])
+		w.thaw(w.hosts[intArg(t, d, "host")])
 	case "leave":
-		h := w.hosts[number(t, d, "host")]
+		h := w.hosts[intArg(t, d, "host")]
 		w.apply(h, h.core.Leave(w.now))
 		h.up = false
 	case "revision":
-		h := w.hosts[number(t, d, "host")]
-		w.apply(h, h.core.SetRevision(fleet.Revision(number(t, d, "to")), w.now))
+		h := w.hosts[intArg(t, d, "host")]
+		w.apply(h, h.core.SetRevision(fleet.Revision(intArg(t, d, "to")), w.now))
 	case "usage":
-		w.hosts[number(t, d, "host")].core.SetUsage([]byte(d.Input))
+		w.hosts[intArg(t, d, "host")].core.SetUsage([]byte(d.Input))
 	case "cut":
-		w.cutBetween(d)
+		w.dropBetween(d)
 	case "status":
-		return w.statuses(w.hosts[number(t, d, "at")])
+		return w.statuses(w.hosts[intArg(t, d, "at")])
 	case "centres":
-		return w.centreList(w.hosts[number(t, d, "at")])
+		return w.centreList(w.hosts[intArg(t, d, "at")])
 	case "suspicions":
-		return fmt.Sprintf("suspicions %d deaths %d\n", len(w.suspected), w.deaths)
+		return fmt.Sprintf("suspicions %d deaths %d\n", len(w.suspected), w.falseDeaths)
 	default:
 		return "unknown command\n"
 	}
 	return ""
 }
 
-// cutBetween drops messages between the hosts listed in a and the hosts listed
+// dropBetween drops messages between the hosts listed in a and the hosts listed
 // in b, in both directions unless oneWay is given. Without lists nothing is cut.
-func (w *world) cutBetween(d *datadriven.TestData) {
+func (w *simulation) dropBetween(d *datadriven.TestData) {
 	side := func(key string) map[string]bool {
 		set := make(map[string]bool)
 		for _, a := range d.CmdArgs {
@@ -77,7 +77,7 @@
 		return set
 	}
 	a, b := side("a"), side("b")
-	w.cut = func(from, to *host) bool {
+	w.drop = func(from, to *host) bool {
 		f, t := fmt.Sprint(from.index), fmt.Sprint(to.index)
 		return (a[f] && b[t]) || (b[f] && a[t] && !d.HasArg("oneWay"))
 	}
@@ -85,7 +85,7 @@
 
 // statuses lists the members at h, with the revision and the age of its start. The
 // age loses up to 1 s on each hop, so it is that much below the true one.
-func (w *world) statuses(h *host) string {
+func (w *simulation) statuses(h *host) string {
 	var b strings.Builder
 	for _, m := range h.core.Members(w.now) {
 		fmt.Fprintf(&b, "%s %s %v", m.ID, m.DataCentre, m.Status)
@@ -97,22 +97,22 @@
 	return b.String()
 }
 
-func (w *world) centreList(h *host) string {
+func (w *simulation) centreList(h *host) string {
 	var b strings.Builder
 	usages := h.core.CentreUsages()
-	for _, c := range h.core.Centres(w.now) {
-		fmt.Fprintf(&b, "%s alive %d revisions %d to %d heard %v usage %q\n", c.ID, c.Alive, c.Lowest, c.Highest, c.Silence < 5*time.Second, usages[c.ID])
+	for _, c := range h.core.DataCentres(w.now) {
+		fmt.Fprintf(&b, "%s alive %d revisions %d to %d heard %v usage %q\n", c.ID, c.Alive, c.LowestRevision, c.HighestRevision, c.HeartbeatAge < 5*time.Second, usages[c.ID])
 	}
 	return b.String()
 }
 
-func number(t *testing.T, d *datadriven.TestData, key string) int {
+func intArg(t *testing.T, d *datadriven.TestData, key string) int {
 	var n int
 	d.ScanArgs(t, key, &n)
 	return n
 }
 
-func length(t *testing.T, d *datadriven.TestData, key string) time.Duration {
+func durationArg(t *testing.T, d *datadriven.TestData, key string) time.Duration {
 	var text string
 	d.ScanArgs(t, key, &text)
 	v, err := time.ParseDuration(text)
@@ -125,9 +125,9 @@
 func TestJoin(t *testing.T) {
 	for _, size := range [][2]int{{3, 1}, {1, 5}, {3, 5}, {6, 6}, {6, 10}} {
 		for seed := range uint64(4) {
-			w := newWorld(t, seed, size[0], size[1])
+			w := newSimulation(t, seed, size[0], size[1])
 			w.bootAll()
-			w.runUntil(time.Minute, func() bool { return w.agreedInCentres(size[1]) })
+			w.runUntil(time.Minute, func() bool { return w.convergedInCentres(size[1]) })
 		}
 	}
 }
@@ -137,7 +137,7 @@
 // members don't cross.
 func TestJoinLate(t *testing.T) {
 	for seed := range uint64(4) {
-		w := newWorld(t, seed, 6, 7)
+		w := newSimulation(t, seed, 6, 7)
 		last := w.hosts[5].centre
 		for _, h := range w.hosts {
 			if h.centre != last {
@@ -150,11 +150,11 @@
 				w.boot(h)
 			}
 		}
-		w.runUntil(time.Minute, func() bool { return w.agreedInCentres(7) })
+		w.runUntil(time.Minute, func() bool { return w.convergedInCentres(7) })
 	}
 }
 
-func (w *world) agreedInCentres(perCentre int) bool {
+func (w *simulation) convergedInCentres(perCentre int) bool {
 	for _, h := range w.hosts {
 		alive := 0
 		for _, m := range h.core.Members(w.now) {
--- a/internal/membership/gossip/members.go
+++ b/internal/membership/gossip/members.go
@@ -19,15 +19,15 @@
 	hash      uint32
 	revision  fleet.Revision
 	since     time.Time
-	ended     time.Time // when the status became dead or left
+	endedAt   time.Time // when the status became dead or left
 	suspicion *suspicion
-	// differing counts the answers in a row with another digest of each scope.
-	differing [2]int
+	// digestMismatches counts the answers in a row with another digest of each scope.
+	digestMismatches [2]int
 }
 
 type suspicion struct {
-	started  time.Time
-	accusers map[uint32]bool
+	startedAt time.Time
+	accusers  map[uint32]bool
 }
 
 func (m *member) id() fleet.InstanceID { return fleet.InstanceID(m.record.Id) }
@@ -40,14 +40,14 @@
 	return proto.Clone(r).(*gossipv1.Member)
 }
 
-func (c *Core) local(dataCentre string) bool { return dataCentre == c.self.record.DataCentre }
+func (c *Core) isLocal(dataCentre string) bool { return dataCentre == c.self.record.DataCentre }
 
 // insert adds a member that is not known yet.
 func (c *Core) insert(r *gossipv1.Member) *member {
 	m := &member{record: r, hash: hash32(r.Id, r.Boot)}
 	c.members[m.id()] = m
 	c.byHash[m.hash] = m
-	c.stale()
+	c.invalidate()
 	return m
 }
 
@@ -57,12 +57,12 @@
 		delete(c.byHash, m.hash)
 	}
 	delete(c.queue, memberKey(m.record.Id))
-	c.stale()
+	c.invalidate()
 }
 
-func (c *Core) stale() {
+func (c *Core) invalidate() {
 	c.ringStale = true
-	c.sums.stale = true
+	c.digests.stale = true
 }
 
 // mergeMember applies a received record under the precedence of SWIM: a higher
@@ -72,7 +72,7 @@
 		c.refute(u, now)
 		return
 	}
-	if !c.wanted(u) {
+	if !c.keepsRecord(u) {
 		return
 	}
 	m, ok := c.members[fleet.InstanceID(u.Id)]
@@ -81,19 +81,19 @@
 		return
 	}
 	if u.Incarnation == m.record.Incarnation && u.Status == gossipv1.Status_STATUS_SUSPECT {
-		c.accuse(m, u.Accuser)
+		c.addAccuser(m, u.Accuser)
 	}
-	if supersedes(u, m.record) {
+	if supersedesMember(u, m.record) {
 		c.update(m, u, now)
 	}
 }
 
-// wanted reports whether the record is of a kind that this instance keeps.
-func (c *Core) wanted(u *gossipv1.Member) bool {
-	if ended(u) && time.Duration(u.AgeSeconds)*time.Second > DeadRetention {
+// keepsRecord reports whether the record is of a kind that this instance keeps.
+func (c *Core) keepsRecord(u *gossipv1.Member) bool {
+	if deadOrLeft(u) && time.Duration(u.AgeSeconds)*time.Second > DeadRetention {
 		return false
 	}
-	return c.local(u.DataCentre) || !c.large || u.Voter
+	return c.isLocal(u.DataCentre) || !c.largeFleet || u.Voter
 }
 
 func (c *Core) mergeUnknown(u *gossipv1.Member, now time.Time) {
@@ -102,11 +102,11 @@
 	c.update(m, u, now)
 }
 
-func ended(u *gossipv1.Member) bool {
+func deadOrLeft(u *gossipv1.Member) bool {
 	return u.Status == gossipv1.Status_STATUS_DEAD || u.Status == gossipv1.Status_STATUS_LEFT
 }
 
-func supersedes(u, old *gossipv1.Member) bool {
+func supersedesMember(u, old *gossipv1.Member) bool {
 	if u.Incarnation != old.Incarnation {
 		return u.Incarnation > old.Incarnation
 	}
@@ -124,21 +124,21 @@
 	m.record = u
 	m.suspicion = nil
 	if u.Status == gossipv1.Status_STATUS_SUSPECT {
-		m.suspicion = &suspicion{started: now, accusers: map[uint32]bool{u.Accuser: true}}
+		m.suspicion = &suspicion{startedAt: now, accusers: map[uint32]bool{u.Accuser: true}}
 	}
-	if ended(u) {
-		m.ended = now.Add(-time.Duration(u.AgeSeconds) * time.Second)
+	if deadOrLeft(u) {
+		m.endedAt = now.Add(-time.Duration(u.AgeSeconds) * time.Second)
 	}
-	c.stale()
+	c.invalidate()
 	c.enqueue(memberKey(u.Id))
-	c.changed(m)
+	c.reportChange(m)
 }
 
-// accuse notes one more independent suspicion of m and spreads it, so that a
+// addAccuser notes one more independent suspicion of m and spreads it, so that a
 // true suspicion ends sooner.
-func (c *Core) accuse(m *member, accuser uint32) {
+func (c *Core) addAccuser(m *member, accuser uint32) {
 	s := m.suspicion
-	if s == nil || s.accusers[accuser] || len(s.accusers) > wantedAccusers {
+	if s == nil || s.accusers[accuser] || len(s.accusers) > expectedAccusers {
 		return
 	}
 	s.accusers[accuser] = true
@@ -159,35 +159,35 @@
 		return
 	}
 	if u.Status == gossipv1.Status_STATUS_SUSPECT {
-		c.score = min(c.score+1, maxScore)
+		c.healthScore = min(c.healthScore+1, maxHealthScore)
 	}
 	record := clone(own)
 	record.Incarnation = u.Incarnation + 1
 	c.update(c.self, record, now)
 }
 
-func (c *Core) changed(m *member) {
-	c.effects.Members = append(c.effects.Members, c.view(m, c.last))
+func (c *Core) reportChange(m *member) {
+	c.effects.Members = append(c.effects.Members, c.memberView(m, c.lastCall))
 }
 
-// wire returns the record of m as it is sent, with the age of its end.
-func (m *member) wire(now time.Time) *gossipv1.Member {
-	if !ended(m.record) {
+// wireRecord returns the record of m as it is sent, with the age of its end.
+func (m *member) wireRecord(now time.Time) *gossipv1.Member {
+	if !deadOrLeft(m.record) {
 		return m.record
 	}
 	record := clone(m.record)
-	record.AgeSeconds = uint32(max(0, now.Sub(m.ended)) / time.Second)
+	record.AgeSeconds = uint32(max(0, now.Sub(m.endedAt)) / time.Second)
 	return record
 }
 
 // Self returns this instance.
-func (c *Core) Self() membership.Member { return c.view(c.self, c.last) }
+func (c *Core) Self() membership.Member { return c.memberView(c.self, c.lastCall) }
 
 // Members returns the known members at now, ordered by ID.
 func (c *Core) Members(now time.Time) []membership.Member {
 	all := make([]membership.Member, 0, len(c.members))
 	for _, m := range c.members {
-		all = append(all, c.view(m, now))
+		all = append(all, c.memberView(m, now))
 	}
 	slices.SortFunc(all, func(a, b membership.Member) int {
 		return strings.Compare(string(a.ID), string(b.ID))
@@ -195,7 +195,7 @@
 	return all
 }
 
-func (c *Core) view(m *member, now time.Time) membership.Member {
+func (c *Core) memberView(m *member, now time.Time) membership.Member {
 	r := m.record
 	return membership.Member{
 		ID: m.id(), Incarnation: fleet.Incarnation(r.Incarnation), Status: c.status(m, now),
@@ -207,14 +207,14 @@
 // status shows present members of a silent data centre as suspect or dead.
 func (c *Core) status(m *member, now time.Time) membership.Status {
 	recorded := membership.Status(m.record.Status)
-	if !m.present() || c.local(m.record.DataCentre) {
+	if !m.present() || c.isLocal(m.record.DataCentre) {
 		return recorded
 	}
-	silence := c.silence(fleet.DataCentreID(m.record.DataCentre), now)
-	if silence > silenceDead {
+	age := c.heartbeatAge(fleet.DataCentreID(m.record.DataCentre), now)
+	if age > centreDeadTimeout {
 		return membership.Dead
 	}
-	if silence > silenceSuspect {
+	if age > centreSuspectTimeout {
 		return membership.Suspect
 	}
 	return recorded
@@ -233,7 +233,7 @@
 	}
 	sortMembers(c.ordered)
 	for _, m := range c.ordered {
-		if m.present() && c.local(m.record.DataCentre) {
+		if m.present() && c.isLocal(m.record.DataCentre) {
 			c.ring = append(c.ring, m)
 		}
 	}
@@ -241,8 +241,8 @@
 	return c.ring
 }
 
-// byID returns all members ordered by id, so that equal seeds lead to equal runs.
-func (c *Core) byID() []*member {
+// membersByID returns all members ordered by id, so that equal seeds lead to equal runs.
+func (c *Core) membersByID() []*member {
 	c.currentRing()
 	return c.ordered
 }
@@ -260,17 +260,17 @@
 		return
 	}
 	c.nextPrune = now.Add(time.Second)
-	c.sums.stale = true
-	c.large = c.fleetSize() > DetailLimit
-	for _, m := range slices.Clone(c.byID()) {
+	c.digests.stale = true
+	c.largeFleet = c.fleetSize() > DetailLimit
+	for _, m := range slices.Clone(c.membersByID()) {
 		if m == c.self {
 			continue
 		}
-		if ended(m.record) && now.Sub(m.ended) > DeadRetention {
+		if deadOrLeft(m.record) && now.Sub(m.endedAt) > DeadRetention {
 			c.remove(m)
 			continue
 		}
-		if !c.wanted(m.record) {
+		if !c.keepsRecord(m.record) {
 			c.remove(m)
 		}
 	}
--- a/internal/membership/gossip/probe.go
+++ b/internal/membership/gossip/probe.go
@@ -20,7 +20,7 @@
 	sent     time.Time
 	ring     bool // an unanswered ping leads to a suspicion
 	indirect bool // helpers were asked
-	judged   bool // the deadline has passed
+	expired  bool // the deadline has passed
 }
 
 // relay is an open ping on behalf of another instance.
@@ -30,28 +30,28 @@
 	sent     time.Time
 }
 
-// notePause drops open probes after a time in which the process did not run,
+// detectPause drops open probes after a time in which the process did not run,
 // because their answers may wait unread, and gives suspicions their time again.
-func (c *Core) notePause(now time.Time) {
-	pause := now.Sub(c.last)
-	if c.last.IsZero() {
+func (c *Core) detectPause(now time.Time) {
+	pause := now.Sub(c.lastCall)
+	if c.lastCall.IsZero() {
 		pause = 0
 	}
-	c.last = now
-	if pause <= pauseLimit {
+	c.lastCall = now
+	if pause <= pauseThreshold {
 		return
 	}
 	c.effects.Resumed = true
-	c.score = min(c.score+2, maxScore)
+	c.healthScore = min(c.healthScore+2, maxHealthScore)
 	clear(c.probes)
 	clear(c.relays)
 	for _, m := range c.members {
 		if m.suspicion != nil {
-			m.suspicion.started = now
+			m.suspicion.startedAt = now
 		}
 	}
 	for _, s := range c.centres {
-		s.heard = now
+		s.lastHeartbeat = now
 	}
 }
 
@@ -60,42 +60,42 @@
 	if now.Before(c.nextProbe) {
 		return
 	}
-	c.nextProbe = c.afterRound(now)
-	t := c.nextNeighbour(now)
+	c.nextProbe = c.nextProbeTime(now)
+	t := c.nextProbeTarget(now)
 	if t == nil {
 		return
 	}
-	p := c.ping(t.id(), t.record.Gossip, t.record.DataCentre, now, t.differing[localScope] > 0)
+	p := c.ping(t.id(), t.record.Gossip, t.record.DataCentre, now, t.digestMismatches[localScope] > 0)
 	p.ring = true
 }
 
-// afterRound returns the time of the next probe: a fixed offset into the next
+// nextProbeTime returns the time of the next probe: a fixed offset into the next
 // round of the clock. When all instances probe the same distance in the same
 // round, news reach everyone in log2(n) rounds; with clocks that differ by more
 // than a round they take up to twice as long, and nothing else depends on it.
-func (c *Core) afterRound(now time.Time) time.Time {
+func (c *Core) nextProbeTime(now time.Time) time.Time {
 	if c.repairs[localScope].active {
-		return now.Add(repairPeriod)
+		return now.Add(repairInterval)
 	}
-	offset := time.Duration(c.self.hash) % (probePeriod * 2 / 3)
-	passed := time.Duration(now.UnixNano()) % probePeriod
+	offset := time.Duration(c.self.hash) % (probeInterval * 2 / 3)
+	elapsed := time.Duration(now.UnixNano()) % probeInterval
 	// The sum keeps the monotonic reading, so a step of the clock delays nothing.
-	return now.Add(probePeriod - passed + offset)
+	return now.Add(probeInterval - elapsed + offset)
 }
 
-func (c *Core) nextNeighbour(now time.Time) *member {
+func (c *Core) nextProbeTarget(now time.Time) *member {
 	ring := c.currentRing()
 	if len(ring) < 2 {
 		return nil
 	}
 	rounds := bits.Len(uint(len(ring) - 1))
-	round := int(now.UnixNano()/int64(probePeriod)) % rounds
+	round := int(now.UnixNano()/int64(probeInterval)) % rounds
 	if c.repairs[localScope].active {
-		c.distance++
-		round = c.distance % rounds
+		c.repairRound++
+		round = c.repairRound % rounds
 	}
-	at := slices.Index(ring, c.self)
-	return ring[(at+1<<round)%len(ring)]
+	index := slices.Index(ring, c.self)
+	return ring[(index+1<<round)%len(ring)]
 }
 
 // ping sends a ping. With introduce it carries the record of this instance.
@@ -103,59 +103,59 @@
 	c.sequence++
 	p := &probe{target: to, sent: now}
 	c.probes[c.sequence] = p
-	m := c.message(gossipv1.Kind_KIND_PING)
+	m := c.newMessage(gossipv1.Kind_KIND_PING)
 	m.Sequence = c.sequence
-	c.askRepair(m, dataCentre)
+	c.requestRepair(m, dataCentre)
 	if introduce {
-		m.Members = append(m.Members, c.self.wire(now))
+		m.Members = append(m.Members, c.self.wireRecord(now))
 	}
 	if t, ok := c.members[to]; ok && t.record.Status != gossipv1.Status_STATUS_ALIVE {
 		// The target hears of its suspicion at once and can refute it.
-		m.Members = append(m.Members, t.wire(now))
+		m.Members = append(m.Members, t.wireRecord(now))
 	}
-	if !c.local(dataCentre) || c.lacksSummary {
+	if !c.isLocal(dataCentre) || c.needsSummary {
 		m.Centres = c.packCentres()
-		c.lacksSummary = false
+		c.needsSummary = false
 	}
-	c.piggyback(m, dataCentre, maxPing, now)
+	c.piggyback(m, dataCentre, maxPingBytes, now)
 	c.send(to, address, m)
 	return p
 }
 
-func (c *Core) message(kind gossipv1.Kind) *gossipv1.Message {
-	c.refreshSums()
+func (c *Core) newMessage(kind gossipv1.Kind) *gossipv1.Message {
+	c.refreshDigests()
 	return &gossipv1.Message{
 		Kind: kind, From: c.self.record.Id, DataCentre: c.self.record.DataCentre,
-		Revision: uint64(c.highest), Local: c.sums.local, Global: c.sums.global,
+		Revision: uint64(c.highest), Local: c.digests.local, Global: c.digests.global,
 	}
 }
 
-// answer acknowledges a ping.
-func (c *Core) answer(ping *gossipv1.Message, address string, now time.Time) {
-	m := c.message(gossipv1.Kind_KIND_ACK)
+// handlePing acknowledges a ping.
+func (c *Core) handlePing(ping *gossipv1.Message, address string, now time.Time) {
+	m := c.newMessage(gossipv1.Kind_KIND_ACK)
 	m.Sequence = ping.Sequence
 	m.Target = ping.Target
 	from, known := c.members[fleet.InstanceID(ping.From)]
 	if known && from.record.Status != gossipv1.Status_STATUS_ALIVE {
-		m.Members = append(m.Members, from.wire(now))
+		m.Members = append(m.Members, from.wireRecord(now))
 	}
 	if introduces(ping) {
-		m.Members = append(m.Members, c.self.wire(now))
-		c.acquaint(m, ping, now)
+		m.Members = append(m.Members, c.self.wireRecord(now))
+		c.shareIntroductions(m, ping, now)
 	}
 	// Heartbeats of data centres advance once a second, less often than answers
 	// are sent.
-	c.answers++
-	if !c.local(ping.DataCentre) || c.answers%centreAnswers == 0 {
+	c.acksSent++
+	if !c.isLocal(ping.DataCentre) || c.acksSent%acksPerCentreHeartbeat == 0 {
 		m.Centres = c.packCentres()
 	}
-	if c.local(ping.DataCentre) || !c.large {
-		limit := maxReports
+	if c.isLocal(ping.DataCentre) || !c.largeFleet {
+		limit := maxReportBytes
 		if ping.Repair != nil {
-			limit = repairReports
+			limit = maxRepairReportBytes
 		}
 		limit = min(limit, MaxMessage-proto.Size(m)-4)
-		m.Reports = c.packReports(c.local(ping.DataCentre), limit, now)
+		m.Reports = c.packReports(c.isLocal(ping.DataCentre), limit, now)
 	}
 	c.serveSummaries(m, ping.Centres)
 	c.serveRepair(m, ping, now)
@@ -168,10 +168,10 @@
 	return slices.ContainsFunc(m.Members, func(u *gossipv1.Member) bool { return u.Id == m.From })
 }
 
-func (c *Core) acknowledge(ack *gossipv1.Message, now time.Time) {
+func (c *Core) handleAck(ack *gossipv1.Message, now time.Time) {
 	if r, ok := c.relays[ack.Sequence]; ok {
 		delete(c.relays, ack.Sequence)
-		c.forward(ack, r)
+		c.forwardAck(ack, r)
 		return
 	}
 	p, ok := c.probes[ack.Sequence]
@@ -190,31 +190,31 @@
 	// in time for the longer timeout, a slow instance would lose its score again
 	// and accuse others in every second round.
 	if now.Sub(p.sent) < probeTimeout {
-		c.score = max(c.score-1, 0)
+		c.healthScore = max(c.healthScore-1, 0)
 	}
 	if len(ack.Reports) > 0 {
-		c.answered = fleet.Revision(ack.Revision)
+		c.ackRevision = fleet.Revision(ack.Revision)
 		c.mergeReports(ack.Reports, p.sent, now)
 	}
-	c.noteRepair(ack)
+	c.updateRepairs(ack)
 }
 
-// forward tells the instance that asked for help that its target answered.
-func (c *Core) forward(ack *gossipv1.Message, r relay) {
-	m := c.message(gossipv1.Kind_KIND_ACK)
+// forwardAck tells the instance that asked for help that its target answered.
+func (c *Core) forwardAck(ack *gossipv1.Message, r relay) {
+	m := c.newMessage(gossipv1.Kind_KIND_ACK)
 	m.Sequence = r.sequence
 	m.Target = ack.From
 	c.send("", r.address, m)
 }
 
-// help pings the target of a ping request.
-func (c *Core) help(request *gossipv1.Message, address string, now time.Time) {
+// handlePingRequest pings the target of a ping request.
+func (c *Core) handlePingRequest(request *gossipv1.Message, address string, now time.Time) {
 	c.sequence++
 	c.relays[c.sequence] = relay{address: address, sequence: request.Sequence, sent: now}
-	m := c.message(gossipv1.Kind_KIND_PING)
+	m := c.newMessage(gossipv1.Kind_KIND_PING)
 	m.Sequence = c.sequence
 	if t, ok := c.members[fleet.InstanceID(request.Target)]; ok && t.record.Status != gossipv1.Status_STATUS_ALIVE {
-		m.Members = append(m.Members, t.wire(now))
+		m.Members = append(m.Members, t.wireRecord(now))
 	}
 	c.send(fleet.InstanceID(request.Target), request.TargetAddress, m)
 }
@@ -222,30 +222,30 @@
 // expireProbes asks helpers after the timeout and suspects after the deadline.
 // Both grow with the score, so an instance that is slow itself accuses late.
 func (c *Core) expireProbes(now time.Time) {
-	slowness := time.Duration(1 + c.score)
+	multiplier := time.Duration(1 + c.healthScore)
 	for _, s := range sortedKeys(c.probes) {
 		p := c.probes[s]
 		age := now.Sub(p.sent)
-		if p.ring && !p.indirect && age >= probeTimeout*slowness {
+		if p.ring && !p.indirect && age >= probeTimeout*multiplier {
 			p.indirect = true
-			c.askHelpers(s, p.target)
+			c.sendPingRequests(s, p.target)
 		}
-		if p.ring && !p.judged && age >= probeDeadline*slowness {
-			p.judged = true
+		if p.ring && !p.expired && age >= probeDeadline*multiplier {
+			p.expired = true
 			c.suspect(p.target, now)
 		}
-		if age > probeDeadline*(maxScore+2) {
+		if age > probeDeadline*(maxHealthScore+2) {
 			delete(c.probes, s)
 		}
 	}
 	for s, r := range c.relays {
-		if now.Sub(r.sent) > probeDeadline*(maxScore+2) {
+		if now.Sub(r.sent) > probeDeadline*(maxHealthScore+2) {
 			delete(c.relays, s)
 		}
 	}
 }
 
-func (c *Core) askHelpers(sequence uint64, target fleet.InstanceID) {
+func (c *Core) sendPingRequests(sequence uint64, target fleet.InstanceID) {
 	t, ok := c.members[target]
 	if !ok {
 		return
@@ -254,11 +254,11 @@
 	asked := 0
 	for _, i := range c.random.Perm(len(ring)) {
 		h := ring[i]
-		if h == c.self || h == t || asked == helpers {
+		if h == c.self || h == t || asked == indirectProbes {
 			continue
 		}
 		asked++
-		m := c.message(gossipv1.Kind_KIND_PING_REQUEST)
+		m := c.newMessage(gossipv1.Kind_KIND_PING_REQUEST)
 		m.Sequence, m.Target, m.TargetAddress = sequence, t.record.Id, t.record.Gossip
 		c.send(h.id(), h.record.Gossip, m)
 	}
@@ -270,11 +270,11 @@
 		return
 	}
 	if t.record.Status == gossipv1.Status_STATUS_SUSPECT {
-		c.accuse(t, c.self.hash)
+		c.addAccuser(t, c.self.hash)
 		return
 	}
 	// A further failed probe of a suspect tells nothing of this instance.
-	c.score = min(c.score+1, maxScore)
+	c.healthScore = min(c.healthScore+1, maxHealthScore)
 	record := clone(t.record)
 	record.Status = gossipv1.Status_STATUS_SUSPECT
 	record.Accuser = c.self.hash
@@ -282,11 +282,11 @@
 }
 
 func (c *Core) expireSuspicions(now time.Time) {
-	for _, m := range slices.Clone(c.byID()) {
-		if m.suspicion == nil || !c.local(m.record.DataCentre) {
+	for _, m := range slices.Clone(c.membersByID()) {
+		if m.suspicion == nil || !c.isLocal(m.record.DataCentre) {
 			continue
 		}
-		if now.Sub(m.suspicion.started) < c.suspicionTime(m) {
+		if now.Sub(m.suspicion.startedAt) < c.suspicionTimeout(m) {
 			continue
 		}
 		record := clone(m.record)
@@ -296,18 +296,18 @@
 	}
 }
 
-// suspicionTime falls from the maximum to the minimum with the number of
+// suspicionTimeout falls from the maximum to the minimum with the number of
 // independent accusers, as Lifeguard defines it. A data centre without other
 // possible accusers uses the minimum.
-func (c *Core) suspicionTime(m *member) time.Duration {
-	wanted := min(wantedAccusers, len(c.currentRing())-2)
-	slowness := time.Duration(1 + c.score)
-	if wanted < 1 {
-		return minSuspicion * slowness
-	}
-	share := math.Log(float64(len(m.suspicion.accusers))) / math.Log(float64(wanted)+1)
-	d := maxSuspicion - time.Duration(share*float64(maxSuspicion-minSuspicion))
-	return max(d, minSuspicion) * slowness
+func (c *Core) suspicionTimeout(m *member) time.Duration {
+	expected := min(expectedAccusers, len(c.currentRing())-2)
+	multiplier := time.Duration(1 + c.healthScore)
+	if expected < 1 {
+		return minSuspicionTimeout * multiplier
+	}
+	reduction := math.Log(float64(len(m.suspicion.accusers))) / math.Log(float64(expected)+1)
+	timeout := maxSuspicionTimeout - time.Duration(reduction*float64(maxSuspicionTimeout-minSuspicionTimeout))
+	return max(timeout, minSuspicionTimeout) * multiplier
 }
 
 // rejoin pings a dead member or a seed from time to time, so that the halves of
@@ -315,7 +315,7 @@
 // load of seeds bounded, and an instance that is alone does it more often.
 func (c *Core) rejoin(now time.Time) {
 	if !now.Before(c.nextRejoin) {
-		c.nextRejoin = now.Add(rejoinPeriod)
+		c.nextRejoin = now.Add(rejoinInterval)
 		c.pingDead(now)
 	}
 	if !now.Before(c.nextSeed) {
@@ -325,9 +325,9 @@
 
 func (c *Core) pingSeed(now time.Time) {
 	alone := len(c.members) == 1
-	c.nextSeed = now.Add(seedPeriod)
+	c.nextSeed = now.Add(seedInterval)
 	if alone {
-		c.nextSeed = now.Add(joinPeriod)
+		c.nextSeed = now.Add(joinInterval)
 	}
 	if len(c.seeds) == 0 || (!alone && !c.isContact(c.self)) {
 		return
@@ -340,8 +340,8 @@
 
 func (c *Core) pingDead(now time.Time) {
 	var dead []*member
-	for _, m := range c.byID() {
-		if m.record.Status == gossipv1.Status_STATUS_DEAD && c.local(m.record.DataCentre) {
+	for _, m := range c.membersByID() {
+		if m.record.Status == gossipv1.Status_STATUS_DEAD && c.isLocal(m.record.DataCentre) {
 			dead = append(dead, m)
 		}
 	}
--- a/internal/membership/gossip/repair.go
+++ b/internal/membership/gossip/repair.go
@@ -11,21 +11,21 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// maxDiffering is the number of answers in a row of one instance with another
+// maxDigestMismatches is the number of answers in a row of one instance with another
 // digest after which all records are read again. Two answers of one instance lie
 // a round of the ring apart, in which news spread, so a difference that lasts
 // longer is a loss.
-const maxDiffering = 3
+const maxDigestMismatches = 3
 
-// maxEqual is the number of answers in a row with an equal digest that end a
+// minDigestMatches is the number of answers in a row with an equal digest that end a
 // repair.
-const maxEqual = 8
+const minDigestMatches = 8
 
 // repair is the reading of all records of one scope in key order.
 type repair struct {
-	active bool
-	after  string
-	equal  int
+	active  bool
+	after   string
+	matches int
 }
 
 // digests are sums over all records of a scope, independent of their order.
@@ -35,26 +35,26 @@
 	keys          [2][]string
 }
 
-func (c *Core) refreshSums() {
-	if !c.sums.stale {
+func (c *Core) refreshDigests() {
+	if !c.digests.stale {
 		return
 	}
-	c.sums = digests{}
+	c.digests = digests{}
 	for _, m := range c.members {
-		c.sumMember(m)
+		c.addMemberToDigests(m)
 	}
-	for _, i := range c.items {
-		if i.settled(c.last) {
+	for _, i := range c.upstreams {
+		if i.leftDigest(c.lastCall) {
 			continue
 		}
-		c.addSum(localScope, upstreamKey(i.record.Id), i.sum())
+		c.addToDigest(localScope, upstreamKey(i.record.Id), i.versionHash())
 	}
 }
 
-func (c *Core) sumMember(m *member) {
+func (c *Core) addMemberToDigests(m *member) {
 	// Ended members leave the digest before they are forgotten, because
 	// instances forget at slightly different times.
-	if ended(m.record) && c.last.Sub(m.ended) > DeadRetention/2 {
+	if deadOrLeft(m.record) && c.lastCall.Sub(m.endedAt) > DeadRetention/2 {
 		return
 	}
 	status := m.record.Status
@@ -63,36 +63,36 @@
 	}
 	version := m.record.Incarnation<<2 | uint64(status)
 	key := memberKey(m.record.Id)
-	if c.local(m.record.DataCentre) {
-		c.addSum(localScope, key, version)
+	if c.isLocal(m.record.DataCentre) {
+		c.addToDigest(localScope, key, version)
 	}
-	if !c.large || m.record.Voter {
-		c.addSum(globalScope, key, version)
+	if !c.largeFleet || m.record.Voter {
+		c.addToDigest(globalScope, key, version)
 	}
 }
 
-func (c *Core) addSum(scope int, key string, version uint64) {
+func (c *Core) addToDigest(scope int, key string, version uint64) {
 	d := xxhash.NewWithSeed(version)
 	_, _ = d.WriteString(key)
 	sum := uint32(d.Sum64())
 	if scope == localScope {
-		c.sums.local += sum
+		c.digests.local += sum
 	} else {
-		c.sums.global += sum
+		c.digests.global += sum
 	}
-	c.sums.keys[scope] = append(c.sums.keys[scope], key)
+	c.digests.keys[scope] = append(c.digests.keys[scope], key)
 }
 
-// askRepair makes m ask for the next records, if a repair goes on. Two repairs
+// requestRepair makes m ask for the next records, if a repair goes on. Two repairs
 // take turns.
-func (c *Core) askRepair(m *gossipv1.Message, dataCentre string) {
-	inCentre := c.repairs[localScope].active && c.local(dataCentre)
-	between := c.repairs[globalScope].active
-	if inCentre && (!between || c.sequence%2 == 0) {
+func (c *Core) requestRepair(m *gossipv1.Message, dataCentre string) {
+	localActive := c.repairs[localScope].active && c.isLocal(dataCentre)
+	globalActive := c.repairs[globalScope].active
+	if localActive && (!globalActive || c.sequence%2 == 0) {
 		m.Repair = &gossipv1.Repair{After: c.repairs[localScope].after}
 		return
 	}
-	if between {
+	if globalActive {
 		m.Repair = &gossipv1.Repair{Global: true, After: c.repairs[globalScope].after}
 	}
 }
@@ -105,78 +105,78 @@
 	scope := localScope
 	if ping.Repair.Global {
 		scope = globalScope
-	} else if !c.local(ping.DataCentre) {
+	} else if !c.isLocal(ping.DataCentre) {
 		return
 	}
-	c.refreshSums()
-	if !c.differs(scope, ping) {
+	c.refreshDigests()
+	if !c.digestDiffers(scope, ping) {
 		return
 	}
-	keys := c.sums.keys[scope]
+	keys := c.digests.keys[scope]
 	slices.Sort(keys)
-	at, found := slices.BinarySearch(keys, ping.Repair.After)
+	index, found := slices.BinarySearch(keys, ping.Repair.After)
 	if found {
-		at++
+		index++
 	}
 	next := &gossipv1.Repair{Global: ping.Repair.Global, After: ping.Repair.After}
 	m.Repair = next
-	room := MaxMessage - proto.Size(m) - maxKey
-	for ; at < len(keys); at++ {
-		size := c.attach(m, keys[at], room, now)
+	room := MaxMessage - proto.Size(m) - maxKeyBytes
+	for ; index < len(keys); index++ {
+		size := c.appendByKey(m, keys[index], room, now)
 		if size == 0 {
 			return
 		}
 		room -= size
-		next.After = keys[at]
+		next.After = keys[index]
 	}
 	next.Done = true
 }
 
-// maxKey is the space for the last key in an answer.
-const maxKey = 80
+// maxKeyBytes is the space for the last key in an answer.
+const maxKeyBytes = 80
 
-func (c *Core) differs(scope int, m *gossipv1.Message) bool {
+func (c *Core) digestDiffers(scope int, m *gossipv1.Message) bool {
 	if scope == globalScope {
-		return m.Global != c.sums.global
+		return m.Global != c.digests.global
 	}
-	return c.local(m.DataCentre) && m.Local != c.sums.local
+	return c.isLocal(m.DataCentre) && m.Local != c.digests.local
 }
 
-// noteRepair moves a repair on, or starts one when the digest of an instance
+// updateRepairs moves a repair on, or starts one when the digest of an instance
 // keeps differing.
-func (c *Core) noteRepair(ack *gossipv1.Message) {
-	c.refreshSums()
+func (c *Core) updateRepairs(ack *gossipv1.Message) {
+	c.refreshDigests()
 	if ack.Repair != nil {
 		c.advanceRepair(ack.Repair)
 	}
 	m := c.members[fleet.InstanceID(ack.From)]
 	for scope := range c.repairs {
-		if scope == localScope && !c.local(ack.DataCentre) {
+		if scope == localScope && !c.isLocal(ack.DataCentre) {
 			continue
 		}
-		differs := c.differs(scope, ack)
-		c.repairs[scope].noteEqual(!differs)
-		if m != nil && m.noteDiffering(scope, differs) && !c.repairs[scope].active {
+		differs := c.digestDiffers(scope, ack)
+		c.repairs[scope].recordComparison(!differs)
+		if m != nil && m.recordComparison(scope, differs) && !c.repairs[scope].active {
 			c.repairs[scope] = repair{active: true}
 		}
 	}
 }
 
-// noteDiffering reports whether the digest of m has differed for too long.
-func (m *member) noteDiffering(scope int, differs bool) bool {
-	m.differing[scope]++
+// recordComparison reports whether the digest of m has differed for too long.
+func (m *member) recordComparison(scope int, differs bool) bool {
+	m.digestMismatches[scope]++
 	if !differs {
-		m.differing[scope] = 0
+		m.digestMismatches[scope] = 0
 	}
-	return m.differing[scope] > maxDiffering
+	return m.digestMismatches[scope] > maxDigestMismatches
 }
 
-func (r *repair) noteEqual(equal bool) {
-	r.equal++
+func (r *repair) recordComparison(equal bool) {
+	r.matches++
 	if !equal {
-		r.equal = 0
+		r.matches = 0
 	}
-	if r.equal >= maxEqual {
+	if r.matches >= minDigestMatches {
 		*r = repair{}
 	}
 }
--- a/internal/membership/gossip/reports.go
+++ b/internal/membership/gossip/reports.go
@@ -28,48 +28,48 @@
 	ageUnit = 50 * time.Millisecond
 	ageBits = 6
 	noAge   = 1<<ageBits - 1
-	// maxReports bounds the reports of one message in bytes. What does not fit goes
+	// maxReportBytes bounds the reports of one message in bytes. What does not fit goes
 	// into the next message.
-	maxReports = 1000
-	// repairReports bounds them in an answer that also repairs.
-	repairReports = 400
-	// minWindow is the number of unused slots that a window may have besides a
+	maxReportBytes = 1000
+	// maxRepairReportBytes bounds them in an answer that also repairs.
+	maxRepairReportBytes = 400
+	// minUnusedSlots is the number of unused slots that a window may have besides a
 	// quarter of the used ones.
-	minWindow = 8
-	// maxGap is the number of unused slots in a row that cost more than the
+	minUnusedSlots = 8
+	// maxSlotGap is the number of unused slots in a row that cost more than the
 	// header of a second entry.
-	maxGap = 12
-	// maxWindow bounds the slots of one instance.
-	maxWindow = 1 << 14
+	maxSlotGap = 12
+	// maxSlotWindow bounds the slots of one instance.
+	maxSlotWindow = 1 << 14
 )
 
-// item is one upstream and the slot that stands for it.
-type item struct {
-	record    *gossipv1.Upstream
-	confirmed time.Time
-	// idle is the time from which UpstreamRetention counts.
-	idle time.Time
+// upstreamEntry is one upstream and the slot that stands for it.
+type upstreamEntry struct {
+	record        *gossipv1.Upstream
+	lastHeartbeat time.Time
+	// idleSince is the time from which UpstreamRetention counts.
+	idleSince time.Time
 }
 
-// table maps the slots of one owner to upstreams. The slots start at base.
-type table struct {
+// slotTable maps the slots of one owner to upstreams. The slots start at base.
+type slotTable struct {
 	base  uint32
-	slots []*item
+	slots []*upstreamEntry
 }
 
-func (t *table) get(slot uint32) *item {
+func (t *slotTable) get(slot uint32) *upstreamEntry {
 	if slot < t.base || slot-t.base >= uint32(len(t.slots)) {
 		return nil
 	}
 	return t.slots[slot-t.base]
 }
 
-func (t *table) set(slot uint32, i *item) {
+func (t *slotTable) set(slot uint32, i *upstreamEntry) {
 	if len(t.slots) == 0 {
 		t.base = slot
 	}
 	if slot < t.base {
-		t.slots = slices.Concat(make([]*item, t.base-slot), t.slots)
+		t.slots = slices.Concat(make([]*upstreamEntry, t.base-slot), t.slots)
 		t.base = slot
 	}
 	for slot-t.base >= uint32(len(t.slots)) {
@@ -79,14 +79,14 @@
 }
 
 // accepts reports whether the window stays bounded with slot.
-func (t *table) accepts(slot uint32) bool {
+func (t *slotTable) accepts(slot uint32) bool {
 	if len(t.slots) == 0 {
 		return true
 	}
-	return slot < t.base+maxWindow && slot+maxWindow > t.base+uint32(len(t.slots))
+	return slot < t.base+maxSlotWindow && slot+maxSlotWindow > t.base+uint32(len(t.slots))
 }
 
-func (t *table) trim() {
+func (t *slotTable) trim() {
 	for len(t.slots) > 0 && t.slots[0] == nil {
 		t.slots = t.slots[1:]
 		t.base++
@@ -96,14 +96,14 @@
 	}
 }
 
-func (i *item) leaving() bool { return i.record.State == uint32(upstream.Leaving) }
+func (i *upstreamEntry) leaving() bool { return i.record.State == uint32(upstream.Leaving) }
 
-// settled reports whether the item left the digest, before it is forgotten.
-func (i *item) settled(now time.Time) bool {
-	return now.Sub(i.idle) > UpstreamRetention/2
+// leftDigest reports whether the item left the digest, before it is forgotten.
+func (i *upstreamEntry) leftDigest(now time.Time) bool {
+	return now.Sub(i.idleSince) > UpstreamRetention/2
 }
 
-func (i *item) sum() uint64 {
+func (i *upstreamEntry) versionHash() uint64 {
 	var b [32]byte
 	binary.LittleEndian.PutUint64(b[0:], i.record.Incarnation)
 	binary.LittleEndian.PutUint64(b[8:], i.record.Sequence)
@@ -113,65 +113,65 @@
 	return xxhash.Sum64(b[:])
 }
 
-func (i *item) wire(now time.Time) *gossipv1.Upstream {
+func (i *upstreamEntry) wireRecord(now time.Time) *gossipv1.Upstream {
 	record := proto.Clone(i.record).(*gossipv1.Upstream)
-	record.IdleSeconds = uint32(max(0, now.Sub(i.idle)) / time.Second)
+	record.IdleSeconds = uint32(max(0, now.Sub(i.idleSince)) / time.Second)
 	return record
 }
 
 // Announce records an announcement that this instance received at now. It is
 // meant for announcements that the roster accepted. A zero confirmed does not
 // confirm.
-func (c *Core) Announce(a upstream.Announcement, confirmed, now time.Time) Effects {
-	c.last = later(c.last, now)
-	old, ok := c.items[a.ID]
+func (c *Core) Announce(a upstream.Announcement, heartbeat, now time.Time) Effects {
+	c.lastCall = laterOf(c.lastCall, now)
+	old, ok := c.upstreams[a.ID]
 	if ok && uint64(a.Incarnation) < old.record.Incarnation {
-		return c.take()
+		return c.takeEffects()
 	}
 	if ok && uint64(a.Incarnation) == old.record.Incarnation {
-		c.renewOwn(old, a, confirmed, now)
-		return c.take()
+		c.updateOwnUpstream(old, a, heartbeat, now)
+		return c.takeEffects()
 	}
-	record := describe(a)
+	record := upstreamRecord(a)
 	record.Owner = c.self.hash
 	record.Slot = c.nextSlot()
-	i := c.place(record, now)
-	i.confirm(confirmed)
-	return c.take()
+	i := c.storeUpstream(record, now)
+	i.recordHeartbeat(heartbeat)
+	return c.takeEffects()
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-func (c *Core) renewOwn(i *item, a upstream.Announcement, confirmed, now time.Time) {
-	i.confirm(confirmed)
+func (c *Core) updateOwnUpstream(i *upstreamEntry, a upstream.Announcement, heartbeat, now time.Time) {
+	i.recordHeartbeat(heartbeat)
 	if i.leaving() {
 		return
 	}
-	record := describe(a)
+	record := upstreamRecord(a)
 	record.Owner, record.Slot = i.record.Owner, i.record.Slot
 	record.Sequence, record.IdleSeconds = i.record.Sequence, i.record.IdleSeconds
 	if proto.Equal(record, i.record) {
 		return
 	}
 	record.Sequence, record.IdleSeconds = a.Sequence, 0
-	c.place(record, now)
+	c.storeUpstream(record, now)
 }
 
-func (i *item) confirm(at time.Time) bool {
-	if i.leaving() || !at.After(i.confirmed) {
+func (i *upstreamEntry) recordHeartbeat(at time.Time) bool {
+	if i.leaving() || !at.After(i.lastHeartbeat) {
 		return false
 	}
-	i.confirmed = at
-	i.idle = later(i.idle, at)
+	i.lastHeartbeat = at
+	i.idleSince = laterOf(i.idleSince, at)
 	return true
 }
 
-func describe(a upstream.Announcement) *gossipv1.Upstream {
+func upstreamRecord(a upstream.Announcement) *gossipv1.Upstream {
 	return &gossipv1.Upstream{
 		Id: string(a.ID), Incarnation: uint64(a.Incarnation), Sequence: a.Sequence,
 		Kind: uint32(a.Kind), State: uint32(a.State), Address: a.Address, Pool: string(a.Pool),
@@ -194,85 +194,85 @@
 
 // nextSlot returns a slot of this instance that was never used before.
 func (c *Core) nextSlot() uint32 {
-	c.slot++
-	return c.slot
+	c.lastSlot++
+	return c.lastSlot
 }
 
-// place stores record, makes its slot stand for the upstream and spreads it.
-func (c *Core) place(record *gossipv1.Upstream, now time.Time) *item {
+// storeUpstream stores record, makes its slot stand for the upstream and spreads it.
+func (c *Core) storeUpstream(record *gossipv1.Upstream, now time.Time) *upstreamEntry {
 	id := fleet.UpstreamID(record.Id)
-	i, ok := c.items[id]
+	i, ok := c.upstreams[id]
 	if !ok || i.record.Incarnation != record.Incarnation {
 		if ok {
-			c.release(i)
+			c.freeSlots(i)
 		}
-		i = &item{idle: now.Add(-time.Duration(record.IdleSeconds) * time.Second)}
-		c.items[id] = i
+		i = &upstreamEntry{idleSince: now.Add(-time.Duration(record.IdleSeconds) * time.Second)}
+		c.upstreams[id] = i
 	}
 	i.record = record
 	if i.leaving() {
-		i.idle = now.Add(-time.Duration(record.IdleSeconds) * time.Second)
+		i.idleSince = now.Add(-time.Duration(record.IdleSeconds) * time.Second)
 	}
-	t, ok := c.tables[record.Owner]
+	t, ok := c.slotTables[record.Owner]
 	if !ok {
-		t = &table{}
-		c.tables[record.Owner] = t
+		t = &slotTable{}
+		c.slotTables[record.Owner] = t
 	}
 	t.set(record.Slot, i)
-	c.sums.stale = true
+	c.digests.stale = true
 	c.enqueue(upstreamKey(record.Id))
 	return i
 }
 
-// release frees all slots of i.
-func (c *Core) release(i *item) {
-	for owner, t := range c.tables {
+// freeSlots frees all slots of i.
+func (c *Core) freeSlots(i *upstreamEntry) {
+	for owner, t := range c.slotTables {
 		for n := range t.slots {
 			if t.slots[n] == i {
 				t.slots[n] = nil
 			}
 		}
-		c.trim(owner, t)
+		c.trimTable(owner, t)
 	}
-	c.sums.stale = true
+	c.digests.stale = true
 }
 
-func (c *Core) trim(owner uint32, t *table) {
+func (c *Core) trimTable(owner uint32, t *slotTable) {
 	t.trim()
 	if len(t.slots) == 0 {
-		delete(c.tables, owner)
+		delete(c.slotTables, owner)
 	}
 }
 
-// compact keeps the window of the own slots close to the number of upstreams in
+// compactOwnTable keeps the window of the own slots close to the number of upstreams in
 // it. It frees slots of upstreams that are confirmed under the slot of another
 // instance, and moves the oldest upstream when too many are unused.
-func (c *Core) compact(now time.Time) {
-	t, ok := c.tables[c.self.hash]
+func (c *Core) compactOwnTable(now time.Time) {
+	t, ok := c.slotTables[c.self.hash]
 	if !ok {
 		return
 	}
-	live := 0
+	used := 0
 	for n, i := range t.slots {
-		if i == nil || !c.stands(t, n, i) {
+		if i == nil || !c.isCurrentSlot(t, n, i) {
 			t.slots[n] = nil
 			continue
 		}
-		live++
+		used++
 	}
-	c.trim(c.self.hash, t)
-	if len(t.slots) <= live+live/4+minWindow {
+	c.trimTable(c.self.hash, t)
+	if len(t.slots) <= used+used/4+minUnusedSlots {
 		return
 	}
 	record := proto.Clone(t.slots[0].record).(*gossipv1.Upstream)
 	t.slots[0] = nil
 	record.Slot = c.nextSlot()
-	c.place(record, now)
+	c.storeUpstream(record, now)
 }
 
-// stands reports whether slot n of t is the one under which i is confirmed.
-func (c *Core) stands(t *table, n int, i *item) bool {
-	return t.base+uint32(n) == i.record.Slot && c.tables[i.record.Owner] == t
+// isCurrentSlot reports whether slot n of t is the one under which i is confirmed.
+func (c *Core) isCurrentSlot(t *slotTable, n int, i *upstreamEntry) bool {
+	return t.base+uint32(n) == i.record.Slot && c.slotTables[i.record.Owner] == t
 }
 
 // mergeUpstream applies a received description under the rules of the roster.
@@ -280,14 +280,14 @@
 	if time.Duration(u.IdleSeconds)*time.Second > UpstreamRetention {
 		return
 	}
-	if t, ok := c.tables[u.Owner]; ok {
-		if held := t.get(u.Slot); !t.accepts(u.Slot) || (held != nil && held.record.Id != u.Id) {
+	if t, ok := c.slotTables[u.Owner]; ok {
+		if occupant := t.get(u.Slot); !t.accepts(u.Slot) || (occupant != nil && occupant.record.Id != u.Id) {
 			return
 		}
 	}
-	i, ok := c.items[fleet.UpstreamID(u.Id)]
-	if ok && !supersedesItem(u, i) {
-		c.alias(u, i)
+	i, ok := c.upstreams[fleet.UpstreamID(u.Id)]
+	if ok && !supersedesUpstream(u, i) {
+		c.addAlias(u, i)
 		return
 	}
 	if ok && i.leaving() && u.Incarnation == i.record.Incarnation {
@@ -295,31 +295,31 @@
 		record.State = uint32(upstream.Leaving)
 		u = record
 	}
-	i = c.place(u, now)
+	i = c.storeUpstream(u, now)
 	announced := Upstream{Announcement: c.announcement(u), Age: -1}
-	if !i.confirmed.IsZero() {
-		announced.Age = now.Sub(i.confirmed)
+	if !i.lastHeartbeat.IsZero() {
+		announced.Age = now.Sub(i.lastHeartbeat)
 	}
 	c.effects.Announced = append(c.effects.Announced, announced)
 }
 
-// alias makes a second slot stand for a known upstream. Two instances that heard
+// addAlias makes a second slot stand for a known upstream. Two instances that heard
 // an upstream at the same time have given it one slot each.
-func (c *Core) alias(u *gossipv1.Upstream, i *item) {
+func (c *Core) addAlias(u *gossipv1.Upstream, i *upstreamEntry) {
 	if u.Incarnation != i.record.Incarnation {
 		return
 	}
-	t, ok := c.tables[u.Owner]
+	t, ok := c.slotTables[u.Owner]
 	if !ok {
-		t = &table{}
-		c.tables[u.Owner] = t
+		t = &slotTable{}
+		c.slotTables[u.Owner] = t
 	}
 	t.set(u.Slot, i)
 }
 
-// supersedesItem orders descriptions: by incarnation, leaving over serving, by
+// supersedesUpstream orders descriptions: by incarnation, leaving over serving, by
 // sequence, and at last by slot, so that all instances use the same slot.
-func supersedesItem(u *gossipv1.Upstream, i *item) bool {
+func supersedesUpstream(u *gossipv1.Upstream, i *upstreamEntry) bool {
 	old := i.record
 	if u.Incarnation != old.Incarnation {
 		return u.Incarnation > old.Incarnation
@@ -337,42 +337,42 @@
 }
 
 func (c *Core) pruneUpstreams(now time.Time) {
-	for _, id := range sortedKeys(c.items) {
-		i := c.items[id]
-		if now.Sub(i.idle) > UpstreamRetention {
-			delete(c.items, id)
-			c.release(i)
+	for _, id := range sortedKeys(c.upstreams) {
+		i := c.upstreams[id]
+		if now.Sub(i.idleSince) > UpstreamRetention {
+			delete(c.upstreams, id)
+			c.freeSlots(i)
 		}
 	}
-	c.compact(now)
+	c.compactOwnTable(now)
 }
 
 // packReports returns the reports of the members and, within the data centre, the
 // ages of the confirmations.
 func (c *Core) packReports(ages bool, limit int, now time.Time) []byte {
-	entries := c.reportOrder()
+	hashes := c.reportHashes()
 	var b []byte
-	for n := range entries {
-		e := entries[(c.reportOffset+n)%len(entries)]
+	for n := range hashes {
+		hash := hashes[(c.reportOffset+n)%len(hashes)]
 		before := len(b)
-		b = c.packReport(b, e, ages, now)
+		b = c.packReport(b, hash, ages, now)
 		if len(b) > limit {
-			c.reportOffset = (c.reportOffset + n) % len(entries)
+			c.reportOffset = (c.reportOffset + n) % len(hashes)
 			return b[:before]
 		}
 	}
 	return b
 }
 
-// reportOrder lists the hashes of present members and of other owners of slots.
-func (c *Core) reportOrder() []uint32 {
+// reportHashes lists the hashes of present members and of other owners of slots.
+func (c *Core) reportHashes() []uint32 {
 	var hashes []uint32
-	for _, m := range c.byID() {
-		if m.present() && (!c.large || c.local(m.record.DataCentre)) {
+	for _, m := range c.membersByID() {
+		if m.present() && (!c.largeFleet || c.isLocal(m.record.DataCentre)) {
 			hashes = append(hashes, m.hash)
 		}
 	}
-	for _, owner := range sortedKeys(c.tables) {
+	for _, owner := range sortedKeys(c.slotTables) {
 		if m, ok := c.byHash[owner]; !ok || !m.present() {
 			hashes = append(hashes, owner)
 		}
@@ -389,7 +389,7 @@
 	}
 	b = binary.AppendUvarint(b, lag)
 	b = binary.AppendUvarint(b, since)
-	t := c.tables[hash]
+	t := c.slotTables[hash]
 	if !ages || t == nil {
 		return append(b, 0, 0)
 	}
@@ -397,13 +397,13 @@
 }
 
 // packAges adds the windows of t. A gap in the middle starts another entry.
-func (c *Core) packAges(b []byte, hash uint32, t *table, now time.Time) []byte {
+func (c *Core) packAges(b []byte, hash uint32, t *slotTable, now time.Time) []byte {
 	ages := make([]uint32, len(t.slots))
 	for n, i := range t.slots {
 		ages[n] = noAge
 		// An upstream with two slots is confirmed under one of them.
-		if i != nil && c.stands(t, n, i) {
-			ages[n] = ageOf(i, now)
+		if i != nil && c.isCurrentSlot(t, n, i) {
+			ages[n] = encodeAge(i, now)
 		}
 	}
 	first, count := nextWindow(ages, 0)
@@ -423,7 +423,7 @@
 		from++
 	}
 	last := from - 1
-	for n := from; n < len(ages) && n-last <= maxGap; n++ {
+	for n := from; n < len(ages) && n-last <= maxSlotGap; n++ {
 		if ages[n] != noAge {
 			last = n
 		}
@@ -441,11 +441,11 @@
 	return w.flush()
 }
 
-func ageOf(i *item, now time.Time) uint32 {
-	if i.leaving() || i.confirmed.IsZero() {
+func encodeAge(i *upstreamEntry, now time.Time) uint32 {
+	if i.leaving() || i.lastHeartbeat.IsZero() {
 		return noAge
 	}
-	age := max(0, now.Sub(i.confirmed))
+	age := max(0, now.Sub(i.lastHeartbeat))
 	units := (age + ageUnit - 1) / ageUnit
 	return uint32(min(units, noAge))
 }
@@ -456,7 +456,7 @@
 	for len(r.bytes) > 0 {
 		hash, lag, since := r.uint32(), r.uvarint(), r.uvarint()
 		base, count := r.uvarint(), r.uvarint()
-		if r.failed || count > maxWindow || base > math.MaxUint32 {
+		if r.failed || count > maxSlotWindow || base > math.MaxUint32 {
 			return
 		}
 		c.mergeRevision(hash, lag, since, now)
@@ -464,7 +464,7 @@
 		if r.failed {
 			return
 		}
-		if t, ok := c.tables[hash]; ok {
+		if t, ok := c.slotTables[hash]; ok {
 			c.mergeAges(t, uint32(base), int(count), ages, sent, now)
 		}
 	}
@@ -474,19 +474,19 @@
 // the answer knows of.
 func (c *Core) mergeRevision(hash uint32, lag, since uint64, now time.Time) {
 	m, ok := c.byHash[hash]
-	if !ok || m == c.self || lag == 0 || lag-1 > uint64(c.answered) {
+	if !ok || m == c.self || lag == 0 || lag-1 > uint64(c.ackRevision) {
 		return
 	}
-	revision := c.answered - fleet.Revision(lag-1)
+	revision := c.ackRevision - fleet.Revision(lag-1)
 	if revision <= m.revision {
 		return
 	}
 	m.revision = revision
 	m.since = now.Add(-time.Duration(min(since, math.MaxInt32)) * time.Second)
-	c.changed(m)
+	c.reportChange(m)
 }
 
-func (c *Core) mergeAges(t *table, base uint32, count int, ages []byte, sent, now time.Time) {
+func (c *Core) mergeAges(t *slotTable, base uint32, count int, ages []byte, sent, now time.Time) {
 	r := bitReader{bytes: ages}
 	for n := range count {
 		age := r.read()
@@ -494,12 +494,12 @@
 			continue
 		}
 		i := t.get(base + uint32(n))
-		if i == nil || !i.confirm(sent.Add(-time.Duration(age)*ageUnit)) {
+		if i == nil || !i.recordHeartbeat(sent.Add(-time.Duration(age)*ageUnit)) {
 			continue
 		}
 		c.effects.Renewed = append(c.effects.Renewed, Renewal{
 			ID: fleet.UpstreamID(i.record.Id), Incarnation: fleet.Incarnation(i.record.Incarnation),
-			Age: now.Sub(i.confirmed),
+			Age: now.Sub(i.lastHeartbeat),
 		})
 	}
 }
--- a/internal/membership/gossip/scale_test.go
+++ b/internal/membership/gossip/scale_test.go
@@ -44,38 +44,38 @@
 	}
 }
 
-type fleetRun struct {
-	*world
-	announcers []*announcer
-	changed    time.Time
+type benchmarkRun struct {
+	*simulation
+	upstreams  []*simUpstream
+	lastChange time.Time
 	revision   fleet.Revision
-	second     time.Time
+	lastSecond time.Time
 	pairs      int
 	stale      int
 }
 
 func measure(b *testing.B, centres, perCentre, upstreams int, rotate bool) {
-	before := liveHeap()
-	w := newWorld(b, 1, centres, perCentre)
+	heapBefore := liveHeap()
+	w := newSimulation(b, 1, centres, perCentre)
 	w.authenticate(b)
-	f := &fleetRun{world: w, changed: w.now, second: w.now}
+	f := &benchmarkRun{simulation: w, lastChange: w.now, lastSecond: w.now}
 	for i := range upstreams {
-		a := w.announcer(i, fleet.DataCentreID(fmt.Sprintf("dc%02d", i%centres)))
+		a := w.newUpstream(i, fleet.DataCentreID(fmt.Sprintf("dc%02d", i%centres)))
 		a.rotate = rotate
-		f.announcers = append(f.announcers, a)
+		f.upstreams = append(f.upstreams, a)
 	}
 	w.bootAll()
 	w.run(50*time.Second, f.drive)
 	f.reset()
 	const window = 20 * time.Second
-	w.run(window, f.drive, f.audit)
-	f.report(b, window)
+	w.run(window, f.drive, f.countStalePairs)
+	f.reportMetrics(b, window)
 	runtime.GC()
-	b.ReportMetric(float64(liveHeap()-before)/float64(len(w.hosts))/1e6, "MB")
+	b.ReportMetric(float64(liveHeap()-heapBefore)/float64(len(w.hosts))/1e6, "MB")
 	period := 300 * time.Millisecond
-	b.ReportMetric(float64(f.leave())/float64(period), "leave-periods")
-	b.ReportMetric(float64(f.spread())/float64(period), "revision-periods")
-	b.ReportMetric(float64(f.detect())/float64(period), "detect-periods")
+	b.ReportMetric(float64(f.measureLeave())/float64(period), "leave-periods")
+	b.ReportMetric(float64(f.measureRevision())/float64(period), "revision-periods")
+	b.ReportMetric(float64(f.measureDetection())/float64(period), "detect-periods")
 	b.ReportMetric(0, "ns/op")
 }
 
@@ -86,7 +86,7 @@
 	return m.HeapAlloc
 }
 
-func (w *world) authenticate(b *testing.B) {
+func (w *simulation) authenticate(b *testing.B) {
 	codecs := make([]*packet.Codec, len(w.hosts))
 	for i := range codecs {
 		codecs[i], _ = packet.NewCodec([]byte("a secret of the fleet"), uint64(w.now.UnixMilli()))
@@ -106,35 +106,35 @@
 
 // drive lets upstreams announce themselves, the document change, and instances
 // put the change into force.
-func (f *fleetRun) drive() {
-	for _, a := range f.announcers {
+func (f *benchmarkRun) drive() {
+	for _, a := range f.upstreams {
 		f.announce(a)
 	}
-	if f.now.Sub(f.changed) >= revisionPeriod {
-		f.changed = f.now
+	if f.now.Sub(f.lastChange) >= revisionPeriod {
+		f.lastChange = f.now
 		f.revision++
 		f.hosts[0].core.SetRevision(f.revision, f.now)
 	}
-	everySecond := f.now.Sub(f.second) >= time.Second
+	everySecond := f.now.Sub(f.lastSecond) >= time.Second
 	for _, h := range f.hosts {
 		if !h.up {
 			continue
 		}
-		h.core.SetRevision(h.core.Highest(), f.now)
+		h.core.SetRevision(h.core.HighestRevision(), f.now)
 		if everySecond {
-			f.second = f.now
+			f.lastSecond = f.now
 			h.core.SetPools(h.roster.Counts(f.now))
 			h.core.SetUsage(make([]byte, 100))
 		}
 	}
 }
 
-func (f *fleetRun) audit() {
-	if !f.second.Equal(f.now) {
+func (f *benchmarkRun) countStalePairs() {
+	if !f.lastSecond.Equal(f.now) {
 		return
 	}
 	serving := make(map[fleet.DataCentreID]int)
-	for _, a := range f.announcers {
+	for _, a := range f.upstreams {
 		serving[a.DataCentre]++
 	}
 	for _, h := range f.hosts {
@@ -143,20 +143,20 @@
 	}
 }
 
-func (f *fleetRun) reset() {
+func (f *benchmarkRun) reset() {
 	for _, h := range f.hosts {
-		h.sent.messages, h.sent.bytes, h.busy = 0, 0, 0
+		h.sent.messages, h.sent.bytes, h.busyTime = 0, 0, 0
 	}
 }
 
-func (f *fleetRun) report(b *testing.B, window time.Duration) {
+func (f *benchmarkRun) reportMetrics(b *testing.B, window time.Duration) {
 	var messages, bytes, peak int
 	var busy time.Duration
 	for _, h := range f.hosts {
 		messages += h.sent.messages
 		bytes += h.sent.bytes
 		peak = max(peak, h.sent.bytes)
-		busy += h.busy
+		busy += h.busyTime
 	}
 	daemonSeconds := float64(len(f.hosts)) * window.Seconds()
 	b.ReportMetric(float64(messages)/daemonSeconds, "msg/s")
@@ -165,45 +165,45 @@
 	b.ReportMetric(float64(peak)/window.Seconds(), "peak-B/s")
 	b.ReportMetric(100*busy.Seconds()/daemonSeconds, "core-%")
 	b.ReportMetric(1e6*float64(f.stale)/float64(f.pairs), "stale-ppm")
-	b.ReportMetric(float64(f.deaths), "false-deaths")
+	b.ReportMetric(float64(f.falseDeaths), "false-deaths")
 }
 
-func (f *fleetRun) leave() time.Duration {
-	a := f.announcers[0]
+func (f *benchmarkRun) measureLeave() time.Duration {
+	a := f.upstreams[0]
 	a.State = upstream.Leaving
-	f.say(a)
+	f.announceNow(a)
 	a.left = f.now
 	return f.runUntil(10*time.Second, func() bool {
-		return f.everywhere(a.DataCentre, func(h *host) bool {
+		return f.allHosts(a.DataCentre, func(h *host) bool {
 			u, _ := h.roster.Get(a.ID)
 			return u.State == upstream.Leaving
 		})
 	}, f.drive)
 }
 
-func (f *fleetRun) everywhere(centre fleet.DataCentreID, ok func(h *host) bool) bool {
+func (f *benchmarkRun) allHosts(centre fleet.DataCentreID, holds func(h *host) bool) bool {
 	for _, h := range f.hosts {
-		if h.up && (centre == "" || h.centre == centre) && !ok(h) {
+		if h.up && (centre == "" || h.centre == centre) && !holds(h) {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *fleetRun) spread() time.Duration {
+func (f *benchmarkRun) measureRevision() time.Duration {
 	f.revision += 1000
 	f.hosts[0].core.SetRevision(f.revision, f.now)
 	return f.runUntil(30*time.Second, func() bool {
-		return f.everywhere("", func(h *host) bool { return h.core.Highest() >= f.revision })
+		return f.allHosts("", func(h *host) bool { return h.core.HighestRevision() >= f.revision })
 	})
 }
 
-func (f *fleetRun) detect() time.Duration {
-	dead := f.hosts[len(f.hosts)-1]
-	dead.up = false
+func (f *benchmarkRun) measureDetection() time.Duration {
+	crashed := f.hosts[len(f.hosts)-1]
+	crashed.up = false
 	return f.runUntil(30*time.Second, func() bool {
-		return f.everywhere(dead.centre, func(h *host) bool {
-			s, _ := f.status(h, dead)
+		return f.allHosts(crashed.centre, func(h *host) bool {
+			s, _ := f.status(h, crashed)
 			return s == membership.Dead
 		})
 	}, f.drive)
--- a/internal/membership/gossip/schedule_test.go
+++ b/internal/membership/gossip/schedule_test.go
@@ -22,11 +22,11 @@
 // schedule is a random sequence of faults. The invariants are checked after
 // every step of 50 ms.
 type schedule struct {
-	*world
-	upstreams []*announcer
-	left      map[*host]map[fleet.InstanceID]fleet.Incarnation
-	oneWay    map[[2]*host]bool
-	apart     fleet.DataCentreID
+	*simulation
+	upstreams  []*simUpstream
+	left       map[*host]map[fleet.InstanceID]fleet.Incarnation
+	oneWayCuts map[[2]*host]bool
+	isolated   fleet.DataCentreID
 }
 
 // TestSchedules guards against a left member or a leaving upstream that comes
@@ -37,22 +37,22 @@
 	for seed := *firstSchedule; seed < *firstSchedule+uint64(*schedules); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			newSchedule(t, seed).play(300)
+			newSchedule(t, seed).runSteps(300)
 		})
 	}
 }
 
 func newSchedule(t *testing.T, seed uint64) *schedule {
 	s := &schedule{
-		world: newWorld(t, seed, 3, 4), oneWay: make(map[[2]*host]bool),
+		simulation: newSimulation(t, seed, 3, 4), oneWayCuts: make(map[[2]*host]bool),
 		left: make(map[*host]map[fleet.InstanceID]fleet.Incarnation),
 	}
-	s.cut = func(from, to *host) bool {
-		parted := s.apart != "" && (from.centre == s.apart) != (to.centre == s.apart)
-		return parted || s.oneWay[[2]*host{from, to}]
+	s.drop = func(from, to *host) bool {
+		partitioned := s.isolated != "" && (from.centre == s.isolated) != (to.centre == s.isolated)
+		return partitioned || s.oneWayCuts[[2]*host{from, to}]
 	}
 	for i := range 18 {
-		a := s.announcer(i, fleet.DataCentreID(fmt.Sprintf("dc%02d", i%3)))
+		a := s.newUpstream(i, fleet.DataCentreID(fmt.Sprintf("dc%02d", i%3)))
 		a.rotate = i%2 == 0
 		s.upstreams = append(s.upstreams, a)
 	}
@@ -63,23 +63,23 @@
 	return s
 }
 
-func (s *schedule) play(steps int) {
-	s.run(5*time.Second, s.drive, s.check)
+func (s *schedule) runSteps(steps int) {
+	s.run(5*time.Second, s.announceAll, s.check)
 	for range steps {
-		s.act()
-		s.run(step*time.Duration(1+s.random.IntN(20)), s.drive, s.check)
+		s.injectEvent()
+		s.run(step*time.Duration(1+s.random.IntN(20)), s.announceAll, s.check)
 	}
 	s.recover()
 }
 
-func (s *schedule) drive() {
+func (s *schedule) announceAll() {
 	for _, a := range s.upstreams {
 		s.announce(a)
 	}
 }
 
-// act does one random thing.
-func (s *schedule) act() {
+// injectEvent does one random thing.
+func (s *schedule) injectEvent() {
 	h := s.hosts[s.random.IntN(len(s.hosts))]
 	o := s.hosts[s.random.IntN(len(s.hosts))]
 	a := s.upstreams[s.random.IntN(len(s.upstreams))]
@@ -87,11 +87,11 @@
 	case 0:
 		s.loss = s.random.Float64() / 5
 	case 1:
-		s.loss, s.repeat, s.jitter = 0, 0.1, time.Duration(1+s.random.IntN(200))*time.Millisecond
+		s.loss, s.duplication, s.jitter = 0, 0.1, time.Duration(1+s.random.IntN(200))*time.Millisecond
 	case 2:
-		s.oneWay[[2]*host{h, o}] = true
+		s.oneWayCuts[[2]*host{h, o}] = true
 	case 3:
-		clear(s.oneWay)
+		clear(s.oneWayCuts)
 	case 4:
 		h.frozen = h.up
 	case 5, 6:
@@ -106,7 +106,7 @@
 	case 10:
 		s.leave(h)
 	case 11:
-		s.apart = fleet.DataCentreID(fmt.Sprintf("dc%02d", s.random.IntN(4))) // dc03 heals
+		s.isolated = fleet.DataCentreID(fmt.Sprintf("dc%02d", s.random.IntN(4))) // dc03 heals
 	case 12:
 		s.leaveUpstream(a)
 	case 13:
@@ -114,7 +114,7 @@
 	case 14:
 		a.next = s.now.Add(time.Duration(s.random.IntN(10)) * time.Second)
 	case 15:
-		h.slow = time.Duration(s.random.IntN(2000)) * time.Millisecond
+		h.receiveDelay = time.Duration(s.random.IntN(2000)) * time.Millisecond
 	}
 }
 
@@ -136,12 +136,12 @@
 	h.up = false
 }
 
-func (s *schedule) leaveUpstream(a *announcer) {
+func (s *schedule) leaveUpstream(a *simUpstream) {
 	if !a.left.IsZero() || a.host == nil {
 		return
 	}
 	a.State = upstream.Leaving
-	s.say(a)
+	s.announceNow(a)
 	a.left = s.now
 	if a.host == nil {
 		return
@@ -155,7 +155,7 @@
 }
 
 // restartUpstream starts an upstream again that left at least 5 s ago.
-func (s *schedule) restartUpstream(a *announcer) {
+func (s *schedule) restartUpstream(a *simUpstream) {
 	if a.left.IsZero() || s.now.Sub(a.left) < 5*time.Second {
 		return
 	}
@@ -190,18 +190,18 @@
 	}
 }
 
-// unnoticed is the longest pause of a process that the roster does not notice.
-const unnoticed = 500 * time.Millisecond
+// maxUndetectedPause is the longest pause of a process that the roster does not notice.
+const maxUndetectedPause = 500 * time.Millisecond
 
 // checkUpstream also looks at frozen hosts, as if they ran on at this moment.
-func (s *schedule) checkUpstream(h *host, a *announcer) {
-	silent := s.now.Sub(a.said)
-	if silent <= roster.MaxFreshness+unnoticed {
+func (s *schedule) checkUpstream(h *host, a *simUpstream) {
+	age := s.now.Sub(a.lastAnnounced)
+	if age <= roster.MaxFreshness+maxUndetectedPause {
 		return
 	}
 	for _, u := range h.roster.Usable("p", s.now) {
 		if u.ID == a.ID {
-			s.t.Fatalf("%s would use %s %v after its last announcement", h.id, a.ID, silent)
+			s.t.Fatalf("%s would use %s %v after its last announcement", h.id, a.ID, age)
 		}
 	}
 }
@@ -209,21 +209,21 @@
 // recover ends all faults. Every instance must see every other within 40 s, and
 // soon afterwards use exactly the serving upstreams of its data centre.
 func (s *schedule) recover() {
-	s.loss, s.repeat, s.jitter, s.apart = 0, 0, 0, ""
-	clear(s.oneWay)
+	s.loss, s.duplication, s.jitter, s.isolated = 0, 0, 0, ""
+	clear(s.oneWayCuts)
 	s.thawAll()
 	for _, h := range s.hosts {
-		h.slow = 0
+		h.receiveDelay = 0
 		if !h.up {
 			s.boot(h)
 			delete(s.left, h)
 		}
 	}
-	s.runUntil(40*time.Second, s.agreed, s.drive, s.check)
-	s.runUntil(20*time.Second, s.confirmed, s.drive, s.check)
+	s.runUntil(40*time.Second, s.converged, s.announceAll, s.check)
+	s.runUntil(20*time.Second, s.upstreamsConverged, s.announceAll, s.check)
 }
 
-func (s *schedule) confirmed() bool {
+func (s *schedule) upstreamsConverged() bool {
 	serving := make(map[fleet.DataCentreID]int)
 	for _, a := range s.upstreams {
 		if a.left.IsZero() {
@@ -243,23 +243,23 @@
 // declared dead although it answers.
 func TestSlowMember(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, 1, 12)
+	w := newSimulation(t, 1, 1, 12)
 	w.bootAll()
-	w.runUntil(30*time.Second, w.agreed)
-	w.hosts[5].slow = 1500 * time.Millisecond
+	w.runUntil(30*time.Second, w.converged)
+	w.hosts[5].receiveDelay = 1500 * time.Millisecond
 	w.run(5 * time.Minute)
-	is.Equal(w.deaths, 0)
+	is.Equal(w.falseDeaths, 0)
 	for _, h := range w.hosts {
 		// Only the slow member itself may be suspected often.
 		is.True(h.index == 5 || w.suspected[h.id] <= 3*len(w.hosts))
 	}
-	w.hosts[5].slow = 0
+	w.hosts[5].receiveDelay = 0
 	for range 10 {
 		w.hosts[3].frozen = true
 		w.run(20 * time.Second)
 		w.thaw(w.hosts[3])
 		w.run(20 * time.Second)
-		is.True(w.agreed())
+		is.True(w.converged())
 	}
-	is.Equal(w.deaths, 0)
+	is.Equal(w.falseDeaths, 0)
 }
--- a/internal/membership/gossip/world_test.go
+++ b/internal/membership/gossip/world_test.go
@@ -21,38 +21,38 @@
 
 const step = 50 * time.Millisecond
 
-// world runs many cores over a fake network. Everything follows from its seed.
-type world struct {
-	t         testing.TB
-	now       time.Time
-	random    *rand.Rand
-	hosts     []*host
-	queue     deliveries
-	order     uint64
-	loss      float64
-	repeat    float64
-	jitter    time.Duration
-	cut       func(from, to *host) bool
-	deaths    int // running hosts that were declared dead
-	suspected map[fleet.InstanceID]int
-	encode    func(h *host, m *gossipv1.Message) []byte
-	decode    func(h *host, data []byte) *gossipv1.Message
+// simulation runs many cores over a fake network. Everything follows from its seed.
+type simulation struct {
+	t           testing.TB
+	now         time.Time
+	random      *rand.Rand
+	hosts       []*host
+	queue       deliveries
+	order       uint64
+	loss        float64
+	duplication float64
+	jitter      time.Duration
+	drop        func(from, to *host) bool
+	falseDeaths int // running hosts that were declared dead
+	suspected   map[fleet.InstanceID]int
+	encode      func(h *host, m *gossipv1.Message) []byte
+	decode      func(h *host, data []byte) *gossipv1.Message
 }
 
 // host is one simulated process, or the place of one that ended.
 type host struct {
-	index  int
-	id     fleet.InstanceID
-	centre fleet.DataCentreID
-	core   *gossip.Core
-	roster *roster.Roster
-	up     bool
-	frozen bool
-	slow   time.Duration // added to each message that it gets
-	inbox  []func()      // what arrived while it was frozen
-	boots  int
-	sent   struct{ messages, bytes int }
-	busy   time.Duration
+	index        int
+	id           fleet.InstanceID
+	centre       fleet.DataCentreID
+	core         *gossip.Core
+	roster       *roster.Roster
+	up           bool
+	frozen       bool
+	receiveDelay time.Duration // added to each message that it gets
+	inbox        []func()      // what arrived while it was frozen
+	boots        int
+	sent         struct{ messages, bytes int }
+	busyTime     time.Duration
 }
 
 type delivery struct {
@@ -80,10 +80,10 @@
 	return last
 }
 
-func newWorld(t testing.TB, seed uint64, centres, perCentre int) *world {
-	w := &world{
+func newSimulation(t testing.TB, seed uint64, centres, perCentre int) *simulation {
+	w := &simulation{
 		t: t, now: fakeclock.Start, suspected: make(map[fleet.InstanceID]int), random: rand.New(rand.NewPCG(seed, 2)),
-		cut: func(_, _ *host) bool { return false },
+		drop: func(_, _ *host) bool { return false },
 		encode: func(_ *host, m *gossipv1.Message) []byte {
 			data, _ := proto.Marshal(m)
 			return data
@@ -106,7 +106,7 @@
 }
 
 // boot starts a process on h with a higher incarnation than before.
-func (w *world) boot(h *host) {
+func (w *simulation) boot(h *host) {
 	h.boots++
 	h.up, h.frozen, h.inbox = true, false, nil
 	h.roster, _ = roster.New()
@@ -115,12 +115,12 @@
 		Gossip: h.address(), Peers: "127.0.0.1:1", Voter: h.index < 3,
 	}
 	h.core = gossip.New(self, []string{w.hosts[0].address(), w.hosts[1].address()}, gossip.WithRandom(uint64(h.index)))
-	h.roster.Listen(func(a upstream.Announcement, confirmed, now time.Time) {
-		w.apply(h, h.core.Announce(a, confirmed, now))
+	h.roster.Listen(func(a upstream.Announcement, heartbeat, now time.Time) {
+		w.apply(h, h.core.Announce(a, heartbeat, now))
 	})
 }
 
-func (w *world) bootAll() {
+func (w *simulation) bootAll() {
 	for _, h := range w.hosts {
 		w.boot(h)
 	}
@@ -128,7 +128,7 @@
 
 func (h *host) address() string { return fmt.Sprintf("10.0.%d.%d:7000", h.index/250, h.index%250) }
 
-func (w *world) at(address string) *host {
+func (w *simulation) hostAt(address string) *host {
 	var high, low int
 	if n, _ := fmt.Sscanf(address, "10.0.%d.%d:7000", &high, &low); n != 2 {
 		return nil
@@ -137,7 +137,7 @@
 }
 
 // run advances the time by d in steps and calls each after every step.
-func (w *world) run(d time.Duration, each ...func()) {
+func (w *simulation) run(d time.Duration, afterStep ...func()) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(step)
 		w.deliver()
@@ -147,28 +147,28 @@
 				h.roster.Tick(w.now)
 			}
 		}
-		for _, f := range each {
+		for _, f := range afterStep {
 			f()
 		}
 	}
 }
 
-func (w *world) deliver() {
+func (w *simulation) deliver() {
 	now := w.now
 	for len(w.queue) > 0 && !w.queue[0].at.After(now) {
 		d := heap.Pop(&w.queue).(delivery)
 		w.now = d.at
-		w.hand(d)
+		w.receive(d)
 	}
 	w.now = now
 }
 
-func (w *world) hand(d delivery) {
+func (w *simulation) receive(d delivery) {
 	if !d.to.up {
 		return
 	}
 	if d.to.frozen {
-		d.to.inbox = append(d.to.inbox, func() { w.hand(d) })
+		d.to.inbox = append(d.to.inbox, func() { w.receive(d) })
 		return
 	}
 	e := w.timed(d.to, func() gossip.Effects {
@@ -181,15 +181,15 @@
 	w.apply(d.to, e)
 }
 
-func (w *world) timed(h *host, f func() gossip.Effects) gossip.Effects {
+func (w *simulation) timed(h *host, f func() gossip.Effects) gossip.Effects {
 	start := time.Now()
 	e := f()
-	h.busy += time.Since(start)
+	h.busyTime += time.Since(start)
 	return e
 }
 
 // thaw lets a frozen host read what has queued up, and run again.
-func (w *world) thaw(h *host) {
+func (w *simulation) thaw(h *host) {
 	h.frozen = false
 	for _, f := range h.inbox {
 		f()
@@ -197,7 +197,7 @@
 	h.inbox = nil
 }
 
-func (w *world) apply(h *host, e gossip.Effects) {
+func (w *simulation) apply(h *host, e gossip.Effects) {
 	for _, s := range e.Send {
 		w.send(h, s)
 	}
@@ -206,7 +206,7 @@
 			w.suspected[m.ID]++
 		}
 		if m.Status == membership.Dead {
-			w.countDeath(m.ID)
+			w.countFalseDeath(m.ID)
 		}
 	}
 	if e.Resumed {
@@ -220,33 +220,33 @@
 	}
 }
 
-func (w *world) countDeath(id fleet.InstanceID) {
+func (w *simulation) countFalseDeath(id fleet.InstanceID) {
 	for _, h := range w.hosts {
 		if h.id == id && h.up && !h.frozen {
-			w.deaths++
+			w.falseDeaths++
 		}
 	}
 }
 
-func (w *world) send(h *host, s gossip.Envelope) {
+func (w *simulation) send(h *host, s gossip.Envelope) {
 	start := time.Now()
 	data := w.encode(h, s.Message)
-	h.busy += time.Since(start)
+	h.busyTime += time.Since(start)
 	h.sent.messages++
 	h.sent.bytes += len(data)
 	if proto.Size(s.Message) > gossip.MaxMessage {
 		w.t.Fatalf("a message has %d bytes", len(data))
 	}
-	to := w.at(s.Address)
-	if to == nil || w.cut(h, to) || w.random.Float64() < w.loss {
+	to := w.hostAt(s.Address)
+	if to == nil || w.drop(h, to) || w.random.Float64() < w.loss {
 		return
 	}
 	copies := 1
-	if w.random.Float64() < w.repeat {
+	if w.random.Float64() < w.duplication {
 		copies = 2
 	}
 	for range copies {
-		delay := 250*time.Microsecond + to.slow
+		delay := 250*time.Microsecond + to.receiveDelay
 		if w.jitter > 0 {
 			delay += time.Duration(w.random.Int64N(int64(w.jitter)))
 		}
@@ -255,7 +255,7 @@
 	}
 }
 
-func (w *world) status(at, of *host) (membership.Status, bool) {
+func (w *simulation) status(at, of *host) (membership.Status, bool) {
 	for _, m := range at.core.Members(w.now) {
 		if m.ID == of.id {
 			return m.Status, true
@@ -264,8 +264,8 @@
 	return 0, false
 }
 
-// agreed reports whether every running host sees every running host as alive.
-func (w *world) agreed() bool {
+// converged reports whether every running host sees every running host as alive.
+func (w *simulation) converged() bool {
 	for _, h := range w.hosts {
 		if !h.up {
 			continue
@@ -285,46 +285,46 @@
 
 // runUntil runs until f holds and returns the time that it took. It fails the
 // test after limit.
-func (w *world) runUntil(limit time.Duration, f func() bool, each ...func()) time.Duration {
+func (w *simulation) runUntil(timeout time.Duration, condition func() bool, afterStep ...func()) time.Duration {
 	w.t.Helper()
 	start := w.now
-	for !f() {
-		if w.now.Sub(start) >= limit {
-			w.t.Fatalf("not reached within %v", limit)
+	for !condition() {
+		if w.now.Sub(start) >= timeout {
+			w.t.Fatalf("not reached within %v", timeout)
 		}
-		w.run(step, each...)
+		w.run(step, afterStep...)
 	}
 	return w.now.Sub(start)
 }
 
-// announcer is a simulated upstream that announces itself every second to one
+// simUpstream is a simulated upstream that announces itself every second to one
 // host, and to another one when that is down or cut off.
-type announcer struct {
+type simUpstream struct {
 	upstream.Announcement
 	host *host
 	next time.Time
 	// rotate makes it choose another host every time.
-	rotate bool
-	left   time.Time
-	said   time.Time // the last announcement that was not late
+	rotate        bool
+	left          time.Time
+	lastAnnounced time.Time // the last announcement that was not late
 }
 
-func (w *world) announcer(n int, centre fleet.DataCentreID) *announcer {
-	return &announcer{Announcement: upstream.Announcement{
+func (w *simulation) newUpstream(n int, centre fleet.DataCentreID) *simUpstream {
+	return &simUpstream{Announcement: upstream.Announcement{
 		ID: fleet.UpstreamID(fmt.Sprintf("u%05d", n)), Incarnation: 1, Address: fmt.Sprintf("10.1.%d.%d:9000", n/250, n%250),
 		DataCentre: centre, Pool: "p", Model: "model-a", Version: "v1", Accelerator: "kind-a", Slots: 8,
 	}, next: w.now.Add(time.Duration(w.random.Int64N(int64(time.Second))))}
 }
 
-func (w *world) announce(a *announcer) {
+func (w *simulation) announce(a *simUpstream) {
 	if w.now.Before(a.next) || !a.left.IsZero() {
 		return
 	}
 	a.next = a.next.Add(time.Second)
-	w.say(a)
+	w.announceNow(a)
 }
 
-func (w *world) say(a *announcer) {
+func (w *simulation) announceNow(a *simUpstream) {
 	if a.host != nil && a.host.frozen {
 		// The request waits in a socket of the frozen host.
 		a.Sequence++
@@ -332,25 +332,25 @@
 		h.inbox = append(h.inbox, func() { _ = h.roster.Announce(late, w.now) })
 	}
 	if a.host == nil || a.rotate || !a.host.up || a.host.frozen {
-		a.host = w.pick(a.DataCentre)
+		a.host = w.pickHost(a.DataCentre)
 	}
 	if a.host == nil {
 		return
 	}
 	a.Sequence++
-	a.said = w.now
+	a.lastAnnounced = w.now
 	is.New(w.t).NoErr(a.host.roster.Announce(a.Announcement, w.now))
 }
 
-func (w *world) pick(centre fleet.DataCentreID) *host {
-	var up []*host
+func (w *simulation) pickHost(centre fleet.DataCentreID) *host {
+	var running []*host
 	for _, h := range w.hosts {
 		if h.up && !h.frozen && h.centre == centre {
-			up = append(up, h)
+			running = append(running, h)
 		}
 	}
-	if len(up) == 0 {
+	if len(running) == 0 {
 		return nil
 	}
-	return up[w.random.IntN(len(up))]
+	return running[w.random.IntN(len(running))]
 }
--- a/internal/membership/packet/codec.go
+++ b/internal/membership/packet/codec.go
@@ -19,9 +19,9 @@
 // MinSecret is the least length of the shared secret in bytes.
 const MinSecret = 16
 
-// codeSize is the length of the authentication code: HMAC-SHA-256 cut to 128
+// macSize is the length of the authentication code: HMAC-SHA-256 cut to 128
 // bits, which RFC 2104, section 5, allows.
-const codeSize = sha256.Size / 2
+const macSize = sha256.Size / 2
 
 // windowSize is the number of datagrams of one sender by which one may be late.
 const windowSize = 64
@@ -32,8 +32,8 @@
 
 // Errors of datagrams that are not accepted.
 var (
-	errCode     = errors.New("the authentication code is wrong")
-	errRepeated = errors.New("the datagram was received before or is too old")
+	errBadMAC   = errors.New("the authentication code is wrong")
+	errReplayed = errors.New("the datagram was received before or is too old")
 )
 
 // Codec turns messages into authenticated datagrams and back. It refuses a
@@ -42,18 +42,18 @@
 	macs sync.Pool
 	boot uint64
 
-	mu      sync.Mutex
-	count   uint64
-	windows map[string]*window
+	mu            sync.Mutex
+	count         uint64
+	replayWindows map[string]*replayWindow
 }
 
-// window tells which datagrams of one process were received: highest, and one
+// replayWindow tells which datagrams of one process were received: highest, and one
 // bit for each of the 64 before it.
-type window struct {
-	boot    uint64
-	highest uint64
-	seen    uint64
-	last    time.Time
+type replayWindow struct {
+	boot         uint64
+	highest      uint64
+	seen         uint64
+	lastReceived time.Time
 }
 
 // NewCodec returns a Codec for a process that started with incarnation boot.
@@ -61,7 +61,7 @@
 	if len(secret) < MinSecret {
 		return nil, errors.Errorf("the gossip secret has %d bytes, fewer than %d", len(secret), MinSecret)
 	}
-	c := &Codec{boot: boot, windows: make(map[string]*window)}
+	c := &Codec{boot: boot, replayWindows: make(map[string]*replayWindow)}
 	c.macs.New = func() any { return hmac.New(sha256.New, secret) }
 	return c, nil
 }
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode gossip message")
 	}
-	packet, err := proto.Marshal(&gossipv1.Frame{Code: c.code(body), Body: body})
+	packet, err := proto.Marshal(&gossipv1.Frame{Code: c.computeMAC(body), Body: body})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode gossip frame")
 	}
@@ -90,10 +90,10 @@
 func (c *Codec) Decode(packet []byte, now time.Time) (*gossipv1.Message, error) {
 	var frame gossipv1.Frame
 	if err := proto.Unmarshal(packet, &frame); err != nil {
-		return nil, errCode
+		return nil, errBadMAC
 	}
-	if !hmac.Equal(frame.Code, c.code(frame.Body)) {
-		return nil, errCode
+	if !hmac.Equal(frame.Code, c.computeMAC(frame.Body)) {
+		return nil, errBadMAC
 	}
 	var body gossipv1.Body
 	if err := proto.Unmarshal(frame.Body, &body); err != nil {
@@ -104,34 +104,34 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.admit(body.Message.From, body.Boot, body.Count, now) {
-		return nil, errRepeated
+	if !c.accept(body.Message.From, body.Boot, body.Count, now) {
+		return nil, errReplayed
 	}
 	return body.Message, nil
 }
 
-func (c *Codec) code(body []byte) []byte {
+func (c *Codec) computeMAC(body []byte) []byte {
 	mac := c.macs.Get().(hash.Hash)
 	defer c.macs.Put(mac)
 	mac.Reset()
 	mac.Write(body)
-	return mac.Sum(nil)[:codeSize]
+	return mac.Sum(nil)[:macSize]
 }
 
-func (c *Codec) admit(from string, boot, count uint64, now time.Time) bool {
-	w, ok := c.windows[from]
-	if !ok || boot > w.boot || (boot < w.boot && now.Sub(w.last) > bootRetention) {
-		c.windows[from] = &window{boot: boot, highest: count, last: now}
+func (c *Codec) accept(from string, boot, count uint64, now time.Time) bool {
+	w, ok := c.replayWindows[from]
+	if !ok || boot > w.boot || (boot < w.boot && now.Sub(w.lastReceived) > bootRetention) {
+		c.replayWindows[from] = &replayWindow{boot: boot, highest: count, lastReceived: now}
 		return true
 	}
-	if boot < w.boot || !w.admit(count) {
+	if boot < w.boot || !w.accept(count) {
 		return false
 	}
-	w.last = now
+	w.lastReceived = now
 	return true
 }
 
-func (w *window) admit(count uint64) bool {
+func (w *replayWindow) accept(count uint64) bool {
 	if count > w.highest {
 		w.advance(count - w.highest)
 		w.highest = count
@@ -150,7 +150,7 @@
 }
 
 // advance moves the window by n. The former highest becomes one of the bits.
-func (w *window) advance(n uint64) {
+func (w *replayWindow) advance(n uint64) {
 	if n > windowSize {
 		w.seen = 0
 		return
@@ -163,9 +163,9 @@
 func (c *Codec) Forget(d time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for from, w := range c.windows {
-		if now.Sub(w.last) > d {
-			delete(c.windows, from)
+	for from, w := range c.replayWindows {
+		if now.Sub(w.lastReceived) > d {
+			delete(c.replayWindows, from)
 		}
 	}
 }
--- a/internal/membership/packet/node.go
+++ b/internal/membership/packet/node.go
@@ -42,16 +42,16 @@
 )
 
 const (
-	tickPeriod  = 50 * time.Millisecond
-	poolPeriod  = time.Second
-	sweepPeriod = time.Minute
-	// leaveRepeats is the number of times that a leaving node tells others, in
+	tickInterval      = 50 * time.Millisecond
+	poolCountInterval = time.Second
+	sweepInterval     = time.Minute
+	// leaveSends is the number of times that a leaving node tells others, in
 	// case a datagram is lost.
-	leaveRepeats = 3
+	leaveSends = 3
 )
 
-// Cut decides whether a message from one instance to another is dropped.
-type Cut func(from, to fleet.InstanceID) bool
+// DropFunc decides whether a message from one instance to another is dropped.
+type DropFunc func(from, to fleet.InstanceID) bool
 
 // Stats counts the traffic of a node.
 type Stats struct {
@@ -59,34 +59,34 @@
 	ReceivedMessages, ReceivedBytes uint64
 	// Refused counts datagrams with a wrong code, Repeated those that were
 	// received before, and Failed those that could not be sent.
-	Refused, Repeated, Failed uint64
+	Refused, Replayed, Failed uint64
 }
 
 // Node is one instance in the membership. It is safe for concurrent use.
 type Node struct {
-	clock    fleet.Clock
-	logger   *zap.Logger
-	secret   []byte
-	seeds    []string
-	roster   *roster.Roster
-	cut      Cut
-	combine  func([][]byte) []byte
-	onHigher func(fleet.Revision)
-	onMember func(membership.Member)
+	clock            fleet.Clock
+	logger           *zap.Logger
+	secret           []byte
+	seeds            []string
+	roster           *roster.Roster
+	drop             DropFunc
+	combineUsages    func([][]byte) []byte
+	onHigherRevision func(fleet.Revision)
+	onMemberChange   func(membership.Member)
 
 	connection *net.UDPConn
 	codec      *Codec
 	done       chan struct{}
-	close      sync.Once
-	running    sync.WaitGroup
+	closeOnce  sync.Once
+	goroutines sync.WaitGroup
 
-	mu       sync.Mutex
-	core     *gossip.Core
-	reported fleet.Revision
+	mu               sync.Mutex
+	core             *gossip.Core
+	reportedRevision fleet.Revision
 
 	sentMessages, sentBytes         atomic.Uint64
 	receivedMessages, receivedBytes atomic.Uint64
-	refused, repeated, failed       atomic.Uint64
+	refused, replayed, failed       atomic.Uint64
 }
 
 var _ membership.View = (*Node)(nil)
@@ -113,22 +113,22 @@
 func WithRoster(r *roster.Roster) Option { return func(n *Node) { n.roster = r } }
 
 // WithCut sets a function that drops received messages, for tests.
-func WithCut(c Cut) Option { return func(n *Node) { n.cut = c } }
+func WithCut(c DropFunc) Option { return func(n *Node) { n.drop = c } }
 
 // WithCombine sets the function that makes the account usage of the data centre
 // from the usages of its instances.
-func WithCombine(f func([][]byte) []byte) Option { return func(n *Node) { n.combine = f } }
+func WithCombine(f func([][]byte) []byte) Option { return func(n *Node) { n.combineUsages = f } }
 
 // WithRevisionHook sets a function that is called with every higher revision
 // that is in force anywhere. It must not block.
 func WithRevisionHook(f func(highest fleet.Revision)) Option {
-	return func(n *Node) { n.onHigher = f }
+	return func(n *Node) { n.onHigherRevision = f }
 }
 
 // WithMemberHook sets a function that is called with every changed member. It
 // must not block.
 func WithMemberHook(f func(membership.Member)) Option {
-	return func(n *Node) { n.onMember = f }
+	return func(n *Node) { n.onMemberChange = f }
 }
 
 // New listens on self.Gossip and starts the node.
@@ -150,16 +150,16 @@
 		return nil, errors.Wrap(err, "listen for gossip")
 	}
 	self.Gossip = n.connection.LocalAddr().String()
-	n.core = gossip.New(self, n.seeds, gossip.WithCombine(n.combine))
+	n.core = gossip.New(self, n.seeds, gossip.WithCombine(n.combineUsages))
 	if n.roster != nil {
-		n.roster.Listen(n.announced)
+		n.roster.Listen(n.onAnnouncement)
 	}
 	n.start()
 	return n, nil
 }
 
 func (n *Node) start() {
-	n.running.Go(func() {
+	n.goroutines.Go(func() {
 		buffer := make([]byte, MaxPacket+1)
 		for {
 			size, from, err := n.connection.ReadFromUDPAddrPort(buffer)
@@ -173,26 +173,26 @@
 			n.receive(buffer[:size], from)
 		}
 	})
-	n.running.Go(func() {
-		var pools, sweep time.Time
+	n.goroutines.Go(func() {
+		var lastPoolCount, lastSweep time.Time
 		for {
 			now := n.clock.Now()
-			n.do(func() gossip.Effects { return n.core.Tick(now) })
+			n.runStep(func() gossip.Effects { return n.core.Tick(now) })
 			n.tickRoster(now)
-			pools = n.every(poolPeriod, pools, now, n.countPools)
-			sweep = n.every(sweepPeriod, sweep, now, n.sweep)
+			lastPoolCount = n.runEvery(poolCountInterval, lastPoolCount, now, n.countPools)
+			lastSweep = n.runEvery(sweepInterval, lastSweep, now, n.sweep)
 			select {
 			case <-n.done:
 				return
-			case <-n.clock.After(tickPeriod):
+			case <-n.clock.After(tickInterval):
 			}
 		}
 	})
 }
 
-// every calls f when the period has passed since last, and returns the time of
+// runEvery calls f when the period has passed since last, and returns the time of
 // the last call.
-func (n *Node) every(period time.Duration, last, now time.Time, f func(time.Time)) time.Time {
+func (n *Node) runEvery(period time.Duration, last, now time.Time, f func(time.Time)) time.Time {
 	if now.Sub(last) < period {
 		return last
 	}
@@ -232,45 +232,45 @@
 		n.countRefusal(err, from)
 		return
 	}
-	if n.cut != nil && n.cut(fleet.InstanceID(m.From), n.Self().ID) {
+	if n.drop != nil && n.drop(fleet.InstanceID(m.From), n.Self().ID) {
 		return
 	}
 	address := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String()
-	n.do(func() gossip.Effects { return n.core.Receive(m, address, now) })
+	n.runStep(func() gossip.Effects { return n.core.Receive(m, address, now) })
 }
 
 func (n *Node) countRefusal(err error, from netip.AddrPort) {
-	if errors.Is(err, errRepeated) {
-		n.repeated.Add(1)
+	if errors.Is(err, errReplayed) {
+		n.replayed.Add(1)
 		return
 	}
 	n.refused.Add(1)
 	n.logger.Debug("Refused a datagram.", zap.Stringer("from", from), zap.Error(err))
 }
 
-// do runs a step of the core and carries out its effects.
-func (n *Node) do(step func() gossip.Effects) {
+// runStep runs a step of the core and carries out its effects.
+func (n *Node) runStep(step func() gossip.Effects) {
 	n.mu.Lock()
 	e := step()
-	highest := n.core.Highest()
-	higher := highest > n.reported
-	n.reported = max(n.reported, highest)
+	highest := n.core.HighestRevision()
+	higher := highest > n.reportedRevision
+	n.reportedRevision = max(n.reportedRevision, highest)
 	n.mu.Unlock()
 	n.sendAll(e.Send)
-	n.feedRoster(e)
+	n.updateRoster(e)
 	for _, m := range e.Members {
 		n.logger.Debug("Member changed.", zap.String("member", string(m.ID)), zap.Stringer("status", m.Status),
 			zap.Uint64("incarnation", uint64(m.Incarnation)), zap.Uint64("revision", uint64(m.Revision)))
-		if n.onMember != nil {
-			n.onMember(m)
+		if n.onMemberChange != nil {
+			n.onMemberChange(m)
 		}
 	}
-	if higher && n.onHigher != nil {
-		n.onHigher(highest)
+	if higher && n.onHigherRevision != nil {
+		n.onHigherRevision(highest)
 	}
 }
 
-func (n *Node) feedRoster(e gossip.Effects) {
+func (n *Node) updateRoster(e gossip.Effects) {
 	if n.roster == nil {
 		return
 	}
@@ -283,7 +283,7 @@
 		n.mergeAnnounced(e.Announced, now)
 	}
 	if len(e.Renewed) > 0 {
-		n.renew(e.Renewed, now)
+		n.mergeRenewed(e.Renewed, now)
 	}
 }
 
@@ -297,7 +297,7 @@
 	}
 }
 
-func (n *Node) renew(renewed []gossip.Renewal, now time.Time) {
+func (n *Node) mergeRenewed(renewed []gossip.Renewal, now time.Time) {
 	all := make([]roster.Renewal, len(renewed))
 	for i, r := range renewed {
 		all[i] = roster.Renewal(r)
@@ -305,8 +305,8 @@
 	n.roster.Renew(all, now)
 }
 
-func (n *Node) announced(a upstream.Announcement, confirmed, now time.Time) {
-	n.do(func() gossip.Effects { return n.core.Announce(a, confirmed, now) })
+func (n *Node) onAnnouncement(a upstream.Announcement, heartbeat, now time.Time) {
+	n.runStep(func() gossip.Effects { return n.core.Announce(a, heartbeat, now) })
 }
 
 func (n *Node) sendAll(envelopes []gossip.Envelope) {
@@ -350,24 +350,24 @@
 	return n.core.Members(now)
 }
 
-// Centres returns what is known of each data centre, ordered by ID.
-func (n *Node) Centres() []gossip.Centre {
+// DataCentres returns what is known of each data centre, ordered by ID.
+func (n *Node) DataCentres() []gossip.DataCentre {
 	now := n.clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.core.Centres(now)
+	return n.core.DataCentres(now)
 }
 
-// Highest returns the highest revision in force anywhere that is known.
-func (n *Node) Highest() fleet.Revision {
+// HighestRevision returns the highest revision in force anywhere that is known.
+func (n *Node) HighestRevision() fleet.Revision {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.core.Highest()
+	return n.core.HighestRevision()
 }
 
 // SetRevision tells the others the configuration in force on this instance.
 func (n *Node) SetRevision(r fleet.Revision, since time.Time) {
-	n.do(func() gossip.Effects { return n.core.SetRevision(r, since) })
+	n.runStep(func() gossip.Effects { return n.core.SetRevision(r, since) })
 }
 
 // SetUsage tells the others the account usage of this instance. It reports false
@@ -397,20 +397,20 @@
 	return Stats{
 		SentMessages: n.sentMessages.Load(), SentBytes: n.sentBytes.Load(),
 		ReceivedMessages: n.receivedMessages.Load(), ReceivedBytes: n.receivedBytes.Load(),
-		Refused: n.refused.Load(), Repeated: n.repeated.Load(), Failed: n.failed.Load(),
+		Refused: n.refused.Load(), Replayed: n.replayed.Load(), Failed: n.failed.Load(),
 	}
 }
 
 // Leave tells the others that this instance leaves and then closes the node. An
 // ended ctx cuts the repeats short.
 func (n *Node) Leave(ctx context.Context) error {
-	for range leaveRepeats {
+	for range leaveSends {
 		now := n.clock.Now()
-		n.do(func() gossip.Effects { return n.core.Leave(now) })
+		n.runStep(func() gossip.Effects { return n.core.Leave(now) })
 		select {
 		case <-ctx.Done():
 			return n.Close()
-		case <-n.clock.After(tickPeriod):
+		case <-n.clock.After(tickInterval):
 		}
 	}
 	return n.Close()
@@ -419,10 +419,10 @@
 // Close stops the node without telling the others.
 func (n *Node) Close() error {
 	var err error
-	n.close.Do(func() {
+	n.closeOnce.Do(func() {
 		close(n.done)
 		err = n.connection.Close()
-		n.running.Wait()
+		n.goroutines.Wait()
 	})
 	return errors.Wrap(err, "close gossip")
 }
--- a/internal/membership/packet/packet_test.go
+++ b/internal/membership/packet/packet_test.go
@@ -50,9 +50,9 @@
 	sent[68][len(sent[68])-1] ^= 1
 	is.True(!accepts(sent[68])) // changed
 
-	stranger, err := packet.NewCodec([]byte("another secret, guessed"), 9)
+	forger, err := packet.NewCodec([]byte("another secret, guessed"), 9)
 	is.NoErr(err)
-	data, err := stranger.Encode(&gossipv1.Message{From: "a"})
+	data, err := forger.Encode(&gossipv1.Message{From: "a"})
 	is.NoErr(err)
 	is.True(!accepts(data)) // forged
 
@@ -69,27 +69,27 @@
 	is.True(err != nil)
 }
 
-type fleetOfNodes struct {
+type testFleet struct {
 	t       *testing.T
 	clock   *fakeclock.Clock
 	nodes   []*packet.Node
 	rosters []*roster.Roster
 }
 
-// until advances the clock until f holds. The wall-clock limit only ends a test
+// waitUntil advances the clock until f holds. The wall-clock limit only ends a test
 // that would never succeed.
-func (f *fleetOfNodes) until(what string, ok func() bool) {
+func (f *testFleet) waitUntil(condition string, holds func() bool) {
 	f.t.Helper()
-	for start := time.Now(); !ok(); {
+	for start := time.Now(); !holds(); {
 		if time.Since(start) > time.Minute {
-			f.t.Fatalf("never happened: %s", what)
+			f.t.Fatalf("never happened: %s", condition)
 		}
 		f.clock.Advance(50 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (f *fleetOfNodes) start(i int, options ...packet.Option) {
+func (f *testFleet) start(i int, options ...packet.Option) {
 	is := is.New(f.t)
 	r, err := roster.New(roster.WithDataCentre("dc1"))
 	is.NoErr(err)
@@ -107,7 +107,7 @@
 	f.rosters = append(f.rosters, r)
 }
 
-func (f *fleetOfNodes) see(i int, id fleet.InstanceID, s membership.Status) bool {
+func (f *testFleet) hasStatus(i int, id fleet.InstanceID, s membership.Status) bool {
 	for _, m := range f.nodes[i].Members() {
 		if m.ID == id {
 			return m.Status == s
@@ -121,66 +121,66 @@
 func TestNode(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
-	f := &fleetOfNodes{t: t, clock: fakeclock.New(fakeclock.Start)}
+	f := &testFleet{t: t, clock: fakeclock.New(fakeclock.Start)}
 	highest := make(chan fleet.Revision, 100)
 	f.start(0, packet.WithRevisionHook(func(r fleet.Revision) { highest <- r }))
 	f.start(1)
 	f.start(2)
-	f.until("join", func() bool {
-		return f.see(0, "i1", membership.Alive) && f.see(1, "i2", membership.Alive) && f.see(2, "i1", membership.Alive)
+	f.waitUntil("join", func() bool {
+		return f.hasStatus(0, "i1", membership.Alive) && f.hasStatus(1, "i2", membership.Alive) && f.hasStatus(2, "i1", membership.Alive)
 	})
 
 	a := upstream.Announcement{ID: "u", Incarnation: 1, Address: "127.0.0.1:9", DataCentre: "dc1", Pool: "p", Slots: 1}
-	f.until("confirmation", func() bool {
+	f.waitUntil("confirmation", func() bool {
 		a.Sequence++
 		is.NoErr(f.rosters[2].Announce(a, f.clock.Now()))
 		return len(f.rosters[0].Usable("p", f.clock.Now())) == 1
 	})
 	a.State = upstream.Leaving
 	is.NoErr(f.rosters[1].Announce(a, f.clock.Now()))
-	f.until("leaving", func() bool {
+	f.waitUntil("leaving", func() bool {
 		u, _ := f.rosters[0].Get("u")
 		return u.State == upstream.Leaving
 	})
 
 	f.nodes[2].SetRevision(5, f.clock.Now())
-	f.until("revision", func() bool { return f.nodes[0].Highest() == 5 })
+	f.waitUntil("revision", func() bool { return f.nodes[0].HighestRevision() == 5 })
 	is.Equal(<-highest, fleet.Revision(5))
 
 	// Leave waits on the fake clock; an ended context keeps it from waiting.
-	ended, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.NoErr(f.nodes[2].Leave(ended))
-	f.until("leave", func() bool { return f.see(0, "i2", membership.Left) && f.see(1, "i2", membership.Left) })
+	is.NoErr(f.nodes[2].Leave(canceled))
+	f.waitUntil("leave", func() bool { return f.hasStatus(0, "i2", membership.Left) && f.hasStatus(1, "i2", membership.Left) })
 	is.True(f.nodes[0].Stats().SentBytes > 0)
 	is.NoErr(f.nodes[0].Close())
 	is.NoErr(f.nodes[1].Close())
 }
 
-// TestCut guards against a cut that is not seen as a failure, and against a
+// TestPartition guards against a cut that is not seen as a failure, and against a
 // partition that does not heal.
-func TestCut(t *testing.T) {
+func TestPartition(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
-	f := &fleetOfNodes{t: t, clock: fakeclock.New(fakeclock.Start)}
-	cut := make(chan bool, 1)
-	cut <- false
+	f := &testFleet{t: t, clock: fakeclock.New(fakeclock.Start)}
+	partitioned := make(chan bool, 1)
+	partitioned <- false
 	drop := packet.WithCut(func(from, to fleet.InstanceID) bool {
-		c := <-cut
-		cut <- c
+		c := <-partitioned
+		partitioned <- c
 		return c && (from == "i1" || to == "i1")
 	})
 	for i := range 3 {
 		f.start(i, drop)
 	}
-	together := func() bool { return f.see(0, "i1", membership.Alive) && f.see(1, "i2", membership.Alive) }
-	f.until("join", together)
-	<-cut
-	cut <- true
-	f.until("death", func() bool { return f.see(0, "i1", membership.Dead) && f.see(1, "i2", membership.Dead) })
-	<-cut
-	cut <- false
-	f.until("heal", together)
+	connected := func() bool { return f.hasStatus(0, "i1", membership.Alive) && f.hasStatus(1, "i2", membership.Alive) }
+	f.waitUntil("join", connected)
+	<-partitioned
+	partitioned <- true
+	f.waitUntil("death", func() bool { return f.hasStatus(0, "i1", membership.Dead) && f.hasStatus(1, "i2", membership.Dead) })
+	<-partitioned
+	partitioned <- false
+	f.waitUntil("heal", connected)
 	for _, n := range f.nodes {
 		is.NoErr(n.Close())
 	}
