--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,5 @@
-// Package membership holds the types of the instances that know each other.
+// Package membership defines the types that describe the instances of the fleet
+// and their status.
 package membership
 
 import (
@@ -10,7 +11,8 @@
 // Status is the status of a member.
 type Status int
 
-// The statuses of a member. Left is final for an incarnation.
+// The statuses of a member. Left is final for an incarnation: only a higher
+// incarnation replaces it.
 const (
 	Alive   Status = iota // alive
 	Suspect               // suspect
@@ -18,7 +20,7 @@
 	Left                  // left
 )
 
-// Member is one instance as another sees it.
+// Member is the state of one instance as known to another.
 type Member struct {
 	ID          fleet.InstanceID   `json:"id"`
 	Incarnation fleet.Incarnation  `json:"incarnation"`
@@ -28,14 +30,15 @@
 	// gRPC listeners.
 	Gossip string `json:"gossip"`
 	Peers  string `json:"peers"`
-	// Voter tells that the instance keeps durable state and votes.
+	// Voter reports whether the instance keeps durable state and votes.
 	Voter bool `json:"voter"`
-	// Revision is the configuration in force and Since when it got there.
+	// Revision is the active revision of the configuration, and Since the time
+	// at which it became active.
 	Revision fleet.Revision `json:"revision"`
 	Since    time.Time      `json:"since"`
 }
 
-// View is what other parts read of the membership.
+// View gives other packages read access to the membership.
 type View interface {
 	// Self returns this instance.
 	Self() Member
--- a/internal/membership/packet/codec.go
+++ b/internal/membership/packet/codec.go
@@ -13,31 +13,32 @@
 	gossipv1 "github.com/bilberryrock/bilberryrock/api/gossip/v1"
 )
 
-// MaxPacket bounds a datagram in bytes.
+// MaxPacket is the maximum size of a datagram in bytes.
 const MaxPacket = 1400
 
-// MinSecret is the least length of the shared secret in bytes.
+// MinSecret is the minimum length of the shared secret in bytes.
 const MinSecret = 16
 
-// macSize is the length of the authentication code: HMAC-SHA-256 cut to 128
-// bits, which RFC 2104, section 5, allows.
+// macSize is the length of the message authentication code in bytes:
+// HMAC-SHA-256 truncated to 128 bits, which RFC 2104, section 5, allows.
 const macSize = sha256.Size / 2
 
-// windowSize is the number of datagrams of one sender by which one may be late.
+// windowSize is the number of datagrams of one sender by which a datagram may
+// be out of order and still be accepted.
 const windowSize = 64
 
-// bootRetention is the time after the last datagram of a process for which
-// datagrams of earlier processes of the same instance are refused.
+// bootRetention is the period after the last datagram of a process during which
+// datagrams from earlier processes of the same instance are rejected.
 const bootRetention = time.Minute
 
-// Errors of datagrams that are not accepted.
+// Errors for datagrams that are rejected.
 var (
-	errBadMAC   = errors.New("the authentication code is wrong")
-	errReplayed = errors.New("the datagram was received before or is too old")
+	errBadMAC   = errors.New("message authentication code does not match")
+	errReplayed = errors.New("datagram is a replay or too old")
 )
 
-// Codec turns messages into authenticated datagrams and back. It refuses a
-// datagram that it has accepted before. It is safe for concurrent use.
+// Codec encodes messages as authenticated datagrams and decodes them. It rejects
+// replayed datagrams. It is safe for concurrent use.
 type Codec struct {
 	macs sync.Pool
 	boot uint64
@@ -47,8 +48,8 @@
 	replayWindows map[string]*replayWindow
 }
 
-// replayWindow tells which datagrams of one process were received: highest, and one
-// bit for each of the 64 before it.
+// replayWindow records which datagrams of one process were received: the highest
+// counter and one bit for each of the 64 counters before it.
 type replayWindow struct {
 	boot         uint64
 	highest      uint64
@@ -56,17 +57,18 @@
 	lastReceived time.Time
 }
 
-// NewCodec returns a Codec for a process that started with incarnation boot.
+// NewCodec returns a Codec for a process that started with incarnation boot. The
+// secret must have at least MinSecret bytes.
 func NewCodec(secret []byte, boot uint64) (*Codec, error) {
 	if len(secret) < MinSecret {
-		return nil, errors.Errorf("the gossip secret has %d bytes, fewer than %d", len(secret), MinSecret)
+		return nil, errors.Errorf("gossip secret has %d bytes, less than the minimum of %d", len(secret), MinSecret)
 	}
 	c := &Codec{boot: boot, replayWindows: make(map[string]*replayWindow)}
 	c.macs.New = func() any { return hmac.New(sha256.New, secret) }
 	return c, nil
 }
 
-// Encode returns the datagram of m.
+// Encode returns m as an authenticated datagram.
 func (c *Codec) Encode(m *gossipv1.Message) ([]byte, error) {
 	c.mu.Lock()
 	c.count++
@@ -81,12 +83,13 @@
 		return nil, errors.Wrap(err, "encode gossip frame")
 	}
 	if len(packet) > MaxPacket {
-		return nil, errors.Errorf("gossip datagram has %d bytes, more than %d", len(packet), MaxPacket)
+		return nil, errors.Errorf("gossip datagram has %d bytes, more than the maximum of %d", len(packet), MaxPacket)
 	}
 	return packet, nil
 }
 
-// Decode returns the message of a datagram that was received at now.
+// Decode authenticates a datagram that was received at now and returns its
+// message.
 func (c *Codec) Decode(packet []byte, now time.Time) (*gossipv1.Message, error) {
 	var frame gossipv1.Frame
 	if err := proto.Unmarshal(packet, &frame); err != nil {
@@ -100,7 +103,7 @@
 		return nil, errors.Wrap(err, "decode gossip message")
 	}
 	if body.Message == nil {
-		return nil, errors.New("the datagram has no message")
+		return nil, errors.New("gossip datagram has no message")
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,7 +152,8 @@
 	return true
 }
 
-// advance moves the window by n. The former highest becomes one of the bits.
+// advance shifts the window by n. The previous highest counter becomes one of
+// the bits.
 func (w *replayWindow) advance(n uint64) {
 	if n > windowSize {
 		w.seen = 0
@@ -158,8 +162,8 @@
 	w.seen = w.seen<<n | 1<<(n-1)
 }
 
-// Forget drops the state of senders that were silent for longer than d, so that
-// it stays bounded.
+// Forget deletes the replay windows of senders from which nothing was received
+// for longer than d, which bounds the memory used for them.
 func (c *Codec) Forget(d time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/membership/packet/node.go
+++ b/internal/membership/packet/node.go
@@ -1,6 +1,7 @@
 // Package packet runs the gossip core over UDP.
 //
-// A Node joins by seeds, keeps the membership and feeds the roster of upstreams:
+// A Node joins the fleet through seeds, maintains the membership and updates the
+// roster of upstreams:
 //
 //	r, err := roster.New(roster.WithDataCentre(self.DataCentre))
 //	node, err := packet.New(self,
@@ -12,14 +13,14 @@
 //		packet.WithRevisionHook(func(highest fleet.Revision) { follower.Wake(highest) }),
 //	)
 //	defer node.Close()
-//	node.SetRevision(config.Revision, clock.Now()) // whenever one gets into force
+//	node.SetRevision(config.Revision, clock.Now()) // whenever one becomes active
 //	members := node.Members()                      // membership.View
 //	err = node.Leave(ctx)                          // graceful stop
 //
-// self.Gossip is the address to listen on; with port 0 the system chooses one,
-// and node.Self().Gossip tells which. self.Incarnation must be higher than that
-// of any earlier process of the instance; the start time in milliseconds will
-// do. A roster that is given must not be shared by two nodes.
+// self.Gossip is the address to listen on; with port 0 the system chooses a port,
+// which node.Self().Gossip contains. self.Incarnation must be higher than that
+// of any earlier process of the instance; the start time in milliseconds
+// satisfies this. Two nodes must not share a roster.
 package packet
 
 import (
@@ -45,24 +46,26 @@
 	tickInterval      = 50 * time.Millisecond
 	poolCountInterval = time.Second
 	sweepInterval     = time.Minute
-	// leaveSends is the number of times that a leaving node tells others, in
-	// case a datagram is lost.
+	// leaveSends is the number of times that a leaving node announces it, because
+	// a datagram may be lost.
 	leaveSends = 3
 )
 
-// DropFunc decides whether a message from one instance to another is dropped.
+// DropFunc reports whether a message from one instance to another is dropped.
 type DropFunc func(from, to fleet.InstanceID) bool
 
 // Stats counts the traffic of a node.
 type Stats struct {
 	SentMessages, SentBytes         uint64
 	ReceivedMessages, ReceivedBytes uint64
-	// Refused counts datagrams with a wrong code, Repeated those that were
-	// received before, and Failed those that could not be sent.
+	// Refused counts datagrams that could not be authenticated or decoded,
+	// Replayed those that were received before or are too old, and Failed those
+	// that could not be sent.
 	Refused, Replayed, Failed uint64
 }
 
-// Node is one instance in the membership. It is safe for concurrent use.
+// Node runs the membership protocol for one instance. It is safe for concurrent
+// use.
 type Node struct {
 	clock            fleet.Clock
 	logger           *zap.Logger
@@ -102,30 +105,32 @@
 	return func(n *Node) { n.logger = l.Named("membership") }
 }
 
-// WithSecret sets the secret that all instances share, at least MinSecret bytes.
+// WithSecret sets the secret that all instances share, of at least MinSecret
+// bytes.
 func WithSecret(secret []byte) Option { return func(n *Node) { n.secret = secret } }
 
-// WithSeeds sets the gossip addresses of instances to join by.
+// WithSeeds sets the gossip addresses of the instances through which the node
+// joins.
 func WithSeeds(seeds ...string) Option { return func(n *Node) { n.seeds = seeds } }
 
-// WithRoster connects the roster of the data centre: its announcements are
-// gossiped, and those of other instances are merged into it.
+// WithRoster sets the roster of the data centre. Announcements that it accepts
+// are gossiped, and those of other instances are merged into it.
 func WithRoster(r *roster.Roster) Option { return func(n *Node) { n.roster = r } }
 
-// WithCut sets a function that drops received messages, for tests.
+// WithCut sets a function that selects received messages to drop, for tests.
 func WithCut(c DropFunc) Option { return func(n *Node) { n.drop = c } }
 
-// WithCombine sets the function that makes the account usage of the data centre
-// from the usages of its instances.
+// WithCombine sets the function that combines the account usages of the
+// instances into the account usage of the data centre.
 func WithCombine(f func([][]byte) []byte) Option { return func(n *Node) { n.combineUsages = f } }
 
-// WithRevisionHook sets a function that is called with every higher revision
-// that is in force anywhere. It must not block.
+// WithRevisionHook sets a function that is called with each new highest revision
+// that is active on any known instance. It must not block.
 func WithRevisionHook(f func(highest fleet.Revision)) Option {
 	return func(n *Node) { n.onHigherRevision = f }
 }
 
-// WithMemberHook sets a function that is called with every changed member. It
+// WithMemberHook sets a function that is called with each changed member. It
 // must not block.
 func WithMemberHook(f func(membership.Member)) Option {
 	return func(n *Node) { n.onMemberChange = f }
@@ -167,7 +172,7 @@
 				return
 			}
 			if err != nil {
-				n.logger.Warn("Receiving failed.", zap.Error(err))
+				n.logger.Warn("Receiving a gossip datagram failed.", zap.Error(err))
 				continue
 			}
 			n.receive(buffer[:size], from)
@@ -190,8 +195,8 @@
 	})
 }
 
-// runEvery calls f when the period has passed since last, and returns the time of
-// the last call.
+// runEvery calls f if at least period has passed since last, and returns the time
+// of the last call.
 func (n *Node) runEvery(period time.Duration, last, now time.Time, f func(time.Time)) time.Time {
 	if now.Sub(last) < period {
 		return last
@@ -245,10 +250,11 @@
 		return
 	}
 	n.refused.Add(1)
-	n.logger.Debug("Refused a datagram.", zap.Stringer("from", from), zap.Error(err))
+	n.logger.Debug("Gossip datagram rejected.", zap.Stringer("from", from), zap.Error(err))
 }
 
-// runStep runs a step of the core and carries out its effects.
+// runStep runs one call of the core and applies its effects: it sends messages,
+// updates the roster and calls the hooks.
 func (n *Node) runStep(step func() gossip.Effects) {
 	n.mu.Lock()
 	e := step()
@@ -276,7 +282,7 @@
 	}
 	now := n.clock.Now()
 	if e.Resumed {
-		n.logger.Warn("The process did not run for a while.")
+		n.logger.Warn("Process was paused; gossip resumes.")
 		n.roster.Resume(now)
 	}
 	if len(e.Announced) > 0 {
@@ -293,7 +299,7 @@
 		all[i] = roster.Confirmation{Announcement: a.Announcement, Age: a.Age}
 	}
 	if refused := n.roster.Merge(all, now); refused > 0 {
-		n.logger.Warn("The roster refused announcements of other instances.", zap.Int("refused", refused))
+		n.logger.Warn("Roster rejected announcements from other instances.", zap.Int("refused", refused))
 	}
 }
 
@@ -313,7 +319,7 @@
 	for _, e := range envelopes {
 		if err := n.send(e); err != nil {
 			n.failed.Add(1)
-			n.logger.Debug("Sending failed.", zap.String("to", e.Address), zap.Error(err))
+			n.logger.Debug("Sending a gossip datagram failed.", zap.String("to", e.Address), zap.Error(err))
 		}
 	}
 }
@@ -321,7 +327,7 @@
 func (n *Node) send(e gossip.Envelope) error {
 	address, err := netip.ParseAddrPort(e.Address)
 	if err != nil {
-		return errors.Wrapf(err, "address of %q", e.To)
+		return errors.Wrapf(err, "gossip address of instance %q", e.To)
 	}
 	packet, err := n.codec.Encode(e.Message)
 	if err != nil {
@@ -350,7 +356,7 @@
 	return n.core.Members(now)
 }
 
-// DataCentres returns what is known of each data centre, ordered by ID.
+// DataCentres returns the known state of each data centre, ordered by ID.
 func (n *Node) DataCentres() []gossip.DataCentre {
 	now := n.clock.Now()
 	n.mu.Lock()
@@ -358,34 +364,36 @@
 	return n.core.DataCentres(now)
 }
 
-// HighestRevision returns the highest revision in force anywhere that is known.
+// HighestRevision returns the highest revision known to be active on any
+// instance.
 func (n *Node) HighestRevision() fleet.Revision {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.HighestRevision()
 }
 
-// SetRevision tells the others the configuration in force on this instance.
+// SetRevision sets the active revision of this instance, which is gossiped.
 func (n *Node) SetRevision(r fleet.Revision, since time.Time) {
 	n.runStep(func() gossip.Effects { return n.core.SetRevision(r, since) })
 }
 
-// SetUsage tells the others the account usage of this instance. It reports false
-// for more than gossip.MaxUsage bytes.
+// SetUsage sets the account usage of this instance, which is gossiped. It reports
+// whether the usage was accepted, that is, has at most gossip.MaxUsage bytes.
 func (n *Node) SetUsage(data []byte) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.SetUsage(data)
 }
 
-// InstanceUsages returns the account usages of the instances of this data centre.
+// InstanceUsages returns the account usages of the instances of this data centre,
+// by instance.
 func (n *Node) InstanceUsages() map[fleet.InstanceID][]byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.InstanceUsages()
 }
 
-// CentreUsages returns the account usages of all data centres.
+// CentreUsages returns the account usages of all data centres, by data centre.
 func (n *Node) CentreUsages() map[fleet.DataCentreID][]byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -401,8 +409,8 @@
 	}
 }
 
-// Leave tells the others that this instance leaves and then closes the node. An
-// ended ctx cuts the repeats short.
+// Leave announces to other instances that this instance leaves, and then closes
+// the node. It announces leaveSends times, one tick apart, or fewer if ctx ends.
 func (n *Node) Leave(ctx context.Context) error {
 	for range leaveSends {
 		now := n.clock.Now()
@@ -416,7 +424,7 @@
 	return n.Close()
 }
 
-// Close stops the node without telling the others.
+// Close stops the node without announcing it to other instances.
 func (n *Node) Close() error {
 	var err error
 	n.closeOnce.Do(func() {
--- a/internal/membership/packet/packet_test.go
+++ b/internal/membership/packet/packet_test.go
@@ -20,7 +20,8 @@
 
 var secret = []byte("a secret of the fleet")
 
-// TestCodec guards against forged, changed, repeated and oversized datagrams.
+// TestCodec guards against accepting forged, modified or replayed datagrams, and
+// against sending oversized ones.
 func TestCodec(t *testing.T) {
 	is := is.New(t)
 	now := fakeclock.Start
@@ -39,16 +40,16 @@
 		return err == nil
 	}
 	is.True(accepts(sent[1]))
-	is.True(accepts(sent[0]))   // late
-	is.True(!accepts(sent[0]))  // repeated
-	is.True(!accepts(sent[1]))  // repeated
-	is.True(accepts(sent[69]))  // skips ahead
-	is.True(!accepts(sent[1]))  // repeated, beyond the window
+	is.True(accepts(sent[0]))   // out of order
+	is.True(!accepts(sent[0]))  // replayed
+	is.True(!accepts(sent[1]))  // replayed
+	is.True(accepts(sent[69]))  // gap in the counters
+	is.True(!accepts(sent[1]))  // replayed, beyond the window
 	is.True(!accepts(sent[2]))  // too old
-	is.True(accepts(sent[60]))  // late, within the window
-	is.True(!accepts(sent[60])) // repeated
+	is.True(accepts(sent[60]))  // out of order, within the window
+	is.True(!accepts(sent[60])) // replayed
 	sent[68][len(sent[68])-1] ^= 1
-	is.True(!accepts(sent[68])) // changed
+	is.True(!accepts(sent[68])) // modified
 
 	forger, err := packet.NewCodec([]byte("another secret, guessed"), 9)
 	is.NoErr(err)
@@ -61,7 +62,7 @@
 	data, err = restarted.Encode(&gossipv1.Message{From: "a"})
 	is.NoErr(err)
 	is.True(accepts(data))
-	is.True(!accepts(sent[65])) // from the process before
+	is.True(!accepts(sent[65])) // from the previous process
 
 	_, err = sender.Encode(&gossipv1.Message{Reports: make([]byte, packet.MaxPacket)})
 	is.True(err != nil)
@@ -76,13 +77,13 @@
 	rosters []*roster.Roster
 }
 
-// waitUntil advances the clock until f holds. The wall-clock limit only ends a test
-// that would never succeed.
+// waitUntil advances the clock until the condition holds. The wall-clock limit
+// only ends a test that would never succeed.
 func (f *testFleet) waitUntil(condition string, holds func() bool) {
 	f.t.Helper()
 	for start := time.Now(); !holds(); {
 		if time.Since(start) > time.Minute {
-			f.t.Fatalf("never happened: %s", condition)
+			f.t.Fatalf("condition not reached within 1 min: %s", condition)
 		}
 		f.clock.Advance(50 * time.Millisecond)
 		time.Sleep(time.Millisecond)
@@ -116,8 +117,9 @@
 	return false
 }
 
-// TestNode guards against nodes that don't join, confirm, spread a revision, or
-// leave over real sockets, and against goroutines that outlive a node.
+// TestNode guards against nodes that, over real sockets, don't join, don't
+// exchange upstream heartbeats, don't spread a revision or don't leave, and
+// against goroutines that outlive a node.
 func TestNode(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
@@ -131,7 +133,7 @@
 	})
 
 	a := upstream.Announcement{ID: "u", Incarnation: 1, Address: "127.0.0.1:9", DataCentre: "dc1", Pool: "p", Slots: 1}
-	f.waitUntil("confirmation", func() bool {
+	f.waitUntil("upstream heartbeat", func() bool {
 		a.Sequence++
 		is.NoErr(f.rosters[2].Announce(a, f.clock.Now()))
 		return len(f.rosters[0].Usable("p", f.clock.Now())) == 1
@@ -147,7 +149,8 @@
 	f.waitUntil("revision", func() bool { return f.nodes[0].HighestRevision() == 5 })
 	is.Equal(<-highest, fleet.Revision(5))
 
-	// Leave waits on the fake clock; an ended context keeps it from waiting.
+	// Leave waits on the fake clock, which nothing advances; a cancelled context
+	// keeps it from waiting.
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.NoErr(f.nodes[2].Leave(canceled))
@@ -157,8 +160,9 @@
 	is.NoErr(f.nodes[1].Close())
 }
 
-// TestPartition guards against a cut that is not seen as a failure, and against a
-// partition that does not heal.
+// TestPartition guards against an instance that is cut off from the others but
+// not declared dead, and against instances that don't rejoin when the partition
+// ends.
 func TestPartition(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
@@ -177,7 +181,7 @@
 	f.waitUntil("join", connected)
 	<-partitioned
 	partitioned <- true
-	f.waitUntil("death", func() bool { return f.hasStatus(0, "i1", membership.Dead) && f.hasStatus(1, "i2", membership.Dead) })
+	f.waitUntil("dead", func() bool { return f.hasStatus(0, "i1", membership.Dead) && f.hasStatus(1, "i2", membership.Dead) })
 	<-partitioned
 	partitioned <- false
 	f.waitUntil("heal", connected)
