--- a/internal/membership/gossip/centres.go
+++ b/internal/membership/gossip/centres.go
@@ -14,34 +14,38 @@
 )
 
 const (
-	// minSummaryInterval is the least time between two summaries of a data centre
-	// when its contacts change. Counts and revisions alone wait longer.
+	// minSummaryInterval is the minimum time between two summaries of a data centre
+	// if its contacts have changed. If only counts or revisions have changed, the
+	// interval is longer.
 	minSummaryInterval  = 2 * time.Second
 	slowSummaryInterval = 30 * time.Second
 	// usageInterval is multiplied by the number of origins in a scope, so that the
-	// bytes for usages don't grow with their number.
+	// traffic for usages does not grow with their number.
 	usageInterval  = 750 * time.Millisecond
 	usageRetention = time.Minute
-	// heartbeatResetAge is the silence after which any other heartbeat counts as
-	// newer, because the 16 bits may have wrapped.
+	// heartbeatResetAge is the age of the last heartbeat after which any different
+	// heartbeat is taken as newer, because the 16-bit counter may have wrapped.
 	heartbeatResetAge = time.Hour
 	centreEntryBytes  = 8
-	// maxIntroductionAge is the time for which an introduction is passed on.
+	// maxIntroductionAge is the maximum age of an introduction that is passed on.
 	maxIntroductionAge = 30 * time.Second
 )
 
-// centreState is what is known of one data centre.
+// centreState is the internal state kept for one data centre.
 type centreState struct {
-	heartbeat     uint16
+	heartbeat uint16
+	// lastHeartbeat is the local time of the last new heartbeat, or the later time at
+	// which its timeout was restarted after a pause of this process.
 	lastHeartbeat time.Time
 	summary       *gossipv1.Summary
-	// address is the last address that a message from there came from.
+	// address is the source address of the last message from the data centre.
 	address string
-	// introduced lists the last instances from there that introduced themselves
-	// here.
+	// introduced lists the last instances of the data centre that sent their own
+	// record to this instance.
 	introduced []introduction
 }
 
+// introduction is the record of an instance of another data centre, sent by itself.
 type introduction struct {
 	record     *gossipv1.Member
 	receivedAt time.Time
@@ -52,16 +56,16 @@
 	receivedAt time.Time
 }
 
-// DataCentre is what is known of one data centre.
+// DataCentre is the known state of one data centre.
 type DataCentre struct {
 	ID fleet.DataCentreID
-	// Alive counts the live instances, and Highest and Lowest bound their
-	// revisions in force.
+	// Alive is the number of live instances. HighestRevision and LowestRevision are
+	// the highest and lowest of their active revisions.
 	Alive                           int
 	HighestRevision, LowestRevision fleet.Revision
-	// UsableUpstreams counts the usable upstreams of each pool.
+	// UsableUpstreams is the number of usable upstreams of each pool.
 	UsableUpstreams map[fleet.PoolID]int
-	// HeartbeatAge is the time since the last heartbeat.
+	// HeartbeatAge is the time since the last heartbeat of the data centre.
 	HeartbeatAge time.Duration
 }
 
@@ -90,13 +94,13 @@
 	return v
 }
 
-// InstanceUsages returns the account usages of the instances of the data centre
+// InstanceUsages returns the account usages of the instances of this data centre,
 // by instance.
 func (c *Core) InstanceUsages() map[fleet.InstanceID][]byte {
 	return usagesOf[fleet.InstanceID](c, false)
 }
 
-// CentreUsages returns the account usages of all data centres.
+// CentreUsages returns the account usages of all data centres, by data centre.
 func (c *Core) CentreUsages() map[fleet.DataCentreID][]byte {
 	return usagesOf[fleet.DataCentreID](c, true)
 }
@@ -111,7 +115,7 @@
 	return found
 }
 
-// chooseContacts returns the members with the highest rendezvous hashes.
+// chooseContacts returns the contactCount members with the highest rendezvous hashes.
 func chooseContacts(ring []*member) []*member {
 	contacts := slices.Clone(ring)
 	slices.SortFunc(contacts, func(a, b *member) int {
@@ -129,8 +133,8 @@
 	return slices.Contains(c.contacts, m)
 }
 
-// isPublisher reports whether this instance writes the summary and the heartbeat of
-// its data centre.
+// isPublisher reports whether this instance publishes the summary and the heartbeat
+// of its data centre. The first contact does.
 func (c *Core) isPublisher() bool {
 	c.currentRing()
 	return len(c.contacts) > 0 && c.contacts[0] == c.self
@@ -145,17 +149,19 @@
 	return s
 }
 
-// recordSender keeps the address of a sender in another data centre to answer to.
+// recordSender records the address of a sender in another data centre, so that this
+// instance can probe it later.
 func (c *Core) recordSender(m *gossipv1.Message, address string, now time.Time) {
 	if m.DataCentre != "" && !c.isLocal(m.DataCentre) {
 		c.centre(fleet.DataCentreID(m.DataCentre), now).address = address
 	}
 }
 
-// shareIntroductions adds to an answer the instances of the asking data centre that
-// introduced themselves here shortly before. In a large fleet this instance
-// keeps no records of them, and they may have no other way to find each other.
-func (c *Core) shareIntroductions(answer, ping *gossipv1.Message, now time.Time) {
+// shareIntroductions adds to an ack the records of other instances of the sender's
+// data centre that introduced themselves to this instance recently. In a large fleet
+// this instance keeps no records of them, and they may have no other way to find each
+// other.
+func (c *Core) shareIntroductions(ack, ping *gossipv1.Message, now time.Time) {
 	if c.isLocal(ping.DataCentre) {
 		return
 	}
@@ -164,7 +170,7 @@
 		return i.record.Id == ping.From || now.Sub(i.receivedAt) > maxIntroductionAge
 	})
 	for _, i := range s.introduced {
-		answer.Members = append(answer.Members, i.record)
+		ack.Members = append(ack.Members, i.record)
 	}
 	at := slices.IndexFunc(ping.Members, func(u *gossipv1.Member) bool { return u.Id == ping.From })
 	if at < 0 || deadOrLeft(ping.Members[at]) {
@@ -174,7 +180,8 @@
 	s.introduced = s.introduced[max(0, len(s.introduced)-contactCount):]
 }
 
-// heartbeatAge is the time since the last heartbeat of a data centre.
+// heartbeatAge returns the time since the last heartbeat of a data centre. It is 0
+// for the own data centre and for unknown ones.
 func (c *Core) heartbeatAge(id fleet.DataCentreID, now time.Time) time.Duration {
 	s, ok := c.centres[id]
 	if !ok || c.isLocal(string(id)) {
@@ -183,7 +190,7 @@
 	return max(0, now.Sub(s.lastHeartbeat))
 }
 
-// fleetSize counts the live instances everywhere.
+// fleetSize returns the number of live instances in all data centres.
 func (c *Core) fleetSize() int {
 	size := len(c.currentRing())
 	knownMembers := make(map[string]int)
@@ -205,8 +212,8 @@
 	return size
 }
 
-// publishState advances the heartbeat, the summary and the usage of the data centre when
-// this instance speaks for it, and the usage of this instance.
+// publishState publishes the usage of this instance. The publisher also publishes the
+// heartbeat, the summary and the usage of its data centre.
 func (c *Core) publishState(now time.Time) {
 	if now.Before(c.nextCentreHeartbeat) {
 		return
@@ -222,8 +229,9 @@
 	c.publishSummary(own, now)
 }
 
-// nextHeartbeat follows the seconds of the clock, so that it also grows when all
-// instances of a data centre restart at once.
+// nextHeartbeat returns the heartbeat after h. It is at least the wall clock in
+// seconds (modulo 2^16), so that the heartbeat also increases when all instances of a
+// data centre restart at once.
 func nextHeartbeat(h uint16, now time.Time) uint16 {
 	next := h + 1
 	if seconds := uint16(now.Unix()); int16(seconds-next) > 0 {
@@ -291,9 +299,9 @@
 	}
 }
 
-// pingAbsentContacts pings contacts of the own data centre that are not known as present.
-// Instances that joined by seeds elsewhere, and the halves of a partition, find
-// the others of their data centre in this way.
+// pingAbsentContacts pings those contacts of the own data centre that are not known as
+// alive or suspect. In this way instances that joined through seeds in other data
+// centres, and the sides of a partition, find the others of their data centre.
 func (c *Core) pingAbsentContacts(contacts []*gossipv1.Contact, now time.Time) {
 	for _, t := range contacts {
 		m, ok := c.members[fleet.InstanceID(t.Id)]
@@ -353,7 +361,7 @@
 	c.enqueue(usageKey(key))
 }
 
-// probeCentres makes a contact exchange news with one other data centre.
+// probeCentres pings another data centre, in turn, if this instance is a contact.
 func (c *Core) probeCentres(now time.Time) {
 	if now.Before(c.nextCentreProbe) || !c.isContact(c.self) {
 		return
@@ -370,7 +378,7 @@
 	}
 	rank := slices.Index(c.contacts, c.self)
 	c.centreIndex++
-	// Contacts start at different data centres.
+	// The offset by rank makes the contacts start at different data centres.
 	id := others[(c.centreIndex+rank*len(others)/contactCount)%len(others)]
 	to, address := c.chooseContact(id)
 	if address != "" {
@@ -378,8 +386,9 @@
 	}
 }
 
-// chooseContact chooses an instance of another data centre: one of its contacts, a
-// known member, or the last sender from there.
+// chooseContact chooses an instance of another data centre: one of its contacts, or
+// else a known member, or else the sender of the last message from there. The address
+// is empty if there is none.
 func (c *Core) chooseContact(id fleet.DataCentreID) (fleet.InstanceID, string) {
 	s := c.centres[id]
 	if contacts := s.summary.GetContacts(); len(contacts) > 0 {
@@ -399,12 +408,12 @@
 	return "", s.address
 }
 
-// version returns the low 16 bits of the version of the summary, which tell that
-// two summaries differ but not which is newer.
+// version returns the low 16 bits of the version of the summary. They show that two
+// summaries differ, but not which one is newer.
 func (s *centreState) version() uint16 { return uint16(s.summary.GetVersion()) }
 
-// packCentres returns, for each data centre, 4 bytes of the hash of its id, 2
-// bytes of its heartbeat and 2 bytes of the version of its summary.
+// packCentres encodes, for each data centre, the hash of its id in 4 bytes, its
+// heartbeat in 2 bytes and the version of its summary in 2 bytes.
 func (c *Core) packCentres() []byte {
 	b := make([]byte, 0, centreEntryBytes*len(c.centres))
 	for _, id := range sortedKeys(c.centres) {
@@ -416,8 +425,8 @@
 	return b
 }
 
-// mergeCentres applies heartbeats. Another version of a summary makes the next
-// ping ask for it.
+// mergeCentres merges the heartbeats of data centres. If the version of a summary
+// differs, the next ping requests the summary.
 func (c *Core) mergeCentres(b []byte, now time.Time) {
 	byHash := make(map[uint32]*centreState, len(c.centres))
 	for id, s := range c.centres {
@@ -436,8 +445,9 @@
 	}
 }
 
-// serveSummaries adds the summaries that the sender of a ping has in another
-// version, as far as there is room.
+// serveSummaries adds to m those summaries of which the sender of the ping has a
+// different version or none, as far as they fit. peerCentres are the encoded data
+// centres of the ping.
 func (c *Core) serveSummaries(m *gossipv1.Message, peerCentres []byte) {
 	if len(peerCentres) == 0 {
 		return
--- a/internal/membership/gossip/core.go
+++ b/internal/membership/gossip/core.go
@@ -1,6 +1,6 @@
-// Package gossip is the pure core of the membership protocol. It has no sockets
-// and reads no clock: a message or a tick with a time goes in, messages and
-// events come out as Effects.
+// Package gossip implements the membership protocol as a deterministic state
+// machine. It has no sockets and reads no clock: the input is a message or a tick
+// with its time, the output are the messages and events in Effects.
 //
 //	c := gossip.New(self, seeds, gossip.WithRandom(seed))
 //	effects := c.Tick(now)                       // about every 50 ms
@@ -9,39 +9,42 @@
 // # Failure detection
 //
 // The instances of a data centre form a ring ordered by id. Each probes, in
-// turn, the instances at distances 1, 2, 4, and so on. A probe that is not
-// answered is tried through helpers; then the instance is suspected, which it
-// can refute with a higher incarnation, and at last declared dead (SWIM: Das,
-// Gupta, Motivala, DSN 2002, with fixed distances in place of random targets).
-// An instance whose own probes fail, or that did not run for a while, waits
-// longer and drops its open probes (Lifeguard: Dadgar, Phillips, Currey, 2017).
+// turn, the instances at distances 1, 2, 4, and so on. If a probe is not
+// acknowledged, other instances probe the target indirectly. If that fails too,
+// the target is suspected, which it can refute with a higher incarnation, and
+// finally declared dead (SWIM: Das, Gupta, Motivala, DSN 2002, with fixed
+// distances in place of random targets). An instance whose own probes fail uses
+// longer timeouts, and so does an instance after a pause of its process, which
+// also drops its pending probes (Lifeguard: Dadgar, Phillips, Currey, 2017).
 //
 // # Dissemination
 //
-// A changed record is piggybacked O(log n) times by every instance that learns
-// it. Pings and acks also carry digests of all records; when the digests of two
-// instances keep differing, one reads the records of the other in key order.
+// Every instance that learns of a changed record piggybacks it O(log n) times.
+// Pings and acks also carry digests of all records. When the digests of two
+// instances differ several times in a row, an anti-entropy repair starts: one of
+// them reads the records of the other in key order.
 //
-// Confirmations of upstreams are not records. The answer to a probe carries the
-// age of every confirmation in 6 bits under a slot number, so the same bytes
-// serve however often an upstream announces itself. Because a probe goes to
-// distance 1, 2, 4, ... in turn, a confirmation reaches all n instances in
-// log2(n) probe periods: 1.5 s for 27 instances. Ages count from the time at which the probe was sent:
-// an answer that was delayed, or read late after a pause of the process, makes a
-// confirmation look older and never newer.
+// Heartbeats of upstreams are not records. An ack carries the age of the last
+// heartbeat of every upstream in 6 bits under a slot number, so its size does not
+// depend on how often an upstream announces itself. Because probes go to distance
+// 1, 2, 4, ... in turn, a heartbeat reaches all n instances in log2(n) probe
+// intervals: 1.5 s for 27 instances. Ages are relative to the time at which the
+// probe was sent: an ack that was delayed, or read late after a pause of the
+// process, makes a heartbeat look older and never newer.
 //
 // # Data centres
 //
 // A data centre elects three contacts by rendezvous hashing. Only contacts
-// probe contacts of other data centres. Up to DetailLimit live instances all
-// member records cross between data centres, so that today's fleets see the
-// revision of every instance anywhere. Above it only records of voters, one
-// Summary for each data centre and a heartbeat cross, so that the cost for an
-// instance does not grow with the fleet. A ping that carries the versions of its
-// summaries is answered with those that differ. Members of another data centre are
-// judged by that data centre only; when its heartbeat stops they are shown as
-// suspect and later as dead, without any record of it, and return with the
-// heartbeat.
+// probe contacts of other data centres. Up to DetailLimit live instances, the
+// records of all members are exchanged between data centres, so that every
+// instance of a fleet of the present size knows the revision of every other.
+// Above that limit only the records of voters, one Summary for each data centre
+// and a heartbeat are exchanged, so that the cost for an instance does not grow
+// with the fleet. A ping may carry the versions of the summaries that its sender
+// has; the ack contains the summaries that differ. Only the data centre of a
+// member decides on its status. When the heartbeat of a data centre stops, its
+// members are reported as suspect and later as dead, without a change of their
+// records, until the heartbeat resumes.
 package gossip
 
 import (
@@ -57,33 +60,33 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// DetailLimit is the number of live instances up to which the records of all
-// members cross between data centres. It is twice the size of today's fleets. A
-// report takes about 8 bytes in every answer, so 32 members cost 0.8 KB/s, and 60
-// cost 1.5 KB/s, half of the budget of 3 KB/s.
+// DetailLimit is the maximum number of live instances with which the records of
+// all members are exchanged between data centres. It is twice the size of present
+// fleets. A report takes about 8 bytes in every ack, so 32 members cost 0.8 KB/s;
+// 60 would cost 1.5 KB/s, half of the budget of 3 KB/s.
 const DetailLimit = 32
 
-// MaxMessage bounds the encoded size of a message in bytes. With its frame it
-// stays below 1400 bytes, so that no link fragments it.
+// MaxMessage is the maximum encoded size of a message in bytes. Together with its
+// frame a message stays below 1400 bytes, so that no link fragments it.
 const MaxMessage = 1300
 
-// MaxUsage bounds the opaque account usage of an instance or a data centre in
-// bytes.
+// MaxUsage is the maximum size of the opaque account usage of an instance or a
+// data centre in bytes.
 const MaxUsage = 128
 
-// DeadRetention is the time for which dead and left members are remembered. A
-// partition of up to an hour leaves members dead on both sides, which find each
-// other again by probing the dead.
+// DeadRetention is the period for which dead and left members are kept. After a
+// partition of up to an hour, each side still knows the members of the other side
+// as dead, and the two sides rejoin by probing dead members.
 const DeadRetention = 2 * time.Hour
 
-// UpstreamRetention is the time for which an upstream without confirmations, or
-// one that left, is remembered here.
+// UpstreamRetention is the period for which an upstream is kept after its last
+// heartbeat, or after it announced that it leaves.
 const UpstreamRetention = 10 * time.Minute
 
 const (
 	probeInterval = 350 * time.Millisecond
-	// repairInterval replaces probePeriod while the records of the data centre are
-	// read. 600 upstreams take 54 KB, which is 21 s at the usual period.
+	// repairInterval replaces probeInterval during a repair within the data centre.
+	// 600 upstreams take 54 KB, which would take 21 s at the normal interval.
 	repairInterval      = 100 * time.Millisecond
 	probeTimeout        = 300 * time.Millisecond
 	probeDeadline       = time.Second
@@ -92,70 +95,74 @@
 	centreProbeInterval = time.Second
 	rejoinInterval      = 5 * time.Second
 	joinInterval        = time.Second
-	// seedInterval keeps the load of a seed low: 60 contacts of 20 data centres
-	// that ping 2 seeds make one ping a second for each.
+	// seedInterval limits the load on a seed: with 60 contacts in 20 data centres
+	// and 2 seeds, each seed receives one ping per second.
 	seedInterval      = 30 * time.Second
 	heartbeatInterval = time.Second
-	// pauseThreshold is the time without a tick after which the process counts as
-	// paused.
+	// pauseThreshold is the time without a call of the core after which the
+	// process is considered to have been paused.
 	pauseThreshold = time.Second
-	// centreSuspectTimeout and silenceDead are the times without a heartbeat after
-	// which the members of another data centre are shown as suspect and dead.
+	// centreSuspectTimeout and centreDeadTimeout are the times without a heartbeat
+	// of another data centre after which its members are reported as suspect and
+	// as dead.
 	centreSuspectTimeout = 15 * time.Second
 	centreDeadTimeout    = 45 * time.Second
-	// acksPerCentreHeartbeat is the number of answers within the data centre for each one
-	// that carries the heartbeats of the data centres.
+	// acksPerCentreHeartbeat is the number of acks of which one carries the
+	// heartbeats of the data centres, if it goes to the same data centre.
 	acksPerCentreHeartbeat = 3
 	maxHealthScore         = 8
-	// leaveTargets is the number of instances that hear of a leave directly.
+	// leaveTargets is the maximum number of instances to which a leaving instance
+	// announces it directly.
 	leaveTargets   = 8
 	indirectProbes = 3
 	contactCount   = 3
-	// expectedAccusers is the number of independent suspicions that shorten the
-	// suspicion to its minimum.
+	// expectedAccusers is the number of additional independent accusers that
+	// shorten the suspicion timeout to its minimum.
 	expectedAccusers = 3
 )
 
-// Envelope is a message to send. To is empty when only the address is known.
+// Envelope is a message to send. To is empty if only the address is known.
 type Envelope struct {
 	To      fleet.InstanceID
 	Address string
 	Message *gossipv1.Message
 }
 
-// Upstream is an announcement that other instances received and the age of its
-// last confirmation, negative when there is none.
+// Upstream is an announcement that another instance received. Age is the age of
+// the last heartbeat of the upstream, or negative if none is known.
 type Upstream struct {
 	upstream.Announcement
 	Age time.Duration
 }
 
-// Renewal confirms a known upstream.
+// Renewal is a heartbeat of an upstream whose announcement is unchanged. Age is
+// the age of the heartbeat.
 type Renewal struct {
 	ID          fleet.UpstreamID
 	Incarnation fleet.Incarnation
 	Age         time.Duration
 }
 
-// Effects is what a call of the core leads to.
+// Effects is the output of a call of the core.
 type Effects struct {
 	Send []Envelope
 	// Members lists the members whose record, status or revision changed.
 	Members   []membership.Member
 	Announced []Upstream
 	Renewed   []Renewal
-	// Resumed tells that the process did not run for some time.
+	// Resumed reports that the process was paused for longer than pauseThreshold.
 	Resumed bool
 }
 
-// Core is the state of one instance. It is not safe for concurrent use.
+// Core is the state of the membership protocol of one instance. It is not safe
+// for concurrent use.
 type Core struct {
 	random        *rand.Rand
 	combineUsages func([][]byte) []byte
 	seeds         []string
 	self          *member
 	leaving       bool
-	lastCall      time.Time
+	lastCall      time.Time // time of the last call that received the current time
 
 	members    map[fleet.InstanceID]*member
 	byHash     map[uint32]*member
@@ -169,6 +176,8 @@
 	probes      map[uint64]*probe
 	relays      map[uint64]relay
 	repairRound int
+	// healthScore is the local health score of Lifeguard: 0 is healthy, and higher
+	// values lengthen the timeouts of this instance.
 	healthScore int
 	acksSent    int
 
@@ -176,7 +185,8 @@
 
 	queue        map[string]*queuedRecord
 	queueOrdinal uint64
-	// mergingRepair is set while records are merged that are no news.
+	// mergingRepair is set while the records of a repair are merged, which are not
+	// queued for dissemination.
 	mergingRepair bool
 	repairs       [2]repair
 	digests       digests
@@ -186,13 +196,14 @@
 	upstreams    map[fleet.UpstreamID]*upstreamEntry
 	reportOffset int
 	highest      fleet.Revision
-	// ackRevision is the highest revision that the sender of the answer in work
-	// knows of.
+	// ackRevision is the highest revision known to the sender of the ack that is
+	// being processed.
 	ackRevision fleet.Revision
 
 	centres     map[fleet.DataCentreID]*centreState
 	centreIndex int
-	// needsSummary tells that another instance has another version of a summary.
+	// needsSummary is set when another instance has a different version of a
+	// summary; the next ping then requests it.
 	needsSummary bool
 	ownPools     map[fleet.PoolID]int
 	ownUsage     []byte
@@ -209,16 +220,16 @@
 	return func(c *Core) { c.random = rand.New(rand.NewPCG(seed, 1)) }
 }
 
-// WithCombine sets the function that a contact uses to make the account usage of
-// its data centre from the usages of the instances. Without it the usage of the
-// contact is taken.
+// WithCombine sets the function that combines the account usages of the
+// instances into the account usage of the data centre. Without it the usage of
+// the instance that publishes the summary of the data centre is used.
 func WithCombine(f func([][]byte) []byte) Option {
 	return func(c *Core) { c.combineUsages = f }
 }
 
 // New returns a Core for self. The incarnation of self must be higher than that
-// of any earlier process with the same id; the start time in milliseconds will
-// do. Seeds are gossip addresses to join by.
+// of any earlier process with the same id; the start time in milliseconds
+// satisfies this. Seeds are the gossip addresses through which the instance joins.
 func New(self membership.Member, seeds []string, options ...Option) *Core {
 	c := &Core{
 		random:     rand.New(rand.NewPCG(xxhash.Sum64String(string(self.ID)), uint64(self.Incarnation))),
@@ -243,14 +254,14 @@
 	})
 	c.self.revision, c.self.since = self.Revision, self.Since
 	c.highest = self.Revision
-	// A new instance reads all records of others once.
+	// A new instance reads all records from other instances once.
 	c.repairs[localScope].active = true
 	c.repairs[globalScope].active = true
 	c.enqueue(memberKey(c.self.record.Id))
 	return c
 }
 
-// Tick does what is due at now. It is meant to be called about every 50 ms.
+// Tick runs the timers that are due at now. It must be called about every 50 ms.
 func (c *Core) Tick(now time.Time) Effects {
 	c.detectPause(now)
 	if c.leaving {
@@ -274,7 +285,7 @@
 	}
 	c.highest = max(c.highest, fleet.Revision(m.Revision))
 	c.recordSender(m, address, now)
-	// Records that were asked for by repair are old news and aren't spread.
+	// Records received by a repair are not recent changes and are not disseminated.
 	c.mergingRepair = m.Kind == gossipv1.Kind_KIND_ACK && m.Repair != nil
 	c.mergeAll(m, now)
 	c.mergingRepair = false
@@ -310,8 +321,8 @@
 	}
 }
 
-// Leave announces that this instance leaves. The core sends nothing afterwards
-// but answers and, when Leave is called again, the announcement once more.
+// Leave announces that this instance leaves. Afterwards the core only replies to
+// messages; calling Leave again repeats the announcement.
 func (c *Core) Leave(now time.Time) Effects {
 	c.lastCall = laterOf(c.lastCall, now)
 	if !c.leaving {
@@ -328,7 +339,8 @@
 	return c.takeEffects()
 }
 
-// SetRevision records the configuration in force on this instance.
+// SetRevision sets the active revision of this instance and the time at which it
+// became active.
 func (c *Core) SetRevision(r fleet.Revision, since time.Time) Effects {
 	if r > c.self.revision {
 		c.self.revision, c.self.since = r, since
@@ -338,12 +350,12 @@
 	return c.takeEffects()
 }
 
-// SetPools records the number of usable upstreams of each pool, for the summary
-// of the data centre.
+// SetPools sets the number of usable upstreams of each pool for the summary of the
+// data centre.
 func (c *Core) SetPools(counts map[fleet.PoolID]int) { c.ownPools = counts }
 
-// SetUsage records the account usage of this instance, at most MaxUsage bytes.
-// It reports whether the usage was accepted.
+// SetUsage sets the account usage of this instance. It reports whether the usage
+// was accepted, that is, has at most MaxUsage bytes.
 func (c *Core) SetUsage(data []byte) bool {
 	if len(data) > MaxUsage {
 		return false
@@ -352,7 +364,8 @@
 	return true
 }
 
-// HighestRevision returns the highest revision in force anywhere that is known.
+// HighestRevision returns the highest revision known to be active on any
+// instance.
 func (c *Core) HighestRevision() fleet.Revision { return c.highest }
 
 func (c *Core) takeEffects() Effects {
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -13,8 +13,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/membership"
 )
 
-// TestScripts guards against wrong statuses after single faults. The commands
-// are the cases of runScript.
+// TestScripts guards against wrong statuses after single faults. The commands of the
+// scripts are the cases of runScript.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var w *simulation
@@ -83,8 +83,9 @@
 	}
 }
 
-// statuses lists the members at h, with the revision and the age of its start. The
-// age loses up to 1 s on each hop, so it is that much below the true one.
+// statuses lists the members known to h, with their revisions and the time since
+// each became active. That time is sent in whole seconds and rounded down, so it
+// gets up to 1 s too short on each hop.
 func (w *simulation) statuses(h *host) string {
 	var b strings.Builder
 	for _, m := range h.core.Members(w.now) {
@@ -97,11 +98,13 @@
 	return b.String()
 }
 
+// centreList lists the data centres known to h. A heartbeat is recent if it is less
+// than 5 s old.
 func (w *simulation) centreList(h *host) string {
 	var b strings.Builder
 	usages := h.core.CentreUsages()
 	for _, c := range h.core.DataCentres(w.now) {
-		fmt.Fprintf(&b, "%s alive %d revisions %d to %d heard %v usage %q\n", c.ID, c.Alive, c.LowestRevision, c.HighestRevision, c.HeartbeatAge < 5*time.Second, usages[c.ID])
+		fmt.Fprintf(&b, "%s alive %d revisions %d to %d heartbeat recent %v usage %q\n", c.ID, c.Alive, c.LowestRevision, c.HighestRevision, c.HeartbeatAge < 5*time.Second, usages[c.ID])
 	}
 	return b.String()
 }
@@ -120,8 +123,9 @@
 	return v
 }
 
-// TestJoin guards against instances that never learn of each other, also when
-// the seeds of a data centre lie in another one and only summaries cross.
+// TestJoin guards against instances that never learn of each other, also if the
+// seeds are in other data centres and the fleet is so large that only summaries are
+// exchanged between data centres.
 func TestJoin(t *testing.T) {
 	for _, size := range [][2]int{{3, 1}, {1, 5}, {3, 5}, {6, 6}, {6, 10}} {
 		for seed := range uint64(4) {
@@ -132,9 +136,9 @@
 	}
 }
 
-// TestJoinLate guards against a data centre that falls apart into groups when
-// its instances join by seeds elsewhere in a fleet so large that records of
-// members don't cross.
+// TestJoinLate guards against a data centre that splits into groups that do not know
+// each other. This can happen when its instances join through seeds in other data
+// centres of a fleet so large that member records are not exchanged between them.
 func TestJoinLate(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newSimulation(t, seed, 6, 7)
--- a/internal/membership/gossip/members.go
+++ b/internal/membership/gossip/members.go
@@ -12,16 +12,17 @@
 	"github.com/bilberryrock/bilberryrock/internal/membership"
 )
 
-// member is one instance. Its record is replaced and never changed, because
-// messages share it.
+// member is the state of one instance. Its record is replaced and never modified,
+// because messages share it.
 type member struct {
 	record    *gossipv1.Member
 	hash      uint32
 	revision  fleet.Revision
 	since     time.Time
-	endedAt   time.Time // when the status became dead or left
+	endedAt   time.Time // when the status became Dead or Left
 	suspicion *suspicion
-	// digestMismatches counts the answers in a row with another digest of each scope.
+	// digestMismatches counts, for each scope, the consecutive acks of this member
+	// with a different digest.
 	digestMismatches [2]int
 }
 
@@ -32,6 +33,7 @@
 
 func (m *member) id() fleet.InstanceID { return fleet.InstanceID(m.record.Id) }
 
+// present reports whether m is alive or suspect.
 func (m *member) present() bool {
 	return m.record.Status == gossipv1.Status_STATUS_ALIVE || m.record.Status == gossipv1.Status_STATUS_SUSPECT
 }
@@ -42,7 +44,7 @@
 
 func (c *Core) isLocal(dataCentre string) bool { return dataCentre == c.self.record.DataCentre }
 
-// insert adds a member that is not known yet.
+// insert adds a member that is not yet known.
 func (c *Core) insert(r *gossipv1.Member) *member {
 	m := &member{record: r, hash: hash32(r.Id, r.Boot)}
 	c.members[m.id()] = m
@@ -60,13 +62,15 @@
 	c.invalidate()
 }
 
+// invalidate marks the ring and the digests as outdated.
 func (c *Core) invalidate() {
 	c.ringStale = true
 	c.digests.stale = true
 }
 
-// mergeMember applies a received record under the precedence of SWIM: a higher
-// incarnation wins, and of one incarnation alive < suspect < dead < left.
+// mergeMember merges a received record by the precedence rules of SWIM: a higher
+// incarnation takes precedence, and within one incarnation alive < suspect < dead
+// < left.
 func (c *Core) mergeMember(u *gossipv1.Member, now time.Time) {
 	if u.Id == c.self.record.Id {
 		c.refute(u, now)
@@ -88,7 +92,9 @@
 	}
 }
 
-// keepsRecord reports whether the record is of a kind that this instance keeps.
+// keepsRecord reports whether this instance keeps the record: its retention has
+// not passed, and it belongs to this data centre, to a voter, or to a fleet of at
+// most DetailLimit instances.
 func (c *Core) keepsRecord(u *gossipv1.Member) bool {
 	if deadOrLeft(u) && time.Duration(u.AgeSeconds)*time.Second > DeadRetention {
 		return false
@@ -113,7 +119,8 @@
 	return u.Status > old.Status
 }
 
-// update replaces the record of m, spreads it and reports the change.
+// update replaces the record of m, queues it for dissemination and reports the
+// change.
 func (c *Core) update(m *member, u *gossipv1.Member, now time.Time) {
 	if u.Boot != m.record.Boot {
 		delete(c.byHash, m.hash)
@@ -134,8 +141,8 @@
 	c.reportChange(m)
 }
 
-// addAccuser notes one more independent suspicion of m and spreads it, so that a
-// true suspicion ends sooner.
+// addAccuser records another independent accuser of m and queues the record for
+// dissemination, so that the timeout of a justified suspicion gets shorter.
 func (c *Core) addAccuser(m *member, accuser uint32) {
 	s := m.suspicion
 	if s == nil || s.accusers[accuser] || len(s.accusers) > expectedAccusers {
@@ -148,8 +155,9 @@
 	c.enqueue(memberKey(record.Id))
 }
 
-// refute answers a record about this instance that is not true. A process that
-// restarted with an incarnation that is not higher gets above the old one here.
+// refute overrides a wrong record of this instance with a higher incarnation. A
+// process that restarted with an incarnation that is not higher than the previous
+// one gets a higher one here.
 func (c *Core) refute(u *gossipv1.Member, now time.Time) {
 	own := c.self.record
 	if c.leaving || u.Incarnation < own.Incarnation {
@@ -170,7 +178,8 @@
 	c.effects.Members = append(c.effects.Members, c.memberView(m, c.lastCall))
 }
 
-// wireRecord returns the record of m as it is sent, with the age of its end.
+// wireRecord returns the record of m to send. For a dead or left member it
+// includes the time since the member got that status.
 func (m *member) wireRecord(now time.Time) *gossipv1.Member {
 	if !deadOrLeft(m.record) {
 		return m.record
@@ -204,7 +213,8 @@
 	}
 }
 
-// status shows present members of a silent data centre as suspect or dead.
+// status returns the status of m. Members of another data centre that are alive or
+// suspect are reported as suspect or dead when its heartbeats stop.
 func (c *Core) status(m *member, now time.Time) membership.Status {
 	recorded := membership.Status(m.record.Status)
 	if !m.present() || c.isLocal(m.record.DataCentre) {
@@ -220,7 +230,8 @@
 	return recorded
 }
 
-// currentRing returns the present members of the data centre ordered by id.
+// currentRing returns the alive and suspect members of the data centre, ordered
+// by id.
 func (c *Core) currentRing() []*member {
 	if !c.ringStale {
 		return c.ring
@@ -241,7 +252,8 @@
 	return c.ring
 }
 
-// membersByID returns all members ordered by id, so that equal seeds lead to equal runs.
+// membersByID returns all members ordered by id. Iterating in this order keeps
+// simulations with equal random seeds identical.
 func (c *Core) membersByID() []*member {
 	c.currentRing()
 	return c.ordered
@@ -253,8 +265,9 @@
 	})
 }
 
-// prune forgets what its retention has passed and members whose detail is no
-// longer kept.
+// prune deletes members and upstreams whose retention period has passed, and
+// members that this instance no longer keeps because the fleet exceeds
+// DetailLimit.
 func (c *Core) prune(now time.Time) {
 	if now.Before(c.nextPrune) {
 		return
--- a/internal/membership/gossip/probe.go
+++ b/internal/membership/gossip/probe.go
@@ -14,24 +14,26 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// probe is an open ping of this instance.
+// probe is a ping of this instance that is not yet acknowledged.
 type probe struct {
 	target   fleet.InstanceID // empty for a seed
 	sent     time.Time
-	ring     bool // an unanswered ping leads to a suspicion
-	indirect bool // helpers were asked
+	ring     bool // the target is suspected if it does not answer
+	indirect bool // indirect probes were requested
 	expired  bool // the deadline has passed
 }
 
-// relay is an open ping on behalf of another instance.
+// relay is a pending indirect probe: a ping on behalf of another instance, which
+// has the given address and used the given sequence number.
 type relay struct {
 	address  string
 	sequence uint64
 	sent     time.Time
 }
 
-// detectPause drops open probes after a time in which the process did not run,
-// because their answers may wait unread, and gives suspicions their time again.
+// detectPause detects that the process was paused. It drops pending probes, because
+// their acks may still be unread in the socket, and restarts the suspicion timeouts
+// and the heartbeat timeouts of the data centres.
 func (c *Core) detectPause(now time.Time) {
 	pause := now.Sub(c.lastCall)
 	if c.lastCall.IsZero() {
@@ -55,7 +57,7 @@
 	}
 }
 
-// probeRing pings the ring neighbour at the next distance.
+// probeRing pings the instance at the next distance on the ring.
 func (c *Core) probeRing(now time.Time) {
 	if now.Before(c.nextProbe) {
 		return
@@ -70,16 +72,18 @@
 }
 
 // nextProbeTime returns the time of the next probe: a fixed offset into the next
-// round of the clock. When all instances probe the same distance in the same
-// round, news reach everyone in log2(n) rounds; with clocks that differ by more
-// than a round they take up to twice as long, and nothing else depends on it.
+// round, where rounds are multiples of probeInterval on the wall clock. If all
+// instances probe the same distance in the same round, a change reaches all of
+// them in log2(n) rounds. With clocks that differ by more than a round it takes up
+// to twice as long; nothing else depends on the clocks.
 func (c *Core) nextProbeTime(now time.Time) time.Time {
 	if c.repairs[localScope].active {
 		return now.Add(repairInterval)
 	}
 	offset := time.Duration(c.self.hash) % (probeInterval * 2 / 3)
 	elapsed := time.Duration(now.UnixNano()) % probeInterval
-	// The sum keeps the monotonic reading, so a step of the clock delays nothing.
+	// The sum keeps the monotonic clock reading of now, so that a step of the wall
+	// clock does not delay the next probe.
 	return now.Add(probeInterval - elapsed + offset)
 }
 
@@ -98,7 +102,8 @@
 	return ring[(index+1<<round)%len(ring)]
 }
 
-// ping sends a ping. With introduce it carries the record of this instance.
+// ping sends a ping. If introduce is set, the ping carries the record of this
+// instance.
 func (c *Core) ping(to fleet.InstanceID, address, dataCentre string, now time.Time, introduce bool) *probe {
 	c.sequence++
 	p := &probe{target: to, sent: now}
@@ -110,7 +115,7 @@
 		m.Members = append(m.Members, c.self.wireRecord(now))
 	}
 	if t, ok := c.members[to]; ok && t.record.Status != gossipv1.Status_STATUS_ALIVE {
-		// The target hears of its suspicion at once and can refute it.
+		// The target learns at once that it is suspected or dead and can refute it.
 		m.Members = append(m.Members, t.wireRecord(now))
 	}
 	if !c.isLocal(dataCentre) || c.needsSummary {
@@ -130,7 +135,7 @@
 	}
 }
 
-// handlePing acknowledges a ping.
+// handlePing answers a ping with an ack.
 func (c *Core) handlePing(ping *gossipv1.Message, address string, now time.Time) {
 	m := c.newMessage(gossipv1.Kind_KIND_ACK)
 	m.Sequence = ping.Sequence
@@ -143,8 +148,8 @@
 		m.Members = append(m.Members, c.self.wireRecord(now))
 		c.shareIntroductions(m, ping, now)
 	}
-	// Heartbeats of data centres advance once a second, less often than answers
-	// are sent.
+	// Heartbeats of data centres advance once per second, less often than acks are
+	// sent.
 	c.acksSent++
 	if !c.isLocal(ping.DataCentre) || c.acksSent%acksPerCentreHeartbeat == 0 {
 		m.Centres = c.packCentres()
@@ -186,9 +191,9 @@
 		return
 	}
 	delete(c.probes, ack.Sequence)
-	// Only a fast answer counts for this instance. With answers that are merely
-	// in time for the longer timeout, a slow instance would lose its score again
-	// and accuse others in every second round.
+	// Only an ack within the unscaled timeout improves the health score. If acks
+	// within the scaled timeout counted, a slow instance would reset its score and
+	// suspect others in every second round.
 	if now.Sub(p.sent) < probeTimeout {
 		c.healthScore = max(c.healthScore-1, 0)
 	}
@@ -199,7 +204,7 @@
 	c.updateRepairs(ack)
 }
 
-// forwardAck tells the instance that asked for help that its target answered.
+// forwardAck sends the ack of an indirect probe to the instance that requested it.
 func (c *Core) forwardAck(ack *gossipv1.Message, r relay) {
 	m := c.newMessage(gossipv1.Kind_KIND_ACK)
 	m.Sequence = r.sequence
@@ -207,7 +212,7 @@
 	c.send("", r.address, m)
 }
 
-// handlePingRequest pings the target of a ping request.
+// handlePingRequest pings the target of a ping request on behalf of its sender.
 func (c *Core) handlePingRequest(request *gossipv1.Message, address string, now time.Time) {
 	c.sequence++
 	c.relays[c.sequence] = relay{address: address, sequence: request.Sequence, sent: now}
@@ -219,8 +224,9 @@
 	c.send(fleet.InstanceID(request.Target), request.TargetAddress, m)
 }
 
-// expireProbes asks helpers after the timeout and suspects after the deadline.
-// Both grow with the score, so an instance that is slow itself accuses late.
+// expireProbes requests indirect probes after probeTimeout and suspects the target
+// after probeDeadline. Both are multiplied by 1 + the health score, so that an
+// instance that is itself slow suspects others later.
 func (c *Core) expireProbes(now time.Time) {
 	multiplier := time.Duration(1 + c.healthScore)
 	for _, s := range sortedKeys(c.probes) {
@@ -273,7 +279,8 @@
 		c.addAccuser(t, c.self.hash)
 		return
 	}
-	// A further failed probe of a suspect tells nothing of this instance.
+	// The health score only grows with the first suspicion: another failed probe of
+	// a suspect says nothing about this instance.
 	c.healthScore = min(c.healthScore+1, maxHealthScore)
 	record := clone(t.record)
 	record.Status = gossipv1.Status_STATUS_SUSPECT
@@ -296,9 +303,10 @@
 	}
 }
 
-// suspicionTimeout falls from the maximum to the minimum with the number of
-// independent accusers, as Lifeguard defines it. A data centre without other
-// possible accusers uses the minimum.
+// suspicionTimeout returns the time after which the suspect m is declared dead. It
+// decreases logarithmically from the maximum to the minimum with the number of
+// independent accusers, as in Lifeguard, and is multiplied by 1 + the health score.
+// In a data centre without other possible accusers it is the minimum.
 func (c *Core) suspicionTimeout(m *member) time.Duration {
 	expected := min(expectedAccusers, len(c.currentRing())-2)
 	multiplier := time.Duration(1 + c.healthScore)
@@ -310,9 +318,10 @@
 	return max(timeout, minSuspicionTimeout) * multiplier
 }
 
-// rejoin pings a dead member or a seed from time to time, so that the halves of
-// a healed partition find each other. Only contacts ping seeds, which keeps the
-// load of seeds bounded, and an instance that is alone does it more often.
+// rejoin periodically pings a dead member and a seed, so that the two sides of a
+// partition find each other once it ends. Only contacts ping seeds, which bounds
+// the load on the seeds; an instance that knows no other instance pings them too,
+// and more often.
 func (c *Core) rejoin(now time.Time) {
 	if !now.Before(c.nextRejoin) {
 		c.nextRejoin = now.Add(rejoinInterval)
--- a/internal/membership/gossip/queue.go
+++ b/internal/membership/gossip/queue.go
@@ -12,22 +12,22 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// maxPingBytes bounds a ping, so that the answer with the confirmations stays the
-// larger part of the traffic.
+// maxPingBytes is the maximum size of a ping in bytes. It keeps pings small, so that
+// acks, which carry the upstream heartbeats, are the larger part of the traffic.
 const maxPingBytes = 500
 
-// maxQueueAge bounds the time that a record waits for messages to other data
-// centres, which only contacts send.
+// maxQueueAge is the maximum time for which a record stays queued for messages to
+// other data centres, which only contacts send.
 const maxQueueAge = 30 * time.Second
 
-// The scopes of records.
+// The scopes in which records are disseminated.
 const (
 	localScope  = iota // within the data centre
 	globalScope        // between data centres
 )
 
-// queuedRecord is a changed record that is piggybacked until it was sent often enough
-// in each scope.
+// queuedRecord refers to a changed record, which is piggybacked until it was sent
+// maxTransmissions times in each scope.
 type queuedRecord struct {
 	key      string
 	ordinal  uint64
@@ -35,7 +35,7 @@
 	sent     [2]int
 }
 
-// Keys of records: a letter for the type and the id.
+// The key of a record consists of a letter for its type, a slash and its id.
 func memberKey(id string) string   { return "m/" + id }
 func upstreamKey(id string) string { return "u/" + id }
 func usageKey(id string) string    { return "g/" + id }
@@ -48,17 +48,17 @@
 	c.queue[key] = &queuedRecord{key: key, ordinal: c.queueOrdinal, queuedAt: c.lastCall}
 }
 
-// maxTransmissions is the number of times that a record is sent in one scope.
+// maxTransmissions returns the number of times that a record is sent in one scope.
 func (c *Core) maxTransmissions(key string) int {
-	// Usages are replaced soon, and lost ones don't harm.
+	// A usage is soon replaced by a newer one, so a lost one does no harm.
 	if key[0] == 'g' {
 		return 2
 	}
 	return 2 * bits.Len(uint(len(c.currentRing())))
 }
 
-// piggyback adds queued records to m, the least sent and newest first, while m
-// stays within limit bytes.
+// piggyback adds queued records to m as long as m stays within limit bytes. Records
+// that were sent least come first, and newer ones before older ones.
 func (c *Core) piggyback(m *gossipv1.Message, dataCentre string, limit int, now time.Time) {
 	if len(c.queue) == 0 {
 		return
@@ -113,7 +113,7 @@
 	return !c.crossesCentres(q.key) || !c.isContact(c.self) || q.sent[globalScope] >= n
 }
 
-// crossesCentres reports whether the record of key goes to other data centres.
+// crossesCentres reports whether the record of key is sent to other data centres.
 func (c *Core) crossesCentres(key string) bool {
 	id := key[2:]
 	switch key[0] {
@@ -127,8 +127,8 @@
 	return false
 }
 
-// appendByKey adds the record of key to m if it takes at most room bytes, and returns
-// the number of bytes that it takes.
+// appendByKey appends the record of key to m if it takes at most room bytes. It
+// returns the number of bytes that were appended.
 func (c *Core) appendByKey(m *gossipv1.Message, key string, room int, now time.Time) int {
 	id := key[2:]
 	switch key[0] {
@@ -149,7 +149,7 @@
 }
 
 func appendRecord[M proto.Message](list *[]M, record M, room int) int {
-	size := proto.Size(record) + 4 // tag and length
+	size := proto.Size(record) + 4 // field tag and length
 	if size > room {
 		return 0
 	}
--- a/internal/membership/gossip/repair.go
+++ b/internal/membership/gossip/repair.go
@@ -11,24 +11,26 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// maxDigestMismatches is the number of answers in a row of one instance with another
-// digest after which all records are read again. Two answers of one instance lie
-// a round of the ring apart, in which news spread, so a difference that lasts
-// longer is a loss.
+// maxDigestMismatches is the number of consecutive acks of one instance with a
+// different digest after which all records are read again. Between two acks of one
+// instance there is a round of the ring, in which changes are disseminated, so a
+// difference that lasts longer is due to lost messages.
 const maxDigestMismatches = 3
 
-// minDigestMatches is the number of answers in a row with an equal digest that end a
+// minDigestMatches is the number of consecutive acks with an equal digest that end a
 // repair.
 const minDigestMatches = 8
 
-// repair is the reading of all records of one scope in key order.
+// repair is an anti-entropy exchange: it reads all records of one scope from other
+// instances in key order. after is the last key that was read.
 type repair struct {
 	active  bool
 	after   string
 	matches int
 }
 
-// digests are sums over all records of a scope, independent of their order.
+// digests contains, for each scope, the sum of the hashes of all records, which does
+// not depend on their order, and the keys of the records.
 type digests struct {
 	stale         bool
 	local, global uint32
@@ -52,8 +54,8 @@
 }
 
 func (c *Core) addMemberToDigests(m *member) {
-	// Ended members leave the digest before they are forgotten, because
-	// instances forget at slightly different times.
+	// Dead and left members are excluded from the digests before they are deleted,
+	// because instances delete them at slightly different times.
 	if deadOrLeft(m.record) && c.lastCall.Sub(m.endedAt) > DeadRetention/2 {
 		return
 	}
@@ -83,8 +85,8 @@
 	c.digests.keys[scope] = append(c.digests.keys[scope], key)
 }
 
-// requestRepair makes m ask for the next records, if a repair goes on. Two repairs
-// take turns.
+// requestRepair makes m request the next records of a running repair. If repairs of
+// both scopes are running, they alternate.
 func (c *Core) requestRepair(m *gossipv1.Message, dataCentre string) {
 	localActive := c.repairs[localScope].active && c.isLocal(dataCentre)
 	globalActive := c.repairs[globalScope].active
@@ -97,7 +99,7 @@
 	}
 }
 
-// serveRepair adds the asked records to an answer.
+// serveRepair adds the requested records to the ack m.
 func (c *Core) serveRepair(m, ping *gossipv1.Message, now time.Time) {
 	if ping.Repair == nil {
 		return
@@ -132,7 +134,7 @@
 	next.Done = true
 }
 
-// maxKeyBytes is the space for the last key in an answer.
+// maxKeyBytes is the space in bytes that is reserved for the last key in an ack.
 const maxKeyBytes = 80
 
 func (c *Core) digestDiffers(scope int, m *gossipv1.Message) bool {
@@ -142,8 +144,8 @@
 	return c.isLocal(m.DataCentre) && m.Local != c.digests.local
 }
 
-// updateRepairs moves a repair on, or starts one when the digest of an instance
-// keeps differing.
+// updateRepairs processes the digests and the repair progress in an ack. It starts a
+// repair if the digest of the sender has differed too often in a row.
 func (c *Core) updateRepairs(ack *gossipv1.Message) {
 	c.refreshDigests()
 	if ack.Repair != nil {
@@ -162,7 +164,9 @@
 	}
 }
 
-// recordComparison reports whether the digest of m has differed for too long.
+// recordComparison records the result of a digest comparison with m. It reports
+// whether the digest of m has differed in more than maxDigestMismatches consecutive
+// acks.
 func (m *member) recordComparison(scope int, differs bool) bool {
 	m.digestMismatches[scope]++
 	if !differs {
@@ -171,6 +175,8 @@
 	return m.digestMismatches[scope] > maxDigestMismatches
 }
 
+// recordComparison records the result of a digest comparison, and ends the repair
+// after minDigestMatches consecutive matches.
 func (r *repair) recordComparison(equal bool) {
 	r.matches++
 	if !equal {
--- a/internal/membership/gossip/reports.go
+++ b/internal/membership/gossip/reports.go
@@ -14,7 +14,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// Reports are a list of entries, one for each instance:
+// The reports of a message are a list of entries, at least one for each instance:
 //
 //	hash of id and boot    4 bytes
 //	lag                    varint, 1 + highest revision - its revision; 0 for none
@@ -22,36 +22,40 @@
 //	base, count            varints, the window of slots
 //	ages                   count values of 6 bits, in units of 50 ms
 //
-// An age of 63 stands for no confirmation. Ages are rounded up, so a
-// confirmation gets older by at most 50 ms on each hop.
+// Ages are those of the last heartbeats of the upstreams; 63 means that no
+// heartbeat is known or that it is too old. Ages are rounded up, so a heartbeat
+// appears older by at most 50 ms on each hop.
 const (
 	ageUnit = 50 * time.Millisecond
 	ageBits = 6
 	noAge   = 1<<ageBits - 1
-	// maxReportBytes bounds the reports of one message in bytes. What does not fit goes
-	// into the next message.
+	// maxReportBytes is the maximum size of the reports in one message. Entries that
+	// do not fit are sent in the next message.
 	maxReportBytes = 1000
-	// maxRepairReportBytes bounds them in an answer that also repairs.
+	// maxRepairReportBytes is the maximum size of the reports in an ack that also
+	// carries the records of a repair.
 	maxRepairReportBytes = 400
-	// minUnusedSlots is the number of unused slots that a window may have besides a
-	// quarter of the used ones.
-	minUnusedSlots = 8
-	// maxSlotGap is the number of unused slots in a row that cost more than the
-	// header of a second entry.
-	maxSlotGap = 12
-	// maxSlotWindow bounds the slots of one instance.
+	// unusedSlotAllowance is the number of unused slots that a table may have in
+	// addition to a quarter of the number of used slots.
+	unusedSlotAllowance = 8
+	// minSplitGap is the number of consecutive unused slots at which a window is
+	// split, because they take more bytes than the header of another entry.
+	minSplitGap = 12
+	// maxSlotWindow is the maximum number of slots of one instance.
 	maxSlotWindow = 1 << 14
 )
 
-// upstreamEntry is one upstream and the slot that stands for it.
+// upstreamEntry is the record of an upstream, which contains its slot, and the time
+// of its last heartbeat.
 type upstreamEntry struct {
 	record        *gossipv1.Upstream
 	lastHeartbeat time.Time
-	// idleSince is the time from which UpstreamRetention counts.
+	// idleSince is the time at which UpstreamRetention starts.
 	idleSince time.Time
 }
 
-// slotTable maps the slots of one owner to upstreams. The slots start at base.
+// slotTable maps the slots that one owner assigned to upstreams. The first slot is
+// base.
 type slotTable struct {
 	base  uint32
 	slots []*upstreamEntry
@@ -78,7 +82,7 @@
 	t.slots[slot-t.base] = i
 }
 
-// accepts reports whether the window stays bounded with slot.
+// accepts reports whether the table stays within maxSlotWindow slots if slot is set.
 func (t *slotTable) accepts(slot uint32) bool {
 	if len(t.slots) == 0 {
 		return true
@@ -98,7 +102,9 @@
 
 func (i *upstreamEntry) leaving() bool { return i.record.State == uint32(upstream.Leaving) }
 
-// leftDigest reports whether the item left the digest, before it is forgotten.
+// leftDigest reports whether the upstream is excluded from the digests, which
+// happens some time before it is deleted because instances delete it at different
+// times.
 func (i *upstreamEntry) leftDigest(now time.Time) bool {
 	return now.Sub(i.idleSince) > UpstreamRetention/2
 }
@@ -119,9 +125,9 @@
 	return record
 }
 
-// Announce records an announcement that this instance received at now. It is
-// meant for announcements that the roster accepted. A zero confirmed does not
-// confirm.
+// Announce processes an announcement that this instance received at now and that
+// the roster accepted. heartbeat is the time of the heartbeat; it is zero if the
+// announcement does not count as one.
 func (c *Core) Announce(a upstream.Announcement, heartbeat, now time.Time) Effects {
 	c.lastCall = laterOf(c.lastCall, now)
 	old, ok := c.upstreams[a.ID]
@@ -192,13 +198,14 @@
 	}
 }
 
-// nextSlot returns a slot of this instance that was never used before.
+// nextSlot returns a slot of this instance that was never used.
 func (c *Core) nextSlot() uint32 {
 	c.lastSlot++
 	return c.lastSlot
 }
 
-// storeUpstream stores record, makes its slot stand for the upstream and spreads it.
+// storeUpstream stores record, assigns its slot to the upstream and queues the record
+// for dissemination.
 func (c *Core) storeUpstream(record *gossipv1.Upstream, now time.Time) *upstreamEntry {
 	id := fleet.UpstreamID(record.Id)
 	i, ok := c.upstreams[id]
@@ -224,7 +231,7 @@
 	return i
 }
 
-// freeSlots frees all slots of i.
+// freeSlots frees all slots of i in all tables.
 func (c *Core) freeSlots(i *upstreamEntry) {
 	for owner, t := range c.slotTables {
 		for n := range t.slots {
@@ -244,9 +251,10 @@
 	}
 }
 
-// compactOwnTable keeps the window of the own slots close to the number of upstreams in
-// it. It frees slots of upstreams that are confirmed under the slot of another
-// instance, and moves the oldest upstream when too many are unused.
+// compactOwnTable keeps the size of this instance's slot table close to the number of
+// upstreams in it. It frees slots of upstreams whose current slot belongs to another
+// instance, and moves the upstream in the oldest slot to a new slot if too many slots
+// are unused.
 func (c *Core) compactOwnTable(now time.Time) {
 	t, ok := c.slotTables[c.self.hash]
 	if !ok {
@@ -261,7 +269,7 @@
 		used++
 	}
 	c.trimTable(c.self.hash, t)
-	if len(t.slots) <= used+used/4+minUnusedSlots {
+	if len(t.slots) <= used+used/4+unusedSlotAllowance {
 		return
 	}
 	record := proto.Clone(t.slots[0].record).(*gossipv1.Upstream)
@@ -270,12 +278,13 @@
 	c.storeUpstream(record, now)
 }
 
-// isCurrentSlot reports whether slot n of t is the one under which i is confirmed.
+// isCurrentSlot reports whether the slot at index n of t is the one under which the
+// heartbeats of i are sent.
 func (c *Core) isCurrentSlot(t *slotTable, n int, i *upstreamEntry) bool {
 	return t.base+uint32(n) == i.record.Slot && c.slotTables[i.record.Owner] == t
 }
 
-// mergeUpstream applies a received description under the rules of the roster.
+// mergeUpstream merges a received record by the precedence rules of the roster.
 func (c *Core) mergeUpstream(u *gossipv1.Upstream, now time.Time) {
 	if time.Duration(u.IdleSeconds)*time.Second > UpstreamRetention {
 		return
@@ -303,8 +312,8 @@
 	c.effects.Announced = append(c.effects.Announced, announced)
 }
 
-// addAlias makes a second slot stand for a known upstream. Two instances that heard
-// an upstream at the same time have given it one slot each.
+// addAlias assigns another slot to a known upstream. This happens when two instances
+// receive announcements of an upstream at the same time and both assign it a slot.
 func (c *Core) addAlias(u *gossipv1.Upstream, i *upstreamEntry) {
 	if u.Incarnation != i.record.Incarnation {
 		return
@@ -317,8 +326,9 @@
 	t.set(u.Slot, i)
 }
 
-// supersedesUpstream orders descriptions: by incarnation, leaving over serving, by
-// sequence, and at last by slot, so that all instances use the same slot.
+// supersedesUpstream reports whether u takes precedence over the record of i. Records
+// are ordered by incarnation, by state (leaving after serving), by sequence, and
+// finally by owner and slot, so that all instances use the same slot.
 func supersedesUpstream(u *gossipv1.Upstream, i *upstreamEntry) bool {
 	old := i.record
 	if u.Incarnation != old.Incarnation {
@@ -347,8 +357,8 @@
 	c.compactOwnTable(now)
 }
 
-// packReports returns the reports of the members and, within the data centre, the
-// ages of the confirmations.
+// packReports returns the encoded reports of the members, with the ages of the
+// upstream heartbeats if ages is set.
 func (c *Core) packReports(ages bool, limit int, now time.Time) []byte {
 	hashes := c.reportHashes()
 	var b []byte
@@ -364,7 +374,8 @@
 	return b
 }
 
-// reportHashes lists the hashes of present members and of other owners of slots.
+// reportHashes returns the hashes of the alive and suspect members and of other
+// owners of slots.
 func (c *Core) reportHashes() []uint32 {
 	var hashes []uint32
 	for _, m := range c.membersByID() {
@@ -396,12 +407,13 @@
 	return c.packAges(b, hash, t, now)
 }
 
-// packAges adds the windows of t. A gap in the middle starts another entry.
+// packAges appends the slot windows of t with their ages. A gap of minSplitGap
+// unused slots starts another entry.
 func (c *Core) packAges(b []byte, hash uint32, t *slotTable, now time.Time) []byte {
 	ages := make([]uint32, len(t.slots))
 	for n, i := range t.slots {
 		ages[n] = noAge
-		// An upstream with two slots is confirmed under one of them.
+		// An upstream with two slots is reported under one of them only.
 		if i != nil && c.isCurrentSlot(t, n, i) {
 			ages[n] = encodeAge(i, now)
 		}
@@ -416,14 +428,14 @@
 	return b
 }
 
-// nextWindow returns the next slots at or after from that have an age and no gap
-// above maxGap, or a count of 0.
+// nextWindow returns the next window at or after from, which starts and ends with a
+// slot with an age and has no gap of minSplitGap slots. count is 0 if there is none.
 func nextWindow(ages []uint32, from int) (first, count int) {
 	for from < len(ages) && ages[from] == noAge {
 		from++
 	}
 	last := from - 1
-	for n := from; n < len(ages) && n-last <= maxSlotGap; n++ {
+	for n := from; n < len(ages) && n-last <= minSplitGap; n++ {
 		if ages[n] != noAge {
 			last = n
 		}
@@ -450,7 +462,7 @@
 	return uint32(min(units, noAge))
 }
 
-// mergeReports applies the reports of an answer to a ping that was sent at sent.
+// mergeReports merges the reports of the ack of a ping that was sent at sent.
 func (c *Core) mergeReports(b []byte, sent, now time.Time) {
 	r := reportReader{bytes: b}
 	for len(r.bytes) > 0 {
@@ -470,8 +482,8 @@
 	}
 }
 
-// mergeRevision takes the lag against the highest revision that the sender of
-// the answer knows of.
+// mergeRevision merges the revision of the member with the given hash. The lag is
+// relative to the highest revision known to the sender of the ack.
 func (c *Core) mergeRevision(hash uint32, lag, since uint64, now time.Time) {
 	m, ok := c.byHash[hash]
 	if !ok || m == c.self || lag == 0 || lag-1 > uint64(c.ackRevision) {
@@ -504,6 +516,7 @@
 	}
 }
 
+// bitWriter appends values of ageBits bits to bytes.
 type bitWriter struct {
 	bytes []byte
 	value uint32
@@ -527,6 +540,7 @@
 	return w.bytes
 }
 
+// bitReader reads the values that a bitWriter wrote.
 type bitReader struct {
 	bytes []byte
 	value uint32
@@ -545,8 +559,8 @@
 	return v
 }
 
-// reportReader reads fields until the bytes end. After a failure all reads return
-// zero.
+// reportReader reads the fields of encoded reports. After a failed read all further
+// reads return zero.
 type reportReader struct {
 	bytes  []byte
 	failed bool
--- a/internal/membership/gossip/scale_test.go
+++ b/internal/membership/gossip/scale_test.go
@@ -13,22 +13,23 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// revisionPeriod is the time between 12,000 configuration changes a day.
+// revisionPeriod is the time between configuration changes at 12,000 changes a day.
 const revisionPeriod = 7200 * time.Millisecond
 
-// BenchmarkFleet measures what membership costs one daemon, over the growth of
-// the fleet, with authenticated datagrams, upstreams that announce themselves
-// every second, 12,000 configuration changes a day and account usages of 100
-// bytes:
+// BenchmarkFleet measures the cost of the membership protocol for one daemon at
+// several fleet sizes, with authenticated datagrams, upstreams that announce
+// themselves every second, 12,000 configuration changes a day and account usages of
+// 100 bytes:
 //
 //	go test -run '^$' -bench Fleet -benchtime 1x ./internal/membership/gossip
 //
-// The columns are for one daemon: B/s and wire-B/s (with 28 bytes of IP and UDP)
-// are sent bytes, peak-B/s is the daemon that sends most, core-% is the share of
-// a core, MB the live heap. stale-ppm is the share of pairs of an instance and
-// a serving upstream of its data centre that were not usable. detect-periods,
-// leave-periods and revision-periods are the probe periods of 300 ms until all
-// concerned instances knew of a crash, of a leaving upstream, and of a revision.
+// The metrics are per daemon. B/s and wire-B/s (with 28 bytes of IP and UDP headers
+// per datagram) are the bytes sent, peak-B/s those of the daemon that sends most,
+// core-% the share of a CPU core, and MB the live heap. stale-ppm is the share of
+// pairs of an instance and a serving upstream of its data centre in which the
+// upstream was not usable. detect-periods, leave-periods and revision-periods are the
+// times, in periods of 300 ms, until all affected instances knew of a crash, of a
+// leaving upstream and of a revision.
 func BenchmarkFleet(b *testing.B) {
 	for _, s := range []struct{ centres, perCentre, upstreams int }{
 		{3, 4, 43}, {5, 12, 1000}, {10, 18, 4000}, {20, 27, 12000},
@@ -104,8 +105,8 @@
 	}
 }
 
-// drive lets upstreams announce themselves, the document change, and instances
-// put the change into force.
+// drive lets the upstreams announce themselves, changes the configuration every
+// revisionPeriod, and lets the instances activate the change.
 func (f *benchmarkRun) drive() {
 	for _, a := range f.upstreams {
 		f.announce(a)
--- a/internal/membership/gossip/schedule_test.go
+++ b/internal/membership/gossip/schedule_test.go
@@ -19,8 +19,8 @@
 	firstSchedule = flag.Uint64("first", 1, "seed of the first schedule")
 )
 
-// schedule is a random sequence of faults. The invariants are checked after
-// every step of 50 ms.
+// schedule is a simulation with a random sequence of faults. The invariants are
+// checked after every step of 50 ms.
 type schedule struct {
 	*simulation
 	upstreams  []*simUpstream
@@ -29,10 +29,10 @@
 	isolated   fleet.DataCentreID
 }
 
-// TestSchedules guards against a left member or a leaving upstream that comes
-// back, and against members and confirmations that don't recover after loss,
-// duplication, reordering, one-way cuts, pauses, crashes, restarts, leaves and
-// partitions of a data centre.
+// TestSchedules guards against a member that left or an upstream that is leaving and
+// is reported as present again, and against members and upstream heartbeats that are
+// not disseminated again after loss, duplication, reordering, one-way cuts, pauses,
+// crashes, restarts, leaves and partitions of a data centre.
 func TestSchedules(t *testing.T) {
 	for seed := *firstSchedule; seed < *firstSchedule+uint64(*schedules); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -56,7 +56,7 @@
 		a.rotate = i%2 == 0
 		s.upstreams = append(s.upstreams, a)
 	}
-	// Two hosts join in the middle.
+	// The other two hosts join during the schedule.
 	for _, h := range s.hosts[:10] {
 		s.boot(h)
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-// injectEvent does one random thing.
+// injectEvent injects one random fault or other event.
 func (s *schedule) injectEvent() {
 	h := s.hosts[s.random.IntN(len(s.hosts))]
 	o := s.hosts[s.random.IntN(len(s.hosts))]
@@ -106,7 +106,7 @@
 	case 10:
 		s.leave(h)
 	case 11:
-		s.isolated = fleet.DataCentreID(fmt.Sprintf("dc%02d", s.random.IntN(4))) // dc03 heals
+		s.isolated = fleet.DataCentreID(fmt.Sprintf("dc%02d", s.random.IntN(4))) // dc03 has no hosts: ends the partition
 	case 12:
 		s.leaveUpstream(a)
 	case 13:
@@ -126,7 +126,7 @@
 	}
 }
 
-// leave lets h leave. Messages that it sent before can arrive afterwards.
+// leave makes h leave and stop. Messages that it sent before can arrive afterwards.
 func (s *schedule) leave(h *host) {
 	if !h.up || h.frozen {
 		return
@@ -146,7 +146,8 @@
 	if a.host == nil {
 		return
 	}
-	// An old announcement reaches an instance that knows of the leave.
+	// An older announcement arrives at an instance that knows that the upstream
+	// leaves.
 	late := a.Announcement
 	late.State = upstream.Serving
 	late.Sequence--
@@ -154,7 +155,7 @@
 	a.host.roster.Merge([]roster.Confirmation{{Announcement: late}}, s.now)
 }
 
-// restartUpstream starts an upstream again that left at least 5 s ago.
+// restartUpstream restarts an upstream that left at least 5 s ago.
 func (s *schedule) restartUpstream(a *simUpstream) {
 	if a.left.IsZero() || s.now.Sub(a.left) < 5*time.Second {
 		return
@@ -185,15 +186,15 @@
 		if m.Status == membership.Left {
 			known[m.ID] = max(known[m.ID], m.Incarnation)
 		} else if m.Incarnation <= known[m.ID] {
-			s.t.Fatalf("%s sees %s as %v after it left", h.id, m.ID, m.Status)
+			s.t.Fatalf("%s reports %s as %v after it left", h.id, m.ID, m.Status)
 		}
 	}
 }
 
-// maxUndetectedPause is the longest pause of a process that the roster does not notice.
+// maxUndetectedPause is the longest pause of a process that the roster does not detect.
 const maxUndetectedPause = 500 * time.Millisecond
 
-// checkUpstream also looks at frozen hosts, as if they ran on at this moment.
+// checkUpstream also checks frozen hosts, as if they were resumed at this moment.
 func (s *schedule) checkUpstream(h *host, a *simUpstream) {
 	age := s.now.Sub(a.lastAnnounced)
 	if age <= roster.MaxFreshness+maxUndetectedPause {
@@ -201,13 +202,14 @@
 	}
 	for _, u := range h.roster.Usable("p", s.now) {
 		if u.ID == a.ID {
-			s.t.Fatalf("%s would use %s %v after its last announcement", h.id, a.ID, age)
+			s.t.Fatalf("%s considers %s usable %v after its last announcement", h.id, a.ID, age)
 		}
 	}
 }
 
-// recover ends all faults. Every instance must see every other within 40 s, and
-// soon afterwards use exactly the serving upstreams of its data centre.
+// recover ends all faults. Within 40 s every instance must know every other as alive,
+// and within another 20 s exactly the serving upstreams of its data centre must be
+// usable.
 func (s *schedule) recover() {
 	s.loss, s.duplication, s.jitter, s.isolated = 0, 0, 0, ""
 	clear(s.oneWayCuts)
@@ -238,9 +240,8 @@
 	return true
 }
 
-// TestSlowMember guards against healthy members that are declared dead by a
-// member that is slow, or that was paused, and against a slow member that is
-// declared dead although it answers.
+// TestSlowMember guards against healthy members that are declared dead by a slow or
+// paused member, and against a slow member that is declared dead although it answers.
 func TestSlowMember(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(t, 1, 1, 12)
--- a/internal/membership/gossip/world_test.go
+++ b/internal/membership/gossip/world_test.go
@@ -21,7 +21,8 @@
 
 const step = 50 * time.Millisecond
 
-// simulation runs many cores over a fake network. Everything follows from its seed.
+// simulation runs many cores over a fake network in one goroutine. Equal seeds lead
+// to equal runs.
 type simulation struct {
 	t           testing.TB
 	now         time.Time
@@ -33,13 +34,13 @@
 	duplication float64
 	jitter      time.Duration
 	drop        func(from, to *host) bool
-	falseDeaths int // running hosts that were declared dead
+	falseDeaths int // number of times that a running host was declared dead
 	suspected   map[fleet.InstanceID]int
 	encode      func(h *host, m *gossipv1.Message) []byte
 	decode      func(h *host, data []byte) *gossipv1.Message
 }
 
-// host is one simulated process, or the place of one that ended.
+// host is a simulated machine with at most one running process.
 type host struct {
 	index        int
 	id           fleet.InstanceID
@@ -48,8 +49,8 @@
 	roster       *roster.Roster
 	up           bool
 	frozen       bool
-	receiveDelay time.Duration // added to each message that it gets
-	inbox        []func()      // what arrived while it was frozen
+	receiveDelay time.Duration // additional delay of each message to this host
+	inbox        []func()      // deliveries that arrived while it was frozen
 	boots        int
 	sent         struct{ messages, bytes int }
 	busyTime     time.Duration
@@ -105,7 +106,7 @@
 	return w
 }
 
-// boot starts a process on h with a higher incarnation than before.
+// boot starts a process on h with a higher incarnation than the previous one.
 func (w *simulation) boot(h *host) {
 	h.boots++
 	h.up, h.frozen, h.inbox = true, false, nil
@@ -136,7 +137,8 @@
 	return w.hosts[high*250+low]
 }
 
-// run advances the time by d in steps and calls each after every step.
+// run advances the time by d in steps and calls the functions in afterStep after
+// each step.
 func (w *simulation) run(d time.Duration, afterStep ...func()) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(step)
@@ -188,7 +190,7 @@
 	return e
 }
 
-// thaw lets a frozen host read what has queued up, and run again.
+// thaw resumes a frozen host, which first reads what arrived in the meantime.
 func (w *simulation) thaw(h *host) {
 	h.frozen = false
 	for _, f := range h.inbox {
@@ -235,7 +237,7 @@
 	h.sent.messages++
 	h.sent.bytes += len(data)
 	if proto.Size(s.Message) > gossip.MaxMessage {
-		w.t.Fatalf("a message has %d bytes", len(data))
+		w.t.Fatalf("message exceeds MaxMessage; encoded it has %d bytes", len(data))
 	}
 	to := w.hostAt(s.Address)
 	if to == nil || w.drop(h, to) || w.random.Float64() < w.loss {
@@ -283,14 +285,14 @@
 	return true
 }
 
-// runUntil runs until f holds and returns the time that it took. It fails the
-// test after limit.
+// runUntil runs until the condition holds and returns the simulated time that it
+// took. It fails the test after the timeout.
 func (w *simulation) runUntil(timeout time.Duration, condition func() bool, afterStep ...func()) time.Duration {
 	w.t.Helper()
 	start := w.now
 	for !condition() {
 		if w.now.Sub(start) >= timeout {
-			w.t.Fatalf("not reached within %v", timeout)
+			w.t.Fatalf("condition not reached within %v", timeout)
 		}
 		w.run(step, afterStep...)
 	}
@@ -298,15 +300,15 @@
 }
 
 // simUpstream is a simulated upstream that announces itself every second to one
-// host, and to another one when that is down or cut off.
+// host, or to another one if that host is down or frozen.
 type simUpstream struct {
 	upstream.Announcement
 	host *host
 	next time.Time
-	// rotate makes it choose another host every time.
+	// rotate makes the upstream choose a random host for each announcement.
 	rotate        bool
 	left          time.Time
-	lastAnnounced time.Time // the last announcement that was not late
+	lastAnnounced time.Time // time of the last announcement that reached a running host at once
 }
 
 func (w *simulation) newUpstream(n int, centre fleet.DataCentreID) *simUpstream {
@@ -326,7 +328,7 @@
 
 func (w *simulation) announceNow(a *simUpstream) {
 	if a.host != nil && a.host.frozen {
-		// The request waits in a socket of the frozen host.
+		// The request stays unread in a socket of the frozen host.
 		a.Sequence++
 		h, late := a.host, a.Announcement
 		h.inbox = append(h.inbox, func() { _ = h.roster.Announce(late, w.now) })
