--- a/api/gossip/v1/doc.go
+++ b/api/gossip/v1/doc.go
@@ -1,3 +1,3 @@
-// Package gossipv1 holds the messages of the gossip between daemons. All files
-// but this one are generated from gossip.proto.
+// Package gossipv1 defines the messages of the gossip protocol between daemons. All
+// files but this one are generated from gossip.proto.
 package gossipv1
