--- a/internal/membership/gossip/schedule_test.go
+++ b/internal/membership/gossip/schedule_test.go
@@ -29,10 +29,11 @@
 	isolated   fleet.DataCentreID
 }
 
-// TestSchedules guards against a member that left or an upstream that is leaving and
-// is reported as present again, and against members and upstream heartbeats that are
-// not disseminated again after loss, duplication, reordering, one-way cuts, pauses,
-// crashes, restarts, leaves and partitions of a data centre.
+// TestSchedules guards against reporting a member as present again after it left, or
+// an upstream as serving again after it announced that it leaves. It also guards
+// against members and upstreams that stay unknown or unusable after loss, duplication,
+// reordering, one-way cuts, pauses, crashes, restarts, leaves and partitions of a data
+// centre.
 func TestSchedules(t *testing.T) {
 	for seed := *firstSchedule; seed < *firstSchedule+uint64(*schedules); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
