--- a/internal/entry/caller/answer.go
+++ b/internal/entry/caller/answer.go
@@ -13,8 +13,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/refusal"
 )
 
-// errorBody is the body of an answer to an error. Type and code have the same
-// text, since clients of model servers look at either.
+// errorBody is the body of an error response. Type and Code have the same value
+// because clients of model servers read either of them.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -29,20 +29,21 @@
 }
 
 func newErrorBody(q *request, err error) errorBody {
-	answer := refusal.KindOf(err).Answer()
+	response := refusal.KindOf(err).Answer()
 	return errorBody{Error: errorDetail{
-		Message:    message(err),
-		Type:       answer.Code,
-		Code:       answer.Code,
+		Message:    publicMessage(err),
+		Type:       response.Code,
+		Code:       response.Code,
 		RequestID:  q.id,
-		NotRun:     answer.NotRun && !q.mayHaveRun(),
-		ResendSafe: answer.Resend,
+		NotRun:     response.NotRun && !q.mayHaveRun(),
+		ResendSafe: response.Resend,
 	}}
 }
 
-// message returns the text for the caller. An error without a kind may hold
-// details of the fleet, so its text stays in the logs.
-func message(err error) string {
+// publicMessage returns the error text that may be sent to the caller. An error
+// without a kind may contain internal details of the fleet, so its text appears
+// only in logs and decision records.
+func publicMessage(err error) string {
 	var e *refusal.Error
 	if errors.As(err, &e) && e.Kind != refusal.Internal {
 		return e.Message
@@ -53,16 +54,18 @@
 func writeError(w http.ResponseWriter, q *request, err error) {
 	var e *refusal.Error
 	if errors.As(err, &e) && e.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(seconds(e.RetryAfter)))
+		w.Header().Set("Retry-After", strconv.Itoa(ceilSeconds(e.RetryAfter)))
 	}
 	writeJSON(w, refusal.KindOf(err).Answer().Status, newErrorBody(q, err))
 }
 
-func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+// ceilSeconds returns d in seconds, rounded up.
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller went away if this fails, and nobody is left to tell.
+	// A failure means that the caller has disconnected, so there is nobody to
+	// report it to.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/entry/caller/bench_test.go
+++ b/internal/entry/caller/bench_test.go
@@ -16,48 +16,48 @@
 	"github.com/bilberryrock/bilberryrock/internal/pipeline"
 )
 
-// held is a courier that sends one token and then waits for the end of the
-// request.
-type held struct {
+// blockingExecutor is a pipeline.Executor that emits one token and then blocks
+// until the request is cancelled.
+type blockingExecutor struct {
 	fake
-	begun chan struct{}
-	ended chan struct{}
+	started chan struct{}
+	done    chan struct{}
 }
 
-func newHeld() *held {
-	return &held{begun: make(chan struct{}, 1<<16), ended: make(chan struct{}, 1<<16)}
+func newBlockingExecutor() *blockingExecutor {
+	return &blockingExecutor{started: make(chan struct{}, 1<<16), done: make(chan struct{}, 1<<16)}
 }
 
-func (h *held) Run(ctx context.Context, _ pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
+func (e *blockingExecutor) Run(ctx context.Context, _ pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
 	err := emit(pipeline.Piece{Text: " t"})
-	h.begun <- struct{}{}
+	e.started <- struct{}{}
 	if err == nil {
 		<-ctx.Done()
 		err = ctx.Err()
 	}
-	h.ended <- struct{}{}
+	e.done <- struct{}{}
 	return 0, err
 }
 
-func streamBody(tokens string) io.Reader {
-	return strings.NewReader(`{"model":"m","prompt":"x","max_tokens":` + tokens + `,"stream":true}`)
+func streamBody(maxTokens string) io.Reader {
+	return strings.NewReader(`{"model":"m","prompt":"x","max_tokens":` + maxTokens + `,"stream":true}`)
 }
 
-func streamRequest(ctx context.Context, url, tokens string) *http.Request {
-	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", streamBody(tokens))
+func streamRequest(ctx context.Context, url, maxTokens string) *http.Request {
+	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", streamBody(maxTokens))
 	r.Header.Set("Authorization", "Bearer key")
 	return r
 }
 
-// recorder is a ResponseWriter that drops what it gets.
-type recorder struct{ header http.Header }
+// discardWriter is an http.ResponseWriter that discards its input.
+type discardWriter struct{ header http.Header }
 
-func (r recorder) Header() http.Header         { return r.header }
-func (r recorder) Write(b []byte) (int, error) { return len(b), nil }
-func (r recorder) WriteHeader(int)             {}
-func (r recorder) Flush()                      {}
+func (r discardWriter) Header() http.Header         { return r.header }
+func (r discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (r discardWriter) WriteHeader(int)             {}
+func (r discardWriter) Flush()                      {}
 
-// BenchmarkToken reports the cost of one token of a stream without its socket.
+// BenchmarkToken reports the cost of one token of a stream, without the network.
 func BenchmarkToken(b *testing.B) {
 	for _, path := range []string{"/v1/completions", "/v1/chat/completions"} {
 		b.Run(path[len("/v1/"):], func(b *testing.B) {
@@ -68,92 +68,94 @@
 			for i := 0; i < b.N; i += tokens {
 				r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 				r.Header.Set("Authorization", "Bearer key")
-				handler.ServeHTTP(recorder{make(http.Header)}, r)
+				handler.ServeHTTP(discardWriter{make(http.Header)}, r)
 			}
 		})
 	}
 }
 
-// BenchmarkLookup reports the cost of one call to a service without its sockets.
+// BenchmarkLookup reports the cost of one call to a service, without the network.
 func BenchmarkLookup(b *testing.B) {
 	handler := newAPI(&fake{}).Handler()
 	b.ReportAllocs()
 	for b.Loop() {
 		r := httptest.NewRequest(http.MethodGet, "/services/desk/row", nil)
 		r.Header.Set("Authorization", "Bearer key")
-		handler.ServeHTTP(recorder{make(http.Header)}, r)
+		handler.ServeHTTP(discardWriter{make(http.Header)}, r)
 	}
 }
 
-// BenchmarkOpenStreams reports memory and goroutines of one open stream, server
-// side and client side together less the client's own two goroutines.
+// BenchmarkOpenStreams reports the memory and goroutines per open stream. Memory
+// covers server and client; of the goroutines, the two of the client are
+// subtracted.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 1000
 	for b.Loop() {
-		h := newHeld()
-		server := httptest.NewServer(newAPI(&h.fake, withCourier(h)).Handler())
-		before, goroutines := memory(), runtime.NumGoroutine()
+		e := newBlockingExecutor()
+		server := httptest.NewServer(newAPI(&e.fake, withExecutor(e)).Handler())
+		before, goroutines := memoryInUse(), runtime.NumGoroutine()
 		ctx, cancel := context.WithCancel(b.Context())
 		client := &http.Client{Transport: &http.Transport{}}
 		for range streams {
-			answer, err := client.Do(streamRequest(ctx, server.URL, "2"))
+			response, err := client.Do(streamRequest(ctx, server.URL, "2"))
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer answer.Body.Close()
-			<-h.begun
+			defer response.Body.Close()
+			<-e.started
 		}
-		b.ReportMetric(float64(memory()-before)/streams, "B/stream")
+		b.ReportMetric(float64(memoryInUse()-before)/streams, "B/stream")
 		b.ReportMetric(float64(runtime.NumGoroutine()-goroutines)/streams-2, "goroutines/stream")
 		cancel()
 		for range streams {
-			<-h.ended
+			<-e.done
 		}
 		server.Close()
 	}
 }
 
-// memory returns the heap and stacks in use after a collection.
-func memory() int64 {
+// memoryInUse returns the bytes of heap and stacks in use after a garbage
+// collection.
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// TestCancelledRequests guards against a goroutine or a ticket that stays behind
-// when a caller goes away in the middle of a stream.
+// TestCancelledRequests guards against goroutines or tickets that leak when a
+// caller disconnects in the middle of a stream.
 func TestCancelledRequests(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	const workers = 20
-	each := cancelledRequests / workers
-	h := newHeld()
-	server := httptest.NewServer(newAPI(&h.fake, withCourier(h)).Handler())
+	requestsPerWorker := cancelledRequests / workers
+	e := newBlockingExecutor()
+	server := httptest.NewServer(newAPI(&e.fake, withExecutor(e)).Handler())
 	transport := &http.Transport{}
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for range workers {
-		wait.Go(func() {
-			for range each {
+		wg.Go(func() {
+			for range requestsPerWorker {
 				ctx, cancel := context.WithCancel(t.Context())
-				answer, err := transport.RoundTrip(streamRequest(ctx, server.URL, "2"))
+				response, err := transport.RoundTrip(streamRequest(ctx, server.URL, "2"))
 				if err != nil {
 					t.Error(err)
 					cancel()
 					return
 				}
-				_, _ = bufio.NewReader(answer.Body).ReadString('\n')
+				_, _ = bufio.NewReader(response.Body).ReadString('\n')
 				cancel()
-				answer.Body.Close()
+				response.Body.Close()
 			}
 		})
 	}
-	wait.Wait()
-	for range workers * each {
-		<-h.ended
+	wg.Wait()
+	for range workers * requestsPerWorker {
+		<-e.done
 	}
 	transport.CloseIdleConnections()
 	server.Close()
-	if h.tickets() != 0 {
-		t.Errorf("%d tickets were not given back", h.tickets())
+	if e.tickets() != 0 {
+		t.Errorf("%d tickets were not released", e.tickets())
 	}
 }
--- a/internal/entry/caller/caller.go
+++ b/internal/entry/caller/caller.go
@@ -1,15 +1,14 @@
-// Package caller is the HTTP API for callers.
+// Package caller implements the HTTP API for callers.
 //
-// It serves /v1/completions, /v1/chat/completions and /v1/models in the shape
-// that clients of model servers use, and /services/<pool>/... for plain
+// It serves /v1/completions, /v1/chat/completions and /v1/models in the format
+// that clients of model servers expect, and /services/<pool>/... for plain
 // services:
 //
-//	api := caller.New(parts, caller.WithLimits(limits))
+//	api := caller.New(deps, caller.WithLimits(limits))
 //	http.Serve(listener, api.Handler())
 //
-// Every answer carries X-Request-Id. A whole stream ends with the event [DONE];
-// a stream that broke ends with an event that holds an error, and without
-// [DONE].
+// Every response has the header X-Request-Id. A complete stream ends with the
+// event [DONE]; a broken stream ends with an error event and without [DONE].
 package caller
 
 import (
@@ -31,22 +30,22 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// Lookups runs idempotent calls to plain services. It may try several
-// upstreams.
+// Lookups runs idempotent calls to plain services. It may try several upstreams
+// for one call.
 type Lookups interface {
 	Lookup(ctx context.Context, r fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Answer, error)
 }
 
-// Orders runs calls that may not be repeated.
+// Orders runs calls that must be run at most once.
 type Orders interface {
 	Order(ctx context.Context, r fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Answer, error)
 }
 
-// Parts are the parts of the daemon that the API uses. All are needed.
+// Parts are the components of the daemon that the API uses. All are required.
 type Parts struct {
-	// Instance is the own instance.
+	// Instance is the id of this instance.
 	Instance fleet.InstanceID
-	// Config returns the configuration in force, or nil if there is none yet.
+	// Config returns the active configuration, or nil if there is none yet.
 	Config  func() *document.Config
 	Gate    admission.Gate
 	Courier pipeline.Courier
@@ -57,43 +56,43 @@
 	Log     *zap.Logger
 }
 
-// API answers callers. It is safe for concurrent use.
+// API serves the requests of callers. It is safe for concurrent use.
 type API struct {
-	parts       Parts
-	limits      entry.Limits
-	deadline    time.Duration
-	maxDeadline time.Duration
-	observe     func(code string, took time.Duration)
+	deps            Parts
+	limits          entry.Limits
+	defaultDeadline time.Duration
+	maxDeadline     time.Duration
+	observe         func(code string, duration time.Duration)
 }
 
-// Option changes an API at its construction.
+// Option configures an API.
 type Option func(*API)
 
-// WithLimits bounds what the API reads.
+// WithLimits sets the limits on the input that the API reads.
 func WithLimits(l entry.Limits) Option {
 	return func(a *API) { a.limits = l.WithDefaults() }
 }
 
-// WithDeadlines sets the time for an answer if the caller names none, and the
-// greatest time that a caller may ask for.
-func WithDeadlines(usual, most time.Duration) Option {
-	return func(a *API) { a.deadline, a.maxDeadline = usual, most }
+// WithDeadlines sets the time allowed for a request that does not specify one,
+// and the longest time that a caller may request.
+func WithDeadlines(defaultDeadline, maxDeadline time.Duration) Option {
+	return func(a *API) { a.defaultDeadline, a.maxDeadline = defaultDeadline, maxDeadline }
 }
 
-// WithObserver sets a function that is told the code and the duration of every
-// answer. The code of an answer without error is "ok".
-func WithObserver(observe func(code string, took time.Duration)) Option {
+// WithObserver sets a function that is called with the code and the duration of
+// every request. The code of a request without error is "ok".
+func WithObserver(observe func(code string, duration time.Duration)) Option {
 	return func(a *API) { a.observe = observe }
 }
 
-// New returns an API over parts.
-func New(parts Parts, options ...Option) *API {
+// New returns an API that uses deps.
+func New(deps Parts, options ...Option) *API {
 	a := &API{
-		parts:       parts,
-		limits:      entry.Limits{}.WithDefaults(),
-		deadline:    time.Minute,
-		maxDeadline: 10 * time.Minute,
-		observe:     func(string, time.Duration) {},
+		deps:            deps,
+		limits:          entry.Limits{}.WithDefaults(),
+		defaultDeadline: time.Minute,
+		maxDeadline:     10 * time.Minute,
+		observe:         func(string, time.Duration) {},
 	}
 	for _, option := range options {
 		option(a)
@@ -101,23 +100,23 @@
 	return a
 }
 
-// Handler returns the handler of all paths.
+// Handler returns the HTTP handler for all paths of the API.
 func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/v1/models", a.serve(a.listModels))
 	r.Post("/v1/completions", a.serve(a.complete))
 	r.Post("/v1/chat/completions", a.serve(a.chat))
-	r.HandleFunc("/services/{pool}", a.serve(a.service))
-	r.HandleFunc("/services/{pool}/*", a.serve(a.service))
-	r.NotFound(a.serve(noSuchPath))
-	r.MethodNotAllowed(a.serve(wrongMethod))
+	r.HandleFunc("/services/{pool}", a.serve(a.forwardCall))
+	r.HandleFunc("/services/{pool}/*", a.serve(a.forwardCall))
+	r.NotFound(a.serve(pathNotFound))
+	r.MethodNotAllowed(a.serve(methodNotAllowed))
 	return r
 }
 
-func noSuchPath(_ http.ResponseWriter, r *http.Request, _ *request) error {
+func pathNotFound(_ http.ResponseWriter, r *http.Request, _ *request) error {
 	return refusal.New(refusal.NotFound, "path %q does not exist", r.URL.Path)
 }
 
-func wrongMethod(_ http.ResponseWriter, r *http.Request, _ *request) error {
+func methodNotAllowed(_ http.ResponseWriter, r *http.Request, _ *request) error {
 	return refusal.New(refusal.BadRequest, "method %s is not allowed on %q", r.Method, r.URL.Path)
 }
--- a/internal/entry/caller/caller_test.go
+++ b/internal/entry/caller/caller_test.go
@@ -35,40 +35,41 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// fake plays the parts behind the API. fail is the error of the next admission,
-// breakAt the number of tokens after which a generation fails.
+// fake implements the dependencies of the API. admitErr is the error of Enter.
+// runErr is the error of calls to services, and of generations after failAt
+// tokens.
 type fake struct {
-	refuse  error
-	fail    error
-	breakAt int
-	held    atomic.Int32
-	// moveAt is the number of tokens after which quiet hours begin, if moved is
-	// set.
-	moveAt int
-	moved  chan struct{}
+	admitErr    error
+	runErr      error
+	failAt      int
+	openTickets atomic.Int32
+	// evictAt is the number of tokens after which quiet hours begin and the
+	// generation is evicted. It applies only if evicted is set.
+	evictAt int
+	evicted chan struct{}
 }
 
 func (f *fake) Enter(context.Context, admission.Ask) (admission.Ticket, error) {
-	if f.refuse != nil {
-		return nil, f.refuse
+	if f.admitErr != nil {
+		return nil, f.admitErr
 	}
-	f.held.Add(1)
+	f.openTickets.Add(1)
 	return f, nil
 }
 
-func (f *fake) Done() { f.held.Add(-1) }
+func (f *fake) Done() { f.openTickets.Add(-1) }
 
-func (f *fake) Moved() <-chan struct{} { return f.moved }
+func (f *fake) Moved() <-chan struct{} { return f.evicted }
 
-func (f *fake) tickets() int { return int(f.held.Load()) }
+func (f *fake) tickets() int { return int(f.openTickets.Load()) }
 
 func (f *fake) Run(ctx context.Context, g pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
 	for i := range g.MaxTokens {
-		if f.fail != nil && i == f.breakAt {
-			return 0, f.fail
+		if f.runErr != nil && i == f.failAt {
+			return 0, f.runErr
 		}
-		if f.moved != nil && i == f.moveAt {
-			close(f.moved)
+		if f.evicted != nil && i == f.evictAt {
+			close(f.evicted)
 			<-ctx.Done()
 			return 0, ctx.Err()
 		}
@@ -80,16 +81,16 @@
 }
 
 func (f *fake) Lookup(_ context.Context, _ fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Answer, error) {
-	return f.answer("lookup", p, c)
+	return f.respond("lookup", p, c)
 }
 
 func (f *fake) Order(_ context.Context, _ fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Answer, error) {
-	return f.answer("order "+k.Name, p, c)
+	return f.respond("order "+k.Name, p, c)
 }
 
-func (f *fake) answer(kind string, p document.Pool, c upstream.Call) (upstream.Answer, error) {
-	if f.fail != nil {
-		return upstream.Answer{}, f.fail
+func (f *fake) respond(kind string, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+	if f.runErr != nil {
+		return upstream.Answer{}, f.runErr
 	}
 	names := make([]string, 0, len(c.Header))
 	for name := range c.Header {
@@ -100,11 +101,11 @@
 	return upstream.Answer{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte(body)}, nil
 }
 
-type noTrail struct{}
+type nopTrail struct{}
 
-func (noTrail) Open(string, fleet.AccountID, fleet.TeamID) {}
-func (noTrail) Add(string, report.Entry)                   {}
-func (noTrail) Find(string) (report.Record, bool)          { return report.Record{}, false }
+func (nopTrail) Open(string, fleet.AccountID, fleet.TeamID) {}
+func (nopTrail) Add(string, report.Entry)                   {}
+func (nopTrail) Find(string) (report.Record, bool)          { return report.Record{}, false }
 
 func digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
@@ -127,25 +128,26 @@
 	}
 }
 
-func newAPI(f *fake, change ...func(*caller.Parts)) *caller.API {
-	parts := caller.Parts{
+func newAPI(f *fake, overrides ...func(*caller.Parts)) *caller.API {
+	deps := caller.Parts{
 		Config: config, Gate: f, Courier: f, Lookups: f, Orders: f,
-		Trail: noTrail{}, Clock: systemclock.Clock{}, Log: zap.NewNop(),
+		Trail: nopTrail{}, Clock: systemclock.Clock{}, Log: zap.NewNop(),
 	}
-	for _, c := range change {
-		c(&parts)
+	for _, override := range overrides {
+		override(&deps)
 	}
-	return caller.New(parts, caller.WithLimits(entry.Limits{MaxBody: 2000}))
+	return caller.New(deps, caller.WithLimits(entry.Limits{MaxBody: 2000}))
 }
 
-func withCourier(c pipeline.Courier) func(*caller.Parts) {
-	return func(p *caller.Parts) { p.Courier = c }
+func withExecutor(e pipeline.Courier) func(*caller.Parts) {
+	return func(d *caller.Parts) { d.Courier = e }
 }
 
-var changing = regexp.MustCompile(`[0-9a-f]{32}|"created":\d+`)
+// volatileValues matches request ids and times, which differ between runs.
+var volatileValues = regexp.MustCompile(`[0-9a-f]{32}|"created":\d+`)
 
-// TestRequests guards against a request that is read wrongly and against an
-// error whose answer does not tell the truth about "not run".
+// TestRequests guards against requests that are decoded incorrectly and against
+// error responses with a wrong value of notRun.
 func TestRequests(t *testing.T) {
 	datadriven.RunTest(t, "testdata/requests.txt", func(t *testing.T, d *datadriven.TestData) string {
 		f := &fake{}
@@ -159,13 +161,13 @@
 		w := httptest.NewRecorder()
 		newAPI(f).Handler().ServeHTTP(w, request)
 		if f.tickets() != 0 {
-			t.Errorf("%s: %d tickets were not given back", d.Pos, f.tickets())
+			t.Errorf("%s: %d tickets were not released", d.Pos, f.tickets())
 		}
-		retry := ""
-		if after := w.Header().Get("Retry-After"); after != "" {
-			retry = "Retry-After: " + after + "\n"
+		retryLine := ""
+		if retryAfter := w.Header().Get("Retry-After"); retryAfter != "" {
+			retryLine = "Retry-After: " + retryAfter + "\n"
 		}
-		return changing.ReplaceAllString(fmt.Sprintf("%d\n%s%s", w.Code, retry, w.Body), "X")
+		return volatileValues.ReplaceAllString(fmt.Sprintf("%d\n%s%s", w.Code, retryLine, w.Body), "X")
 	})
 }
 
@@ -173,28 +175,28 @@
 	t.Helper()
 	switch name {
 	case "overloaded":
-		f.refuse = refusal.New(refusal.Overloaded, "the queue is full").After(1500 * time.Millisecond)
+		f.admitErr = refusal.New(refusal.Overloaded, "the queue is full").After(1500 * time.Millisecond)
 	case "failAt":
-		if _, err := fmt.Sscan(values[0], &f.breakAt); err != nil {
+		if _, err := fmt.Sscan(values[0], &f.failAt); err != nil {
 			t.Fatal(err)
 		}
-		f.fail = refusal.New(refusal.UpstreamFailed, "stage lost")
-	case "moveAt":
-		if _, err := fmt.Sscan(values[0], &f.moveAt); err != nil {
+		f.runErr = refusal.New(refusal.UpstreamFailed, "stage lost")
+	case "evictAt":
+		if _, err := fmt.Sscan(values[0], &f.evictAt); err != nil {
 			t.Fatal(err)
 		}
-		f.moved = make(chan struct{})
+		f.evicted = make(chan struct{})
 	case "noUpstream":
-		f.fail = refusal.New(refusal.NoUpstream, "no upstream")
+		f.runErr = refusal.New(refusal.NoUpstream, "no upstream")
 	case "internal":
-		f.fail = fmt.Errorf("secret detail of the fleet")
+		f.runErr = fmt.Errorf("secret detail of the fleet")
 	default:
 		t.Fatalf("unknown fault %q", name)
 	}
 }
 
-// rawRequest completes the short form of the test data: "METHOD PATH", header
-// lines, an empty line as "--", and the body.
+// rawRequest converts the short form of the test data to an HTTP request. The
+// short form is "METHOD PATH", header lines, the separator "--" and the body.
 func rawRequest(input string) string {
 	head, body, _ := strings.Cut(input, "\n--\n")
 	lines := strings.Split(head, "\n")
@@ -206,23 +208,23 @@
 	return strings.Join(lines, "\r\n")
 }
 
-// TestClientLibrary guards against answers that a usual client library can't
-// read.
+// TestClientLibrary guards against responses that a common client library cannot
+// decode.
 func TestClientLibrary(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(newAPI(&fake{}).Handler())
 	defer server.Close()
 	client := openai.NewClient(option.WithBaseURL(server.URL+"/v1/"), option.WithAPIKey("key"), option.WithMaxRetries(0))
 
-	whole, err := client.Completions.New(t.Context(), openai.CompletionNewParams{
+	completion, err := client.Completions.New(t.Context(), openai.CompletionNewParams{
 		Model:     "m",
 		Prompt:    openai.CompletionNewParamsPromptUnion{OfString: openai.String("hello")},
 		MaxTokens: openai.Int(3),
 	})
 	is.NoErr(err)
-	is.Equal(whole.Choices[0].Text, " t0 t1 t2")
-	is.Equal(string(whole.Choices[0].FinishReason), "length")
-	is.Equal(whole.Usage.CompletionTokens, int64(3))
+	is.Equal(completion.Choices[0].Text, " t0 t1 t2")
+	is.Equal(string(completion.Choices[0].FinishReason), "length")
+	is.Equal(completion.Usage.CompletionTokens, int64(3))
 
 	stream := client.Chat.Completions.NewStreaming(t.Context(), openai.ChatCompletionNewParams{
 		Model:     "m",
@@ -240,14 +242,14 @@
 
 	models, err := client.Models.List(t.Context())
 	is.NoErr(err)
-	is.Equal(len(models.Data), 1) // models of another team are not shown
+	is.Equal(len(models.Data), 1) // models of other teams are not listed
 }
 
-// TestBrokenStreamInClientLibrary guards against a cut-off answer that looks
-// whole to a client library.
+// TestBrokenStreamInClientLibrary guards against a truncated stream that a client
+// library takes for complete.
 func TestBrokenStreamInClientLibrary(t *testing.T) {
 	is := is.New(t)
-	f := &fake{fail: refusal.New(refusal.UpstreamFailed, "stage lost"), breakAt: 2}
+	f := &fake{runErr: refusal.New(refusal.UpstreamFailed, "stage lost"), failAt: 2}
 	server := httptest.NewServer(newAPI(f).Handler())
 	defer server.Close()
 	client := openai.NewClient(option.WithBaseURL(server.URL+"/v1/"), option.WithAPIKey("key"), option.WithMaxRetries(0))
@@ -261,8 +263,8 @@
 	is.True(stream.Err() != nil) // the library reports the error event
 }
 
-// FuzzBody guards against a body that makes the API panic or answer with
-// "internal".
+// FuzzBody guards against request bodies that cause a panic or a response with
+// status 500.
 func FuzzBody(f *testing.F) {
 	f.Add([]byte(`{"model":"m","prompt":"x"}`))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"}]}]}`))
--- a/internal/entry/caller/completion.go
+++ b/internal/entry/caller/completion.go
@@ -13,11 +13,13 @@
 	"github.com/bilberryrock/bilberryrock/internal/pipeline"
 )
 
-// defaultMaxTokens is the length of an answer if the caller names none.
+// defaultMaxTokens limits the generated tokens of a request that does not set a
+// limit.
 const defaultMaxTokens = 16
 
-// generation holds the fields of a completion or chat request that the system
-// acts on. Others, such as temperature, are ignored.
+// generation holds the supported fields of a completion or chat request. Other
+// fields, such as temperature, are ignored. The name of the type is part
+// of decoding errors that are sent to callers.
 type generation struct {
 	Model               fleet.ModelID   `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -50,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	return a.generate(w, r, q, g, prompt, completionShape{})
+	return a.generate(w, r, q, g, prompt, completionFormat{})
 }
 
 func (a *API) chat(w http.ResponseWriter, r *http.Request, q *request) error {
@@ -58,11 +60,11 @@
 	if err != nil {
 		return err
 	}
-	prompt, err := chatText(g.Messages)
+	prompt, err := chatPrompt(g.Messages)
 	if err != nil {
 		return err
 	}
-	return a.generate(w, r, q, g, prompt, chatShape{})
+	return a.generate(w, r, q, g, prompt, chatFormat{})
 }
 
 func decodeGeneration(body []byte) (generation, error) {
@@ -91,8 +93,8 @@
 	return "", refusal.New(refusal.BadRequest, "prompt: one non-empty string is needed")
 }
 
-// chatText joins the messages to one prompt, a line for each.
-func chatText(messages []chatMessage) (string, error) {
+// chatPrompt joins the messages into one prompt, one line per message.
+func chatPrompt(messages []chatMessage) (string, error) {
 	if len(messages) == 0 {
 		return "", refusal.New(refusal.BadRequest, "messages: at least one is needed")
 	}
@@ -130,8 +132,9 @@
 	return b.String(), nil
 }
 
-// generate admits a generation and sends its answer, whole or as a stream.
-func (a *API) generate(w http.ResponseWriter, r *http.Request, q *request, g generation, prompt string, shape answerShape) error {
+// generate admits a generation and sends the result as one response or as a
+// stream.
+func (a *API) generate(w http.ResponseWriter, r *http.Request, q *request, g generation, prompt string, format responseFormat) error {
 	model, err := a.findModel(q, g.Model)
 	if err != nil {
 		return err
@@ -140,30 +143,30 @@
 	if err != nil {
 		return err
 	}
-	ticket, err := a.enter(r.Context(), q, model.Pool)
+	ticket, err := a.admit(r.Context(), q, model.Pool)
 	if err != nil {
 		return err
 	}
 	defer ticket.Done()
-	ctx, stop := untilMoved(r.Context(), ticket)
+	ctx, stop := withEviction(r.Context(), ticket)
 	defer stop()
 	r = r.WithContext(ctx)
-	work := pipeline.Generation{
+	genRequest := pipeline.Generation{
 		Request:   q.id,
 		Model:     model.ID,
 		Priority:  q.account.Priority,
-		Prompt:    tokens(prompt),
+		Prompt:    byteTokens(prompt),
 		MaxTokens: limit,
 	}
-	head := answerHead{id: q.id, model: model.ID, created: a.parts.Clock.Now().Unix()}
+	meta := responseMeta{id: q.id, model: model.ID, created: a.deps.Clock.Now().Unix()}
 	if g.Stream {
-		return a.stream(w, r, work, head, shape, g.StreamOptions.IncludeUsage)
+		return a.serveStream(w, r, genRequest, meta, format, g.StreamOptions.IncludeUsage)
 	}
-	return a.whole(w, r, work, head, shape)
+	return a.serveUnary(w, r, genRequest, meta, format)
 }
 
-// findModel returns a model that the account's team may use. A model of another
-// team is reported like one that does not exist.
+// findModel returns a model of the account's team. For a model of another team it
+// returns the same error as for a model that does not exist.
 func (a *API) findModel(q *request, id fleet.ModelID) (document.Model, error) {
 	model, known := q.config.Models[id]
 	if !known || model.Team != q.account.Team {
@@ -186,8 +189,8 @@
 	return limit, nil
 }
 
-// tokens maps a prompt to token ids, one for each byte of its UTF-8 form.
-func tokens(prompt string) []uint64 {
+// byteTokens maps a prompt to token ids, one per byte of its UTF-8 encoding.
+func byteTokens(prompt string) []uint64 {
 	ids := make([]uint64, len(prompt))
 	for i := range len(prompt) {
 		ids[i] = uint64(prompt[i])
--- a/internal/entry/caller/quiet.go
+++ b/internal/entry/caller/quiet.go
@@ -7,33 +7,34 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet/refusal"
 )
 
-// errMoved ends a generation that is over the bound of a quiet-hours window. Some
-// of its layers ran, so its kind does not say "not run".
-var errMoved = refusal.New(refusal.UpstreamFailed, "quiet hours have begun, and the generation was ended")
+// errEvicted ends a generation that exceeds the limit of a quiet-hours window. Some
+// of its layers have run, so the error has a kind that does not report "not run".
+var errEvicted = refusal.New(refusal.UpstreamFailed, "quiet hours have begun, and the generation was ended")
 
-// untilMoved returns a context that ends when the work of the ticket has to leave
-// for quiet hours. The returned function frees it.
-func untilMoved(ctx context.Context, t admission.Ticket) (context.Context, func()) {
-	movable, ok := t.(admission.Movable)
+// withEviction returns a context that is cancelled with errEvicted when the ticket
+// is evicted because of quiet hours. The returned function releases the resources
+// of the context.
+func withEviction(ctx context.Context, t admission.Ticket) (context.Context, func()) {
+	evictable, ok := t.(admission.Movable)
 	if !ok {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		select {
-		case <-movable.Moved():
-			cancel(errMoved)
+		case <-evictable.Moved():
+			cancel(errEvicted)
 		case <-ctx.Done():
 		}
 	}()
 	return ctx, func() { cancel(nil) }
 }
 
-// whyEnded returns the reason for which the context of a generation ended, if it
-// was quiet hours, and err otherwise.
-func whyEnded(ctx context.Context, err error) error {
-	if err != nil && context.Cause(ctx) == errMoved {
-		return errMoved
+// generationError returns errEvicted if err is not nil and ctx was cancelled by an
+// eviction for quiet hours. Otherwise it returns err.
+func generationError(ctx context.Context, err error) error {
+	if err != nil && context.Cause(ctx) == errEvicted {
+		return errEvicted
 	}
 	return err
 }
--- a/internal/entry/caller/request.go
+++ b/internal/entry/caller/request.go
@@ -21,25 +21,27 @@
 	"github.com/bilberryrock/bilberryrock/internal/report"
 )
 
-// request is one request of a caller on its way through the daemon.
+// request is the state of one request of a caller.
 type request struct {
 	id       fleet.RequestID
 	account  document.Account
 	config   *document.Config
 	deadline time.Time
 	body     []byte
-	// keyed tells that the caller sent an Idempotency-Key, and ledgerAsked that
-	// the answer comes from the order ledger.
-	keyed       bool
-	ledgerAsked bool
+	// hasIdempotencyKey reports whether the caller sent the header
+	// Idempotency-Key. ledgerQueried reports whether the outcome comes from the
+	// order ledger.
+	hasIdempotencyKey bool
+	ledgerQueried     bool
 }
 
-// mayHaveRun tells whether an earlier attempt with the same key may have run
-// without this request knowing. Then no refusal may say "not run".
-func (q *request) mayHaveRun() bool { return q.keyed && !q.ledgerAsked }
+// mayHaveRun reports whether an earlier attempt with the same key may have run
+// without this request having learned of it. In this case no error may report
+// "not run".
+func (q *request) mayHaveRun() bool { return q.hasIdempotencyKey && !q.ledgerQueried }
 
-// ask describes the request to the gate.
-func (q *request) ask(pool fleet.PoolID) admission.Ask {
+// admissionRequest returns the description of the request for the admission gate.
+func (q *request) admissionRequest(pool fleet.PoolID) admission.Ask {
 	return admission.Ask{
 		Request:  q.id,
 		Account:  q.account.ID,
@@ -50,58 +52,58 @@
 	}
 }
 
-// enter asks the gate and records its decision.
-func (a *API) enter(ctx context.Context, q *request, pool fleet.PoolID) (admission.Ticket, error) {
-	asked := a.parts.Clock.Now()
-	ticket, err := a.parts.Gate.Enter(ctx, q.ask(pool))
-	now := a.parts.Clock.Now()
+// admit requests admission from the gate and adds the decision to the decision record.
+func (a *API) admit(ctx context.Context, q *request, pool fleet.PoolID) (admission.Ticket, error) {
+	start := a.deps.Clock.Now()
+	ticket, err := a.deps.Gate.Enter(ctx, q.admissionRequest(pool))
+	now := a.deps.Clock.Now()
 	entry := report.Entry{
 		At:     now,
 		Part:   "admission",
-		Known:  fmt.Sprintf("pool %s, %s left until the deadline", pool, q.deadline.Sub(asked).Round(time.Millisecond)),
+		Known:  fmt.Sprintf("pool %s, %s left until the deadline", pool, q.deadline.Sub(start).Round(time.Millisecond)),
 		Chosen: "admitted",
-		Reason: fmt.Sprintf("a place was free after %s", now.Sub(asked)),
+		Reason: fmt.Sprintf("a place was free after %s", now.Sub(start)),
 	}
 	if err != nil {
 		entry.Chosen, entry.Reason = refusal.KindOf(err).Answer().Code, err.Error()
 	}
-	a.parts.Trail.Add(string(q.id), entry)
+	a.deps.Trail.Add(string(q.id), entry)
 	return ticket, err
 }
 
 type handler func(w http.ResponseWriter, r *http.Request, q *request) error
 
-// serve wraps h with what all paths need: request id, client account, deadline,
-// body, decision record and the answer to an error.
+// serve wraps h with the steps common to all paths: request id, client account,
+// deadline, body, decision record and error response.
 func (a *API) serve(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		started := a.parts.Clock.Now()
-		q := &request{id: a.parts.Instance.NewRequestID(), keyed: r.Header.Get("Idempotency-Key") != ""}
+		started := a.deps.Clock.Now()
+		q := &request{id: a.deps.Instance.NewRequestID(), hasIdempotencyKey: r.Header.Get("Idempotency-Key") != ""}
 		w.Header().Set("X-Request-Id", string(q.id))
-		err := a.run(w, r, q, h)
+		err := a.handle(w, r, q, h)
 		a.finish(w, r, q, started, err)
 	}
 }
 
-func (a *API) run(w http.ResponseWriter, r *http.Request, q *request, h handler) error {
-	if err := a.identify(r, q); err != nil {
+func (a *API) handle(w http.ResponseWriter, r *http.Request, q *request, h handler) error {
+	if err := a.authenticate(r, q); err != nil {
 		return err
 	}
-	a.parts.Trail.Open(string(q.id), q.account.ID, q.account.Team)
+	a.deps.Trail.Open(string(q.id), q.account.ID, q.account.Team)
 	if err := a.setDeadline(r, q); err != nil {
 		return err
 	}
 	if err := a.readBody(w, r, q); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), q.deadline.Sub(a.parts.Clock.Now()))
+	ctx, cancel := context.WithTimeout(r.Context(), q.deadline.Sub(a.deps.Clock.Now()))
 	defer cancel()
 	return h(w, r.WithContext(ctx), q)
 }
 
-// identify finds the client account of the API key.
-func (a *API) identify(r *http.Request, q *request) error {
-	q.config = a.parts.Config()
+// authenticate sets the configuration and the client account of the API key.
+func (a *API) authenticate(r *http.Request, q *request) error {
+	q.config = a.deps.Config()
 	if q.config == nil {
 		return refusal.New(refusal.NotReady, "no configuration is in force yet")
 	}
@@ -119,19 +121,20 @@
 }
 
 func (a *API) setDeadline(r *http.Request, q *request) error {
-	wait := a.deadline
+	timeout := a.defaultDeadline
 	if text := r.Header.Get("X-Deadline-Ms"); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 32)
 		if err != nil || ms <= 0 {
 			return refusal.New(refusal.BadRequest, "header X-Deadline-Ms: %q is not a positive number of milliseconds", text)
 		}
-		wait = min(time.Duration(ms)*time.Millisecond, a.maxDeadline)
+		timeout = min(time.Duration(ms)*time.Millisecond, a.maxDeadline)
 	}
-	q.deadline = a.parts.Clock.Now().Add(wait)
+	q.deadline = a.deps.Clock.Now().Add(timeout)
 	return nil
 }
 
-// readBody reads the body within the size limit. The listener bounds its time.
+// readBody reads the body up to the size limit. The listener enforces the read
+// timeout.
 func (a *API) readBody(w http.ResponseWriter, r *http.Request, q *request) error {
 	if r.Body == http.NoBody {
 		return nil
@@ -148,52 +151,54 @@
 	return nil
 }
 
-// finish answers an error and keeps the end of the request in logs, metrics and
-// the decision record.
+// finish sends the error response, if any, and records the end of the request in
+// logs, metrics and the decision record.
 func (a *API) finish(w http.ResponseWriter, r *http.Request, q *request, started time.Time, err error) {
 	code := "ok"
-	took := a.parts.Clock.Now().Sub(started)
+	duration := a.deps.Clock.Now().Sub(started)
 	if err != nil {
-		code = a.fail(w, r, q, err)
+		code = a.respondError(w, r, q, err)
 	}
-	a.observe(code, took)
-	a.parts.Trail.Add(string(q.id), report.Entry{
-		At: a.parts.Clock.Now(), Part: "caller", Chosen: code, Reason: reason(err),
+	a.observe(code, duration)
+	a.deps.Trail.Add(string(q.id), report.Entry{
+		At: a.deps.Clock.Now(), Part: "caller", Chosen: code, Reason: errorText(err),
 	})
-	// The fields are built only for a level that is logged.
-	entry := a.parts.Log.Check(zap.DebugLevel, "Request ended.")
+	// The fields are built only if the debug level is enabled.
+	entry := a.deps.Log.Check(zap.DebugLevel, "Request ended.")
 	if entry == nil {
 		return
 	}
 	entry.Write(
 		zap.String("request", string(q.id)), zap.String("account", string(q.account.ID)),
-		zap.String("path", r.URL.Path), zap.String("code", code), zap.Duration("took", took))
+		zap.String("path", r.URL.Path), zap.String("code", code), zap.Duration("took", duration))
 }
 
-func (a *API) fail(w http.ResponseWriter, r *http.Request, q *request, err error) string {
-	var broken *brokenStream
+// respondError sends the response for err, unless a stream has already reported it,
+// and returns the code of the error.
+func (a *API) respondError(w http.ResponseWriter, r *http.Request, q *request, err error) string {
+	var broken *brokenStreamError
 	if errors.As(err, &broken) {
 		return refusal.StreamBroken.Answer().Code
 	}
-	err = a.timeUp(r, err)
+	err = a.asDeadlineError(r, err)
 	kind := refusal.KindOf(err)
 	if kind == refusal.Internal {
-		a.parts.Log.Error("Request failed.", zap.String("request", string(q.id)), zap.Error(err))
+		a.deps.Log.Error("Request failed.", zap.String("request", string(q.id)), zap.Error(err))
 	}
 	writeError(w, q, err)
 	return kind.Answer().Code
 }
 
-// timeUp gives an error that came from the end of the request's time the kind
-// Deadline, unless it has a kind already.
-func (a *API) timeUp(r *http.Request, err error) error {
+// asDeadlineError returns an error of kind Deadline if err has no kind and was
+// caused by the deadline of the request. Otherwise it returns err.
+func (a *API) asDeadlineError(r *http.Request, err error) error {
 	if refusal.KindOf(err) == refusal.Internal && errors.Is(err, context.DeadlineExceeded) {
 		return refusal.Because(refusal.Deadline, err, "the deadline of the request has passed")
 	}
 	return err
 }
 
-func reason(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/entry/caller/service.go
+++ b/internal/entry/caller/service.go
@@ -16,15 +16,15 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// maxKeyLength is the greatest length of an Idempotency-Key in bytes.
-const maxKeyLength = 255
+// maxIdempotencyKeyBytes is the maximum length of an Idempotency-Key in bytes.
+const maxIdempotencyKeyBytes = 255
 
-// forwarded are the headers of a caller that reach a plain service. The API key
-// does not.
-var forwarded = []string{"Accept", "Accept-Language", "Content-Type", "Idempotency-Key", "User-Agent"}
+// forwardedHeaders lists the headers of a caller that are forwarded to a plain
+// service. The API key is not forwarded.
+var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "Idempotency-Key", "User-Agent"}
 
-// service passes a call on to a plain service.
-func (a *API) service(w http.ResponseWriter, r *http.Request, q *request) error {
+// forwardCall forwards a call to a plain service.
+func (a *API) forwardCall(w http.ResponseWriter, r *http.Request, q *request) error {
 	pool, err := findPool(r, q)
 	if err != nil {
 		return err
@@ -33,27 +33,27 @@
 	if err != nil {
 		return err
 	}
-	once := isOnce(pool, call)
-	key, err := orderKey(r, q, once)
+	atMostOnce := isAtMostOnce(pool, call)
+	key, err := orderKey(r, q, atMostOnce)
 	if err != nil {
 		return err
 	}
-	ticket, err := a.enter(r.Context(), q, pool.ID)
+	ticket, err := a.admit(r.Context(), q, pool.ID)
 	if err != nil {
 		return err
 	}
 	defer ticket.Done()
-	var answer upstream.Answer
-	if once {
-		q.ledgerAsked = true
-		answer, err = a.parts.Orders.Order(r.Context(), q.id, key, pool, call)
+	var response upstream.Answer
+	if atMostOnce {
+		q.ledgerQueried = true
+		response, err = a.deps.Orders.Order(r.Context(), q.id, key, pool, call)
 	} else {
-		answer, err = a.parts.Lookups.Lookup(r.Context(), q.id, pool, call)
+		response, err = a.deps.Lookups.Lookup(r.Context(), q.id, pool, call)
 	}
 	if err != nil {
 		return err
 	}
-	return passOn(w, answer)
+	return writeResponse(w, response)
 }
 
 func findPool(r *http.Request, q *request) (document.Pool, error) {
@@ -65,30 +65,30 @@
 	return pool, nil
 }
 
-// newCall builds the call to the upstream. Paths that a service could read as
-// another path than the router did are refused, since the path decides whether
-// the call may be repeated.
+// newCall builds the call to the upstream. It refuses paths that a service could
+// interpret differently from the router, because the path decides whether the
+// call may be repeated.
 func newCall(r *http.Request, q *request) (upstream.Call, error) {
-	rest := "/" + chi.URLParam(r, "*")
-	if r.URL.RawPath != "" || strings.ContainsAny(rest, "\\;") || path.Clean(rest) != strings.TrimSuffix(rest, "/") && rest != "/" {
+	servicePath := "/" + chi.URLParam(r, "*")
+	if r.URL.RawPath != "" || strings.ContainsAny(servicePath, "\\;") || path.Clean(servicePath) != strings.TrimSuffix(servicePath, "/") && servicePath != "/" {
 		return upstream.Call{}, refusal.New(refusal.BadRequest, "path %q is ambiguous", r.URL.EscapedPath())
 	}
 	if r.URL.RawQuery != "" {
-		rest += "?" + r.URL.RawQuery
+		servicePath += "?" + r.URL.RawQuery
 	}
 	header := make(http.Header)
-	for _, name := range forwarded {
+	for _, name := range forwardedHeaders {
 		if values := r.Header.Values(name); len(values) > 0 {
 			header[textproto.CanonicalMIMEHeaderKey(name)] = values
 		}
 	}
 	header.Set("X-Request-Id", string(q.id))
-	return upstream.Call{Method: r.Method, Path: rest, Header: header, Body: q.body}, nil
+	return upstream.Call{Method: r.Method, Path: servicePath, Header: header, Body: q.body}, nil
 }
 
-// isOnce tells whether a call may not be repeated. Letter case is ignored,
-// because some services ignore it.
-func isOnce(p document.Pool, c upstream.Call) bool {
+// isAtMostOnce reports whether a call must be run at most once. The comparison of
+// paths ignores case, because some services ignore it.
+func isAtMostOnce(p document.Pool, c upstream.Call) bool {
 	switch c.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return false
@@ -101,36 +101,38 @@
 	return false
 }
 
-func orderKey(r *http.Request, q *request, once bool) (order.Key, error) {
-	if !once {
+func orderKey(r *http.Request, q *request, atMostOnce bool) (order.Key, error) {
+	if !atMostOnce {
 		return order.Key{}, nil
 	}
 	name := r.Header.Get("Idempotency-Key")
 	if name == "" {
 		return order.Key{}, refusal.New(refusal.BadRequest, "this call may not be repeated and needs the header Idempotency-Key")
 	}
-	if len(name) > maxKeyLength {
-		return order.Key{}, refusal.New(refusal.BadRequest, "the header Idempotency-Key is longer than %d bytes", maxKeyLength)
+	if len(name) > maxIdempotencyKeyBytes {
+		return order.Key{}, refusal.New(refusal.BadRequest, "the header Idempotency-Key is longer than %d bytes", maxIdempotencyKeyBytes)
 	}
 	return order.Key{Account: q.account.ID, Name: name}, nil
 }
 
-// hopByHop are the headers of an answer that are not passed on (RFC 9110, 7.6.1),
-// and the request id, which is the daemon's own.
-var hopByHop = []string{
+// excludedResponseHeaders lists the response headers that are not forwarded to the
+// caller: hop-by-hop headers (RFC 9110, section 7.6.1), Content-Length, and
+// X-Request-Id, which the daemon sets itself.
+var excludedResponseHeaders = []string{
 	"Connection", "Content-Length", "Keep-Alive", "Proxy-Authenticate", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "X-Request-Id",
 }
 
-func passOn(w http.ResponseWriter, answer upstream.Answer) error {
+func writeResponse(w http.ResponseWriter, response upstream.Answer) error {
 	header := w.Header()
-	for name, values := range answer.Header {
-		if !slices.Contains(hopByHop, textproto.CanonicalMIMEHeaderKey(name)) {
+	for name, values := range response.Header {
+		if !slices.Contains(excludedResponseHeaders, textproto.CanonicalMIMEHeaderKey(name)) {
 			header[name] = values
 		}
 	}
-	w.WriteHeader(answer.Status)
-	// The caller went away if this fails, and nobody is left to tell.
-	_, _ = w.Write(answer.Body)
+	w.WriteHeader(response.Status)
+	// A failure means that the caller has disconnected, so there is nobody to
+	// report it to.
+	_, _ = w.Write(response.Body)
 	return nil
 }
--- a/internal/entry/caller/shape.go
+++ b/internal/entry/caller/shape.go
@@ -5,11 +5,11 @@
 	"github.com/bilberryrock/bilberryrock/internal/pipeline"
 )
 
-// answerHead holds the fields that all parts of an answer share.
-type answerHead struct {
+// responseMeta holds the fields common to a response and all chunks of a stream.
+type responseMeta struct {
 	id      fleet.RequestID
 	model   fleet.ModelID
-	created int64 // seconds since 1970
+	created int64 // Unix time in seconds
 }
 
 type usage struct {
@@ -26,15 +26,15 @@
 	}
 }
 
-// answerShape builds the JSON bodies of one API.
-type answerShape interface {
-	whole(h answerHead, text, reason string, u usage) any
-	piece(h answerHead, text string, first bool) any
-	end(h answerHead, reason string) any
-	usage(h answerHead, u usage) any
+// responseFormat builds the JSON bodies of the completions or the chat API.
+type responseFormat interface {
+	response(m responseMeta, text, reason string, u usage) any
+	chunk(m responseMeta, text string, first bool) any
+	finalChunk(m responseMeta, reason string) any
+	usageChunk(m responseMeta, u usage) any
 }
 
-type body struct {
+type responseBody struct {
 	ID      fleet.RequestID `json:"id"`
 	Object  string          `json:"object"`
 	Created int64           `json:"created"`
@@ -57,50 +57,50 @@
 	Content string `json:"content"`
 }
 
-func (h answerHead) body(object string, choices ...choice) body {
+func (m responseMeta) newBody(object string, choices ...choice) responseBody {
 	if choices == nil {
 		choices = []choice{}
 	}
-	return body{ID: h.id, Object: object, Created: h.created, Model: h.model, Choices: choices}
+	return responseBody{ID: m.id, Object: object, Created: m.created, Model: m.model, Choices: choices}
 }
 
-func (h answerHead) usageBody(object string, u usage) body {
-	b := h.body(object)
+func (m responseMeta) newUsageBody(object string, u usage) responseBody {
+	b := m.newBody(object)
 	b.Usage = &u
 	return b
 }
 
-// completionShape is the shape of /v1/completions.
-type completionShape struct{}
+// completionFormat is the response format of /v1/completions.
+type completionFormat struct{}
 
 const completionObject = "text_completion"
 
-func (completionShape) whole(h answerHead, text, reason string, u usage) any {
-	b := h.body(completionObject, choice{Text: &text, FinishReason: &reason})
+func (completionFormat) response(m responseMeta, text, reason string, u usage) any {
+	b := m.newBody(completionObject, choice{Text: &text, FinishReason: &reason})
 	b.Usage = &u
 	return b
 }
 
-func (completionShape) piece(h answerHead, text string, _ bool) any {
-	return h.body(completionObject, choice{Text: &text})
+func (completionFormat) chunk(m responseMeta, text string, _ bool) any {
+	return m.newBody(completionObject, choice{Text: &text})
 }
 
-func (completionShape) end(h answerHead, reason string) any {
+func (completionFormat) finalChunk(m responseMeta, reason string) any {
 	empty := ""
-	return h.body(completionObject, choice{Text: &empty, FinishReason: &reason})
+	return m.newBody(completionObject, choice{Text: &empty, FinishReason: &reason})
 }
 
-func (completionShape) usage(h answerHead, u usage) any {
-	return h.usageBody(completionObject, u)
+func (completionFormat) usageChunk(m responseMeta, u usage) any {
+	return m.newUsageBody(completionObject, u)
 }
 
-// chatShape is the shape of /v1/chat/completions.
-type chatShape struct{}
+// chatFormat is the response format of /v1/chat/completions.
+type chatFormat struct{}
 
 const chatChunkObject = "chat.completion.chunk"
 
-func (chatShape) whole(h answerHead, text, reason string, u usage) any {
-	b := h.body("chat.completion", choice{
+func (chatFormat) response(m responseMeta, text, reason string, u usage) any {
+	b := m.newBody("chat.completion", choice{
 		Message:      &chatContent{Role: "assistant", Content: text},
 		FinishReason: &reason,
 	})
@@ -108,18 +108,18 @@
 	return b
 }
 
-func (chatShape) piece(h answerHead, text string, first bool) any {
+func (chatFormat) chunk(m responseMeta, text string, first bool) any {
 	delta := &chatContent{Content: text}
 	if first {
 		delta.Role = "assistant"
 	}
-	return h.body(chatChunkObject, choice{Delta: delta})
+	return m.newBody(chatChunkObject, choice{Delta: delta})
 }
 
-func (chatShape) end(h answerHead, reason string) any {
-	return h.body(chatChunkObject, choice{Delta: &chatContent{}, FinishReason: &reason})
+func (chatFormat) finalChunk(m responseMeta, reason string) any {
+	return m.newBody(chatChunkObject, choice{Delta: &chatContent{}, FinishReason: &reason})
 }
 
-func (chatShape) usage(h answerHead, u usage) any {
-	return h.usageBody(chatChunkObject, u)
+func (chatFormat) usageChunk(m responseMeta, u usage) any {
+	return m.newUsageBody(chatChunkObject, u)
 }
--- a/internal/entry/caller/stream.go
+++ b/internal/entry/caller/stream.go
@@ -12,81 +12,83 @@
 	"github.com/bilberryrock/bilberryrock/internal/pipeline"
 )
 
-// brokenStream is the error of a stream that ended after its first event. The
-// caller was told by an event, or is gone.
-type brokenStream struct{ cause error }
+// brokenStreamError is the error of a stream that failed after its first event. The
+// caller has received an error event or has disconnected.
+type brokenStreamError struct{ cause error }
 
-func (b *brokenStream) Error() string { return "the stream broke: " + b.cause.Error() }
-func (b *brokenStream) Unwrap() error { return b.cause }
+func (b *brokenStreamError) Error() string { return "the stream broke: " + b.cause.Error() }
+func (b *brokenStreamError) Unwrap() error { return b.cause }
 
-// whole runs a generation to its end and answers with one JSON object.
-func (a *API) whole(w http.ResponseWriter, r *http.Request, g pipeline.Generation, head answerHead, shape answerShape) error {
+// serveUnary runs a generation to its end and responds with one JSON object.
+func (a *API) serveUnary(w http.ResponseWriter, r *http.Request, g pipeline.Generation, meta responseMeta, format responseFormat) error {
 	var text strings.Builder
 	count := 0
-	reason, err := a.parts.Courier.Run(r.Context(), g, func(p pipeline.Piece) error {
+	reason, err := a.deps.Courier.Run(r.Context(), g, func(tok pipeline.Piece) error {
 		count++
-		text.WriteString(p.Text)
+		text.WriteString(tok.Text)
 		return nil
 	})
 	if err != nil {
-		return whyEnded(r.Context(), err)
+		return generationError(r.Context(), err)
 	}
-	writeJSON(w, http.StatusOK, shape.whole(head, text.String(), reason.String(), newUsage(g, count)))
+	writeJSON(w, http.StatusOK, format.response(meta, text.String(), reason.String(), newUsage(g, count)))
 	return nil
 }
 
-// stream runs a generation and sends one server-sent event for each token. The
-// status is sent with the first token, so that an error before it is answered
-// like that of any other request.
-func (a *API) stream(w http.ResponseWriter, r *http.Request, g pipeline.Generation, head answerHead, shape answerShape, withUsage bool) error {
-	s := &eventStream{w: w, control: http.NewResponseController(w)}
+// serveStream runs a generation and sends one server-sent event per token. The
+// status is sent with the first token, so that an error before it results in an
+// ordinary error response.
+func (a *API) serveStream(w http.ResponseWriter, r *http.Request, g pipeline.Generation, meta responseMeta, format responseFormat, withUsage bool) error {
+	s := &eventWriter{w: w, controller: http.NewResponseController(w)}
 	count := 0
-	reason, err := a.parts.Courier.Run(r.Context(), g, func(p pipeline.Piece) error {
+	reason, err := a.deps.Courier.Run(r.Context(), g, func(tok pipeline.Piece) error {
 		count++
-		return s.send(shape.piece(head, p.Text, count == 1))
+		return s.send(format.chunk(meta, tok.Text, count == 1))
 	})
 	if err != nil {
-		return a.breakStream(s, r, head, whyEnded(r.Context(), err))
+		return a.abortStream(s, r, meta, generationError(r.Context(), err))
 	}
-	if err := s.send(shape.end(head, reason.String())); err != nil {
-		return &brokenStream{cause: err}
+	if err := s.send(format.finalChunk(meta, reason.String())); err != nil {
+		return &brokenStreamError{cause: err}
 	}
 	if withUsage {
-		if err := s.send(shape.usage(head, newUsage(g, count))); err != nil {
-			return &brokenStream{cause: err}
+		if err := s.send(format.usageChunk(meta, newUsage(g, count))); err != nil {
+			return &brokenStreamError{cause: err}
 		}
 	}
 	if err := s.sendRaw("[DONE]"); err != nil {
-		return &brokenStream{cause: err}
+		return &brokenStreamError{cause: err}
 	}
 	return nil
 }
 
-// breakStream tells the caller that the stream is not whole. Before the first
-// event it returns err, which is then answered with a status of its own.
-func (a *API) breakStream(s *eventStream, r *http.Request, head answerHead, err error) error {
+// abortStream sends an event that reports that the stream is incomplete. Before the
+// first event it returns err instead, for which the caller then gets an error
+// response.
+func (a *API) abortStream(s *eventWriter, r *http.Request, meta responseMeta, err error) error {
 	if !s.started {
 		return err
 	}
-	told := refusal.Because(refusal.StreamBroken, err, "the stream broke before its end: %s", message(a.timeUp(r, err)))
-	// The caller may be gone already.
-	_ = s.send(newErrorBody(&request{id: head.id}, told))
-	return &brokenStream{cause: err}
+	streamErr := refusal.Because(refusal.StreamBroken, err, "the stream broke before its end: %s", publicMessage(a.asDeadlineError(r, err)))
+	// The caller may have disconnected already.
+	_ = s.send(newErrorBody(&request{id: meta.id}, streamErr))
+	return &brokenStreamError{cause: err}
 }
 
-// eventStream writes server-sent events.
-type eventStream struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	started bool
-	// buffer holds the event that is being written; its memory is used again.
+// eventWriter writes server-sent events.
+type eventWriter struct {
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	started    bool
+	// buffer holds the event that is being written; its memory is reused.
 	buffer bytes.Buffer
 }
 
 const eventPrefix = "data: "
 
-// send sends one event. The encoder ends it with one of the two line breaks.
-func (s *eventStream) send(event any) error {
+// send sends one event. The encoder writes the first of the two newlines that end
+// an event.
+func (s *eventWriter) send(event any) error {
 	s.buffer.Reset()
 	s.buffer.WriteString(eventPrefix)
 	if err := json.NewEncoder(&s.buffer).Encode(event); err != nil {
@@ -96,15 +98,15 @@
 	return s.flush()
 }
 
-func (s *eventStream) sendRaw(data string) error {
+func (s *eventWriter) sendRaw(data string) error {
 	s.buffer.Reset()
 	s.buffer.WriteString(eventPrefix + data + "\n\n")
 	return s.flush()
 }
 
-// flush writes the event in the buffer. It fails when the caller does not read
-// within the write timeout of the listener.
-func (s *eventStream) flush() error {
+// flush writes the event in the buffer to the connection. It fails if the caller
+// does not read within the write timeout of the listener.
+func (s *eventWriter) flush() error {
 	if !s.started {
 		s.w.Header().Set("Content-Type", "text/event-stream")
 		s.w.Header().Set("Cache-Control", "no-store")
@@ -113,5 +115,5 @@
 	if _, err := s.w.Write(s.buffer.Bytes()); err != nil {
 		return errors.Wrap(err, "write event")
 	}
-	return errors.Wrap(s.control.Flush(), "flush event")
+	return errors.Wrap(s.controller.Flush(), "flush event")
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,22 +1,21 @@
-// Package entry holds what the listeners of a daemon share: the life cycle of a
-// request and the limits on input.
+// Package entry defines the input limits that the listeners of a daemon share.
 package entry
 
 import "time"
 
-// Limits bound what a listener reads. The zero value of a field stands for its
-// default.
+// Limits holds the input limits of a listener. A zero field means its default
+// value.
 type Limits struct {
-	// MaxBody is in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64
-	// MaxHeader is in bytes.
+	// MaxHeader is the maximum size of the request header in bytes.
 	MaxHeader int
-	// ReadTimeout bounds the time to read a request, WriteTimeout the time for
-	// one write of an answer, IdleTimeout the time between requests.
+	// ReadTimeout limits the time to read a request, WriteTimeout the time for
+	// one write of a response, and IdleTimeout the time between requests.
 	ReadTimeout  time.Duration
 	WriteTimeout time.Duration
 	IdleTimeout  time.Duration
-	// MaxConnections bounds the open connections of a listener.
+	// MaxConnections is the maximum number of open connections of a listener.
 	MaxConnections int
 }
 
@@ -30,7 +29,7 @@
 	DefaultMaxConnections = 20000
 )
 
-// WithDefaults returns l with defaults in place of zero values.
+// WithDefaults returns l with zero fields replaced by their defaults.
 func (l Limits) WithDefaults() Limits {
 	if l.MaxBody == 0 {
 		l.MaxBody = DefaultMaxBody
