--- a/internal/entry/console/client.go
+++ b/internal/entry/console/client.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	callTimeout = 30 * time.Second
-	maxAnswer   = 64 << 20 // bytes
+	callTimeout      = 30 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
-// call sends one request to the operators' API and decodes the answer into
-// result. An answer with status accepted is decoded too, since an outcome is in
-// the body of some errors.
-func (o *options) call(method, path string, body, result any, accepted ...int) error {
+// call sends one request to the operators' API and decodes the response into
+// result. Responses with one of resultStatuses are decoded too unless they hold an
+// error, because some outcomes are sent with an error status.
+func (o *options) call(method, path string, body, result any, resultStatuses ...int) error {
 	request, err := o.newRequest(method, path, body)
 	if err != nil {
 		return err
@@ -34,44 +34,47 @@
 	if err != nil {
 		return err
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
-		return exit(ExitUnreachable, "%s can't be reached: %v", o.Server, err)
+		return exitErrorf(ExitUnreachable, "%s can't be reached: %v", o.Server, err)
 	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer response.Body.Close()
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return exit(ExitUnreachable, "the answer of %s was cut off: %v", o.Server, err)
+		return exitErrorf(ExitUnreachable, "the response of %s was truncated: %v", o.Server, err)
 	}
-	if answer.StatusCode == http.StatusOK || slices.Contains(accepted, answer.StatusCode) && isResult(raw) {
-		return errors.Wrap(json.Unmarshal(raw, result), "decode answer")
+	if response.StatusCode == http.StatusOK || slices.Contains(resultStatuses, response.StatusCode) && isResult(raw) {
+		return errors.Wrap(json.Unmarshal(raw, result), "decode response")
 	}
-	return failure(answer.StatusCode, raw)
+	return responseError(response.StatusCode, raw)
 }
 
-// isResult tells an outcome from an error, which can have the same status.
+// isResult reports whether raw is an outcome and not an error, which can have the
+// same status.
 func isResult(raw []byte) bool {
-	var f operator.Failure
+	var f operator.ErrorResponse
 	return json.Unmarshal(raw, &f) == nil && f.Error.Code == ""
 }
 
-func failure(code int, raw []byte) error {
-	var f operator.Failure
+// responseError converts an error response to an error with the matching exit
+// status.
+func responseError(code int, raw []byte) error {
+	var f operator.ErrorResponse
 	if err := json.Unmarshal(raw, &f); err != nil || f.Error.Code == "" {
-		return exit(ExitFailed, "unexpected answer with status %d", code)
+		return exitErrorf(ExitFailed, "unexpected response with status %d", code)
 	}
 	text := f.Error.Code + ": " + f.Error.Message
 	switch code {
 	case http.StatusNotFound:
-		return exit(ExitNotFound, "%s", text)
+		return exitErrorf(ExitNotFound, "%s", text)
 	case http.StatusUnauthorized, http.StatusForbidden:
-		return exit(ExitForbidden, "%s", text)
+		return exitErrorf(ExitForbidden, "%s", text)
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
-		return exit(ExitRefused, "%s", text)
+		return exitErrorf(ExitRefused, "%s", text)
 	case http.StatusGatewayTimeout:
-		return exit(ExitUnknown, "%s", text)
+		return exitErrorf(ExitUnknown, "%s", text)
 	}
-	return exit(ExitFailed, "%s", text)
+	return exitErrorf(ExitFailed, "%s", text)
 }
 
 func (o *options) newRequest(method, path string, body any) (*http.Request, error) {
@@ -85,7 +88,7 @@
 	}
 	request, err := http.NewRequest(method, strings.TrimSuffix(o.Server, "/")+path, content)
 	if err != nil {
-		return nil, exit(ExitUsage, "--server: %v", err)
+		return nil, exitErrorf(ExitUsage, "--server: %v", err)
 	}
 	token, err := o.token()
 	if err != nil {
@@ -98,11 +101,11 @@
 
 func (o *options) token() (string, error) {
 	if o.TokenFile == "" {
-		return "", exit(ExitUsage, "--tokenFile is needed")
+		return "", exitErrorf(ExitUsage, "--tokenFile is needed")
 	}
 	raw, err := os.ReadFile(o.TokenFile)
 	if err != nil {
-		return "", exit(ExitUsage, "--tokenFile: %v", err)
+		return "", exitErrorf(ExitUsage, "--tokenFile: %v", err)
 	}
 	return strings.TrimSpace(string(raw)), nil
 }
@@ -114,11 +117,11 @@
 	}
 	raw, err := os.ReadFile(o.Authority)
 	if err != nil {
-		return nil, exit(ExitUsage, "--authority: %v", err)
+		return nil, exitErrorf(ExitUsage, "--authority: %v", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return nil, exit(ExitUsage, "--authority: %q holds no PEM certificate", o.Authority)
+		return nil, exitErrorf(ExitUsage, "--authority: %q holds no PEM certificate", o.Authority)
 	}
 	client.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
 	return client, nil
--- a/internal/entry/console/commands.go
+++ b/internal/entry/console/commands.go
@@ -20,13 +20,13 @@
 )
 
 type fileArgument struct {
-	File string `positional-arg-name:"FILE" description:"section in INI"`
+	File string `positional-arg-name:"FILE" description:"section in INI format"`
 }
 
 func readSection(path string) (string, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return "", exit(ExitUsage, "%v", err)
+		return "", exitErrorf(ExitUsage, "%v", err)
 	}
 	return string(raw), nil
 }
@@ -41,7 +41,7 @@
 	*options `no-flag:"true"`
 	Team     string       `long:"team" required:"true" description:"owner of the section"`
 	Base     uint64       `long:"base" description:"revision of the section that was edited; 0 for a new section"`
-	Change   string       `long:"change" description:"id of the change; give the same again to ask for the outcome"`
+	Change   string       `long:"change" description:"id of the change; submit with the same id again to query the outcome"`
 	Operator string       `long:"operator" env:"USER" description:"name in the audit trail"`
 	Args     fileArgument `positional-args:"true" required:"true"`
 }
@@ -54,7 +54,7 @@
 	Text     string `json:"text"`
 }
 
-// Execute submits the section. The exit status tells the verdict.
+// Execute submits the section. The exit status corresponds to the verdict.
 func (c *submitCommand) Execute([]string) error {
 	text, err := readSection(c.Args.File)
 	if err != nil {
@@ -67,8 +67,8 @@
 	err = c.call(http.MethodPost, "/v1/submissions", submitBody{
 		Change: c.Change, Team: c.Team, Operator: c.Operator, Base: c.Base, Text: text,
 	}, &outcome, http.StatusConflict, http.StatusUnprocessableEntity, http.StatusGatewayTimeout)
-	if unknown, ok := err.(*status); ok && unknown.code == ExitUnreachable {
-		return exit(ExitUnknown, "unknown: %s; ask again with --change %s", unknown.message, c.Change)
+	if exitErr, ok := err.(*exitError); ok && exitErr.code == ExitUnreachable {
+		return exitErrorf(ExitUnknown, "unknown: %s; ask again with --change %s", exitErr.message, c.Change)
 	}
 	if err != nil {
 		return err
@@ -78,10 +78,11 @@
 			return err
 		}
 	}
-	return c.tell(outcome)
+	return c.reportOutcome(outcome)
 }
 
-func (c *submitCommand) tell(o document.Outcome) error {
+// reportOutcome prints an accepted outcome and returns an error for any other.
+func (c *submitCommand) reportOutcome(o document.Outcome) error {
 	switch o.Verdict {
 	case document.Accepted:
 		if !c.JSON {
@@ -89,11 +90,11 @@
 		}
 		return nil
 	case document.Conflicted:
-		return exit(ExitConflict, "conflict: the section is at revision %d, not %d", o.Revision, c.Base)
+		return exitErrorf(ExitConflict, "conflict: the section is at revision %d, not %d", o.Revision, c.Base)
 	case document.Refused, document.Reused:
-		return exit(ExitRefused, "%s: %s", o.Verdict, o.Reason)
+		return exitErrorf(ExitRefused, "%s: %s", o.Verdict, o.Reason)
 	}
-	return exit(ExitUnknown, "unknown: ask again with --change %s", c.Change)
+	return exitErrorf(ExitUnknown, "unknown: ask again with --change %s", c.Change)
 }
 
 type showCommand struct {
@@ -118,7 +119,7 @@
 	Args     fileArgument `positional-args:"true" required:"true"`
 }
 
-// Execute prints the lines that differ between the accepted section and a file.
+// Execute prints the lines that differ between the accepted section and the file.
 func (c *diffCommand) Execute([]string) error {
 	text, err := readSection(c.Args.File)
 	if err != nil {
@@ -250,15 +251,15 @@
 	Args     fileArgument `positional-args:"true" required:"true"`
 }
 
-// Execute checks a section on its own. What depends on the sections of other
-// teams is checked at submission.
+// Execute checks a section without a server. Constraints that depend on the
+// sections of other teams are checked only at submission.
 func (c *checkCommand) Execute([]string) error {
 	text, err := readSection(c.Args.File)
 	if err != nil {
 		return err
 	}
 	if _, err := section.Parse(fleet.TeamID(c.Team), text); err != nil {
-		return exit(ExitRefused, "%s: %v", c.Args.File, err)
+		return exitErrorf(ExitRefused, "%s: %v", c.Args.File, err)
 	}
 	fmt.Fprintf(c.out, "%s: no fault found\n", c.Args.File)
 	return nil
--- a/internal/entry/console/console.go
+++ b/internal/entry/console/console.go
@@ -1,12 +1,12 @@
-// Package console is the operators' command line.
+// Package console implements the operators' command line.
 //
-// Run parses the arguments, talks to the operators' API of one instance and
-// returns the exit status:
+// Run parses the arguments, calls the operators' API of one instance and returns
+// the exit status:
 //
 //	os.Exit(console.Run(os.Args[1:], os.Stdout, os.Stderr))
 //
-// Errors are one line on the error output. With --json, answers are printed as
-// the API gives them.
+// An error is reported as one line on the error output. With --json, results are
+// printed as the API returns them.
 package console
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/pkg/errors"
 )
 
-// The exit statuses.
+// Exit statuses of the command line.
 const (
 	ExitOK          = 0
 	ExitFailed      = 1
@@ -30,24 +30,24 @@
 	ExitUnreachable = 8
 )
 
-// status is an error with an exit status.
-type status struct {
+// exitError is an error with an exit status.
+type exitError struct {
 	code    int
 	message string
 }
 
-func (s *status) Error() string { return s.message }
+func (s *exitError) Error() string { return s.message }
 
-func exit(code int, format string, args ...any) error {
-	return &status{code: code, message: fmt.Sprintf(format, args...)}
+func exitErrorf(code int, format string, args ...any) error {
+	return &exitError{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// options are the options of all commands.
+// options holds the options common to all commands.
 type options struct {
 	Server    string `long:"server" env:"BILBERRYROCK_SERVER" default:"http://127.0.0.1:7002" description:"operators' API of an instance"`
 	TokenFile string `long:"tokenFile" env:"BILBERRYROCK_TOKEN_FILE" description:"file with the token of the team"`
-	Authority string `long:"authority" env:"BILBERRYROCK_AUTHORITY" description:"PEM certificate authority of the operators' API"`
-	JSON      bool   `long:"json" description:"print answers as JSON"`
+	Authority string `long:"authority" env:"BILBERRYROCK_AUTHORITY" description:"PEM file with the certificate authority of the operators' API"`
+	JSON      bool   `long:"json" description:"print results as JSON"`
 
 	out io.Writer
 }
@@ -61,11 +61,12 @@
 		return ExitFailed
 	}
 	_, err := parser.ParseArgs(args)
-	return finish(err, out, errOut)
+	return exitStatus(err, out, errOut)
 }
 
-func finish(err error, out, errOut io.Writer) int {
-	var s *status
+// exitStatus prints err, or the help text, and returns the exit status.
+func exitStatus(err error, out, errOut io.Writer) int {
+	var exitErr *exitError
 	var usage *flags.Error
 	switch {
 	case err == nil:
@@ -76,9 +77,9 @@
 	case errors.As(err, &usage):
 		fmt.Fprintln(errOut, "bilberryrock:", usage.Message)
 		return ExitUsage
-	case errors.As(err, &s):
-		fmt.Fprintln(errOut, "bilberryrock:", s.message)
-		return s.code
+	case errors.As(err, &exitErr):
+		fmt.Fprintln(errOut, "bilberryrock:", exitErr.message)
+		return exitErr.code
 	}
 	fmt.Fprintln(errOut, "bilberryrock:", err)
 	return ExitFailed
@@ -96,10 +97,10 @@
 		{"diff", "compare a file with the accepted section", &diffCommand{options: o}},
 		{"show", "print the accepted section", &showCommand{options: o}},
 		{"history", "print the audit trail of the team", &historyCommand{options: o}},
-		{"status", "print instances, revisions in force and voters", &statusCommand{options: o}},
+		{"status", "print instances, active revisions and voters", &statusCommand{options: o}},
 		{"explain", "print the decisions on a request", &explainCommand{options: o}},
 		{"orders", "print the orders of an account whose outcome is unknown", &ordersCommand{options: o}},
-		{"settle", "say whether an order with an unknown outcome ran", &settleCommand{options: o}},
+		{"settle", "record whether an order with an unknown outcome ran", &settleCommand{options: o}},
 		{"check", "check a section without a server", &checkCommand{options: o}},
 	} {
 		if _, err := p.AddCommand(c.name, c.help, "", c.command); err != nil {
--- a/internal/entry/console/orders.go
+++ b/internal/entry/console/orders.go
@@ -17,16 +17,16 @@
 	Account  string `long:"account" required:"true" description:"client account"`
 }
 
-// Execute prints the orders whose outcome is unknown.
+// Execute prints the orders of the account whose outcome is unknown.
 func (c *ordersCommand) Execute([]string) error {
-	var open []ledger.Open
-	if err := c.call(http.MethodGet, "/v1/orders?account="+url.QueryEscape(c.Account), nil, &open); err != nil {
+	var claims []ledger.Open
+	if err := c.call(http.MethodGet, "/v1/orders?account="+url.QueryEscape(c.Account), nil, &claims); err != nil {
 		return err
 	}
 	if c.JSON {
-		return c.printJSON(open)
+		return c.printJSON(claims)
 	}
-	for _, o := range open {
+	for _, o := range claims {
 		fmt.Fprintf(c.out, "key %s attempt %s since %s, request %s on %s\n",
 			o.Key.Name, o.Attempt, o.At.Format(time.RFC3339), o.Request, o.Instance)
 	}
@@ -37,16 +37,16 @@
 	*options    `no-flag:"true"`
 	Account     string `long:"account" required:"true" description:"client account"`
 	Key         string `long:"key" required:"true" description:"Idempotency-Key of the order"`
-	Attempt     string `long:"attempt" required:"true" description:"attempt that 'orders' names"`
-	Outcome     string `long:"outcome" required:"true" choice:"ran" choice:"notRun" description:"what the service says"`
-	Status      int    `long:"status" default:"200" description:"HTTP status that callers get if the order ran"`
-	ContentType string `long:"contentType" default:"application/json" description:"content type of the answer"`
-	Body        string `long:"body" description:"answer that callers get if the order ran"`
+	Attempt     string `long:"attempt" required:"true" description:"attempt id printed by 'orders'"`
+	Outcome     string `long:"outcome" required:"true" choice:"ran" choice:"notRun" description:"outcome that the service reports"`
+	Status      int    `long:"status" default:"200" description:"HTTP status returned to callers if the order ran"`
+	ContentType string `long:"contentType" default:"application/json" description:"content type of the response"`
+	Body        string `long:"body" description:"response body returned to callers if the order ran"`
 	Note        string `long:"note" description:"text for the audit trail"`
 	Operator    string `long:"operator" env:"USER" description:"name in the audit trail"`
 }
 
-// Execute settles an order.
+// Execute records whether an order with an unknown outcome ran.
 func (c *settleCommand) Execute([]string) error {
 	s := operator.Settlement{
 		Account:  fleet.AccountID(c.Account),
--- a/internal/entry/operator/operator.go
+++ b/internal/entry/operator/operator.go
@@ -1,12 +1,12 @@
-// Package operator is the HTTP API for operators.
+// Package operator implements the HTTP API for operators.
 //
-// Each team has a token and sees only its own section, history and decision
-// records. The paths are
+// Each team has a token, which gives access only to the team's own section,
+// history and decision records. The paths are
 //
 //	GET  /v1/section          the accepted section of the team
 //	POST /v1/submissions      submits a section
 //	GET  /v1/history?limit=N  the audit trail of the team
-//	GET  /v1/status           instances, revisions in force and voters
+//	GET  /v1/status           instances, active revisions and voters
 //	GET  /v1/explain/ID       the decisions on a request
 //	GET  /v1/orders?account=A orders of an account whose outcome is unknown
 //	POST /v1/settlements      settles such an order
@@ -37,65 +37,68 @@
 
 // Documents gives access to the configuration document.
 type Documents interface {
-	// Submit returns the outcome of s. The verdict is document.Unknown when the
-	// outcome could not be learned in time.
+	// Submit submits s and returns the outcome. The verdict is document.Unknown
+	// if the outcome could not be determined in time.
 	Submit(ctx context.Context, s document.Submission) (document.Outcome, error)
 	// Document returns the accepted document.
 	Document(ctx context.Context) (document.Document, error)
-	// History returns the newest audit entries of a team, the newest first.
+	// History returns up to limit of the newest audit entries of a team, newest
+	// first.
 	History(ctx context.Context, team fleet.TeamID, limit int) ([]document.Audit, error)
 }
 
-// Finder finds decision records, also those of other instances.
+// Finder finds decision records, including those of other instances.
 type Finder interface {
 	Find(ctx context.Context, id string) (report.Record, bool)
 }
 
-// Parts are the parts of the daemon that the API uses. All are needed.
+// Parts are the components of the daemon that the API uses. All are required.
 type Parts struct {
 	Documents Documents
 	Finder    Finder
 	Orders    Orders
-	// Owner returns the team of a client account.
+	// Owner returns the team of a client account, and false if the account is
+	// unknown.
 	Owner func(fleet.AccountID) (fleet.TeamID, bool)
-	// Status returns the state of the fleet as this instance sees it.
+	// Status returns the state of the fleet as known to this instance.
 	Status func() Status
-	// Tokens maps the SHA-256 of a token in hexadecimal to its team.
+	// Tokens maps the hexadecimal SHA-256 digest of a token to its team.
 	Tokens map[string]fleet.TeamID
 	Clock  fleet.Clock
 	Log    *zap.Logger
 }
 
-// API answers operators. It is safe for concurrent use.
+// API serves the requests of operators. It is safe for concurrent use.
 type API struct {
-	parts   Parts
+	deps    Parts
 	limits  entry.Limits
 	timeout time.Duration
 }
 
-// Option changes an API at its construction.
+// Option configures an API.
 type Option func(*API)
 
-// WithLimits bounds what the API reads.
+// WithLimits sets the limits on the input that the API reads.
 func WithLimits(l entry.Limits) Option {
 	return func(a *API) { a.limits = l.WithDefaults() }
 }
 
-// WithTimeout sets the time after which the outcome of a submission is unknown.
+// WithTimeout sets the timeout of a request, after which the outcome of a
+// submission is unknown.
 func WithTimeout(d time.Duration) Option {
 	return func(a *API) { a.timeout = d }
 }
 
-// New returns an API over parts.
-func New(parts Parts, options ...Option) *API {
-	a := &API{parts: parts, limits: entry.Limits{}.WithDefaults(), timeout: 10 * time.Second}
+// New returns an API that uses deps.
+func New(deps Parts, options ...Option) *API {
+	a := &API{deps: deps, limits: entry.Limits{}.WithDefaults(), timeout: 10 * time.Second}
 	for _, option := range options {
 		option(a)
 	}
 	return a
 }
 
-// Handler returns the handler of all paths.
+// Handler returns the HTTP handler for all paths of the API.
 func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/v1/section", a.serve(a.section))
@@ -124,25 +127,25 @@
 		if err == nil {
 			return
 		}
-		answer := refusal.KindOf(err).Answer()
-		a.parts.Log.Info("Operator call refused.", zap.String("team", string(team)),
-			zap.String("path", r.URL.Path), zap.String("code", answer.Code))
-		writeJSON(w, answer.Status, Failure{Error: FailureDetail{Code: answer.Code, Message: message(err)}})
+		response := refusal.KindOf(err).Answer()
+		a.deps.Log.Info("Operator call refused.", zap.String("team", string(team)),
+			zap.String("path", r.URL.Path), zap.String("code", response.Code))
+		writeJSON(w, response.Status, ErrorResponse{Error: ErrorDetail{Code: response.Code, Message: publicMessage(err)}})
 	}
 }
 
-// Failure is the body of an answer to an error.
-type Failure struct {
-	Error FailureDetail `json:"error"`
+// ErrorResponse is the body of an error response.
+type ErrorResponse struct {
+	Error ErrorDetail `json:"error"`
 }
 
-// FailureDetail holds the code of an error kind and a text for people.
-type FailureDetail struct {
+// ErrorDetail holds the code of an error kind and a human-readable message.
+type ErrorDetail struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-func message(err error) string {
+func publicMessage(err error) string {
 	var e *refusal.Error
 	if errors.As(err, &e) && e.Kind != refusal.Internal {
 		return e.Message
@@ -150,15 +153,15 @@
 	return "internal error"
 }
 
-// authenticate finds the team of the token. The lookup by digest takes the same
-// time for all wrong tokens.
+// authenticate returns the team of the token. Tokens are looked up by digest, so
+// that the time of a failed lookup does not depend on the token.
 func (a *API) authenticate(r *http.Request) (fleet.TeamID, error) {
 	token, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || token == "" {
 		return "", refusal.New(refusal.Unauthenticated, "the header Authorization: Bearer TOKEN is missing")
 	}
 	digest := sha256.Sum256([]byte(token))
-	team, known := a.parts.Tokens[hex.EncodeToString(digest[:])]
+	team, known := a.deps.Tokens[hex.EncodeToString(digest[:])]
 	if !known {
 		return "", refusal.New(refusal.Unauthenticated, "the token is not known")
 	}
@@ -166,21 +169,22 @@
 }
 
 func (a *API) section(w http.ResponseWriter, r *http.Request, team fleet.TeamID) error {
-	d, err := a.parts.Documents.Document(r.Context())
+	d, err := a.deps.Documents.Document(r.Context())
 	if err != nil {
 		return err
 	}
-	found := document.Section{Team: team}
+	result := document.Section{Team: team}
 	for _, s := range d.Sections {
 		if s.Team == team {
-			found = s
+			result = s
 		}
 	}
-	writeJSON(w, http.StatusOK, found)
+	writeJSON(w, http.StatusOK, result)
 	return nil
 }
 
-// submission is the body of POST /v1/submissions.
+// submission is the body of POST /v1/submissions. The name of the type is part of
+// decoding errors that are sent to operators.
 type submission struct {
 	Change   fleet.ChangeID `json:"change"`
 	Team     fleet.TeamID   `json:"team"`
@@ -190,8 +194,8 @@
 }
 
 const (
-	maxChangeID = 128 // bytes
-	maxOperator = 128 // bytes
+	maxChangeIDBytes = 128
+	maxOperatorBytes = 128
 )
 
 func (a *API) submit(w http.ResponseWriter, r *http.Request, team fleet.TeamID) error {
@@ -202,18 +206,18 @@
 	if s.Team != team {
 		return refusal.New(refusal.Forbidden, "the token does not belong to team %q", s.Team)
 	}
-	outcome, err := a.parts.Documents.Submit(r.Context(), document.Submission{
+	outcome, err := a.deps.Documents.Submit(r.Context(), document.Submission{
 		Change:   s.Change,
 		Team:     s.Team,
 		Operator: s.Operator,
 		Base:     s.Base,
 		Text:     s.Text,
-		At:       a.parts.Clock.Now().UTC(),
+		At:       a.deps.Clock.Now().UTC(),
 	})
 	if err != nil {
 		return err
 	}
-	a.parts.Log.Info("Submission answered.", zap.String("team", string(team)), zap.String("change", string(s.Change)),
+	a.deps.Log.Info("Submission answered.", zap.String("team", string(team)), zap.String("change", string(s.Change)),
 		zap.Stringer("verdict", outcome.Verdict), zap.Uint64("revision", uint64(outcome.Revision)))
 	writeJSON(w, verdictStatus(outcome.Verdict), outcome)
 	return nil
@@ -229,12 +233,12 @@
 		return s, refusal.Because(refusal.BadRequest, err, "the body is not a valid JSON object: %v", err)
 	}
 	switch {
-	case s.Change == "" || len(s.Change) > maxChangeID:
-		return s, refusal.New(refusal.BadRequest, "change: 1 to %d bytes are needed", maxChangeID)
+	case s.Change == "" || len(s.Change) > maxChangeIDBytes:
+		return s, refusal.New(refusal.BadRequest, "change: 1 to %d bytes are needed", maxChangeIDBytes)
 	case s.Team == "":
 		return s, refusal.New(refusal.BadRequest, "team: the name of the team is needed")
-	case len(s.Operator) > maxOperator:
-		return s, refusal.New(refusal.BadRequest, "operator: at most %d bytes are allowed", maxOperator)
+	case len(s.Operator) > maxOperatorBytes:
+		return s, refusal.New(refusal.BadRequest, "operator: at most %d bytes are allowed", maxOperatorBytes)
 	}
 	return s, nil
 }
@@ -267,20 +271,20 @@
 }
 
 const (
-	defaultHistory = 20
-	maxHistory     = 1000
+	defaultHistoryLimit = 20
+	maxHistoryLimit     = 1000
 )
 
 func (a *API) history(w http.ResponseWriter, r *http.Request, team fleet.TeamID) error {
-	limit := defaultHistory
+	limit := defaultHistoryLimit
 	if text := r.URL.Query().Get("limit"); text != "" {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 1 || n > maxHistory {
-			return refusal.New(refusal.BadRequest, "limit: %q is not a number from 1 to %d", text, maxHistory)
+		if err != nil || n < 1 || n > maxHistoryLimit {
+			return refusal.New(refusal.BadRequest, "limit: %q is not a number from 1 to %d", text, maxHistoryLimit)
 		}
 		limit = n
 	}
-	entries, err := a.parts.Documents.History(r.Context(), team, limit)
+	entries, err := a.deps.Documents.History(r.Context(), team, limit)
 	if err != nil {
 		return err
 	}
@@ -292,15 +296,15 @@
 }
 
 func (a *API) status(w http.ResponseWriter, _ *http.Request, _ fleet.TeamID) error {
-	writeJSON(w, http.StatusOK, a.parts.Status())
+	writeJSON(w, http.StatusOK, a.deps.Status())
 	return nil
 }
 
-// explain returns a record of the team. A record of another team is reported
-// like one that does not exist.
+// explain responds with a decision record of the team. For a record of another team
+// it returns the same error as for a record that does not exist.
 func (a *API) explain(w http.ResponseWriter, r *http.Request, team fleet.TeamID) error {
 	id := chi.URLParam(r, "id")
-	record, found := a.parts.Finder.Find(r.Context(), id)
+	record, found := a.deps.Finder.Find(r.Context(), id)
 	if !found || record.Team != team {
 		return refusal.New(refusal.NotFound, "no record of %q is kept", id)
 	}
@@ -311,6 +315,7 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The operator went away if this fails, and nobody is left to tell.
+	// A failure means that the operator has disconnected, so there is nobody to
+	// report it to.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/entry/operator/operator_test.go
+++ b/internal/entry/operator/operator_test.go
@@ -25,10 +25,11 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// documents answers each submission with a verdict that its change id names.
-type documents struct{}
+// fakeDependencies implements the interfaces of the dependencies of the API. The
+// change id of a submission selects its verdict.
+type fakeDependencies struct{}
 
-func (documents) Submit(_ context.Context, s document.Submission) (document.Outcome, error) {
+func (fakeDependencies) Submit(_ context.Context, s document.Submission) (document.Outcome, error) {
 	switch s.Change {
 	case "conflict":
 		return document.Outcome{Change: s.Change, Verdict: document.Conflicted, Revision: 9}, nil
@@ -42,27 +43,27 @@
 	return document.Outcome{Change: s.Change, Verdict: document.Accepted, Revision: s.Base + 1}, nil
 }
 
-func (documents) Document(context.Context) (document.Document, error) {
+func (fakeDependencies) Document(context.Context) (document.Document, error) {
 	return document.Document{Revision: 3, Sections: []document.Section{
 		{Team: "alpha", Revision: 2, Text: "# alpha\n"},
 		{Team: "beta", Revision: 3, Text: "# secret of beta\n"},
 	}}, nil
 }
 
-func (documents) History(_ context.Context, team fleet.TeamID, limit int) ([]document.Audit, error) {
+func (fakeDependencies) History(_ context.Context, team fleet.TeamID, limit int) ([]document.Audit, error) {
 	return []document.Audit{{Team: team, Change: fleet.ChangeID(fmt.Sprint("limit ", limit))}}, nil
 }
 
-func (documents) Find(_ context.Context, id string) (report.Record, bool) {
+func (fakeDependencies) Find(_ context.Context, id string) (report.Record, bool) {
 	teams := map[string]fleet.TeamID{"own": "alpha", "foreign": "beta"}
 	return report.Record{ID: id, Team: teams[id], Entries: []report.Entry{}}, teams[id] != ""
 }
 
-func (documents) OpenClaims(context.Context, fleet.AccountID, int) ([]ledger.Open, error) {
+func (fakeDependencies) OpenClaims(context.Context, fleet.AccountID, int) ([]ledger.Open, error) {
 	return nil, nil
 }
 
-func (documents) Settle(_ context.Context, s ledger.Settlement, _ upstream.Answer) error {
+func (fakeDependencies) Settle(_ context.Context, s ledger.Settlement, _ upstream.Answer) error {
 	if s.Attempt != "attempt-1" {
 		return refusal.New(refusal.Conflict, "the attempt holds no open claim")
 	}
@@ -74,13 +75,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// TestRequests guards against a team that sees or changes what belongs to
-// another, and against an outcome that is told with the wrong status.
+// TestRequests guards against access to the data of another team, and against
+// outcomes that are reported with the wrong HTTP status.
 func TestRequests(t *testing.T) {
 	api := operator.New(operator.Parts{
-		Documents: documents{},
-		Finder:    documents{},
-		Orders:    documents{},
+		Documents: fakeDependencies{},
+		Finder:    fakeDependencies{},
+		Orders:    fakeDependencies{},
 		Owner: func(a fleet.AccountID) (fleet.TeamID, bool) {
 			teams := map[fleet.AccountID]fleet.TeamID{"parish": "alpha", "rival": "beta"}
 			return teams[a], teams[a] != ""
--- a/internal/entry/operator/orders.go
+++ b/internal/entry/operator/orders.go
@@ -14,10 +14,11 @@
 
 // Orders gives access to orders whose outcome is unknown.
 type Orders interface {
-	// OpenClaims returns the oldest claims of an account that have no answer.
+	// OpenClaims returns up to limit claims of an account that have no response,
+	// oldest first.
 	OpenClaims(ctx context.Context, a fleet.AccountID, limit int) ([]ledger.Open, error)
-	// Settle ends a claim by the statement of an operator.
-	Settle(ctx context.Context, s ledger.Settlement, answer upstream.Answer) error
+	// Settle closes a claim with the outcome that an operator states.
+	Settle(ctx context.Context, s ledger.Settlement, response upstream.Answer) error
 }
 
 // Settlement is the body of POST /v1/settlements.
@@ -27,8 +28,8 @@
 	Attempt  order.AttemptID `json:"attempt"`
 	Operator string          `json:"operator"`
 	Note     string          `json:"note"`
-	// Ran tells whether the order ran. If it did, Status, ContentType and Body
-	// are the answer that callers get from then on.
+	// Ran reports whether the order ran. If it did, Status, ContentType and Body
+	// form the response that callers get from then on.
 	Ran         bool   `json:"ran"`
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"contentType,omitempty"`
@@ -42,21 +43,21 @@
 	if err := a.checkAccount(team, account); err != nil {
 		return err
 	}
-	open, err := a.parts.Orders.OpenClaims(r.Context(), account, maxOpenClaims)
+	claims, err := a.deps.Orders.OpenClaims(r.Context(), account, maxOpenClaims)
 	if err != nil {
 		return err
 	}
-	if open == nil {
-		open = []ledger.Open{}
+	if claims == nil {
+		claims = []ledger.Open{}
 	}
-	writeJSON(w, http.StatusOK, open)
+	writeJSON(w, http.StatusOK, claims)
 	return nil
 }
 
-// checkAccount refuses an account that is not the team's, like one that does not
-// exist.
+// checkAccount returns an error if the account does not belong to the team. The
+// error is the same as for an account that does not exist.
 func (a *API) checkAccount(team fleet.TeamID, account fleet.AccountID) error {
-	if owner, known := a.parts.Owner(account); !known || owner != team {
+	if owner, known := a.deps.Owner(account); !known || owner != team {
 		return refusal.New(refusal.NotFound, "account %q does not exist", account)
 	}
 	return nil
@@ -77,13 +78,13 @@
 	if s.Ran && (s.Status < http.StatusOK || s.Status > 599) {
 		return refusal.New(refusal.BadRequest, "status: %d is not a final HTTP status", s.Status)
 	}
-	err = a.parts.Orders.Settle(r.Context(), ledger.Settlement{
+	err = a.deps.Orders.Settle(r.Context(), ledger.Settlement{
 		Key:      order.Key{Account: s.Account, Name: s.Key},
 		Attempt:  s.Attempt,
 		Operator: s.Operator,
 		Note:     s.Note,
 		Ran:      s.Ran,
-	}, s.answer())
+	}, s.response())
 	if err != nil {
 		return err
 	}
@@ -91,7 +92,7 @@
 	return nil
 }
 
-func (s Settlement) answer() upstream.Answer {
+func (s Settlement) response() upstream.Answer {
 	header := make(http.Header)
 	if s.ContentType != "" {
 		header.Set("Content-Type", s.ContentType)
--- a/internal/entry/operator/status.go
+++ b/internal/entry/operator/status.go
@@ -6,14 +6,14 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// Status is the state of the fleet as one instance sees it.
+// Status is the state of the fleet as known to one instance.
 type Status struct {
-	// Instance is the instance that answered.
+	// Instance is the instance that reports the status.
 	Instance fleet.InstanceID `json:"instance"`
-	// Revision is the configuration in force on it.
+	// Revision is the active configuration revision of that instance.
 	Revision fleet.Revision `json:"revision"`
-	// ConfirmedAgo is the time since a voter last confirmed that Revision is
-	// the newest. It grows while the instance is cut off.
+	// ConfirmedAgo is the time since a voter last confirmed that Revision is the
+	// newest. It grows while the instance is partitioned from the voters.
 	ConfirmedAgo Seconds          `json:"confirmedAgo"`
 	Instances    []InstanceStatus `json:"instances"`
 	Changes      []ChangeStatus   `json:"changes"`
@@ -21,33 +21,33 @@
 	Upstreams    []PoolStatus     `json:"upstreams"`
 }
 
-// Seconds is a duration that is written as a number of seconds.
+// Seconds is a duration that is encoded as a number of seconds.
 type Seconds float64
 
-// InSeconds converts d.
+// InSeconds converts d to seconds.
 func InSeconds(d time.Duration) Seconds { return Seconds(d.Seconds()) }
 
-// InstanceStatus is one instance of the fleet.
+// InstanceStatus is the state of one instance of the fleet.
 type InstanceStatus struct {
 	ID         fleet.InstanceID   `json:"id"`
 	DataCentre fleet.DataCentreID `json:"dataCentre"`
 	Status     string             `json:"status"`
 	Voter      bool               `json:"voter"`
 	Revision   fleet.Revision     `json:"revision"`
-	// Since is the time at which Revision came into force there.
+	// Since is the time at which Revision became active on the instance.
 	Since time.Time `json:"since"`
 }
 
-// ChangeStatus tells how far a revision has spread.
+// ChangeStatus is the propagation state of a configuration revision.
 type ChangeStatus struct {
 	Revision fleet.Revision `json:"revision"`
-	// InForce is the time at which all reachable instances had the revision.
-	// It is missing while some lag.
+	// InForce is the time at which the revision was active on all reachable
+	// instances. It is nil while some of them lag.
 	InForce *time.Time         `json:"inForce,omitempty"`
 	Lagging []fleet.InstanceID `json:"lagging,omitempty"`
 }
 
-// GroupStatus is the state of one replicated log on the answering instance.
+// GroupStatus is the state of one replicated log on the reporting instance.
 type GroupStatus struct {
 	Group   string        `json:"group"`
 	Leader  string        `json:"leader"`
@@ -55,23 +55,23 @@
 	Commit  uint64        `json:"commit"`
 	Applied uint64        `json:"applied"`
 	Voters  []VoterStatus `json:"voters"`
-	// Failure says why the replica does not run.
+	// Failure is the reason why the replica does not run, or empty.
 	Failure string `json:"failure,omitempty"`
 }
 
 // VoterStatus is one member of a replicated log.
 type VoterStatus struct {
-	// ID is new for every data folder.
+	// ID identifies the data folder of the member: a new folder has a new id.
 	ID       uint64 `json:"id"`
 	Instance string `json:"instance"`
-	// Learner tells that the member does not vote yet.
+	// Learner reports that the member does not vote yet.
 	Learner bool `json:"learner"`
-	// Behind is the number of entries that the member lacks. Only the leader
-	// knows it.
+	// Behind is the number of log entries that the member lacks. It is known only
+	// on the leader.
 	Behind uint64 `json:"behind"`
 }
 
-// PoolStatus counts the upstreams of a pool that may get new work.
+// PoolStatus holds the number of upstreams of a pool that may get new work.
 type PoolStatus struct {
 	Pool   fleet.PoolID `json:"pool"`
 	Usable int          `json:"usable"`
