--- a/cmd/bilberryrock/main.go
+++ b/cmd/bilberryrock/main.go
@@ -1,10 +1,11 @@
-// Command bilberryrock is the operators' command line. See package console.
+// Command bilberryrock is the command line of operators. See package console.
 package main
 
 import (
 	"os"
 
-	// Time zones of quiet-hours windows must not depend on the host.
+	// Embeds the time zone database, so that the time zones of quiet-hours windows
+	// do not depend on the host.
 	_ "time/tzdata"
 
 	"github.com/bilberryrock/bilberryrock/internal/entry/console"
--- a/cmd/bilberryrockd/logs_test.go
+++ b/cmd/bilberryrockd/logs_test.go
@@ -14,12 +14,12 @@
 	"github.com/matryer/is"
 )
 
-// stopLimit bounds the waits for a start or a stop.
-const stopLimit = time.Minute
+// startStopTimeout limits the wait for the daemon to start and to stop.
+const startStopTimeout = time.Minute
 
-// TestLogReaderIsGone guards against a daemon that ends because nobody has its
-// standard error open any more.
-func TestLogReaderIsGone(t *testing.T) {
+// TestClosedStandardError guards against a daemon that exits because the reader of
+// its standard error has closed the pipe, so that writes to it raise SIGPIPE.
+func TestClosedStandardError(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	binary := filepath.Join(folder, "bilberryrockd")
@@ -36,8 +36,8 @@
 		ports[i] = l.Addr().String()
 		is.NoErr(l.Close())
 	}
-	file := filepath.Join(folder, "a.ini")
-	is.NoErr(os.WriteFile(file, fmt.Appendf(nil, `[instance]
+	configFile := filepath.Join(folder, "a.ini")
+	is.NoErr(os.WriteFile(configFile, fmt.Appendf(nil, `[instance]
 id = a
 dataCentre = dc1
 [listeners]
@@ -55,35 +55,35 @@
 	r, w, err := os.Pipe()
 	is.NoErr(err)
 	is.NoErr(r.Close())
-	c := exec.Command(binary, "--config", file)
-	c.Dir, c.Stderr = folder, w
-	is.NoErr(c.Start())
-	defer func() { _ = c.Process.Kill() }()
+	daemon := exec.Command(binary, "--config", configFile)
+	daemon.Dir, daemon.Stderr = folder, w
+	is.NoErr(daemon.Start())
+	defer func() { _ = daemon.Process.Kill() }()
 	is.NoErr(w.Close())
-	ended := make(chan error, 1)
-	go func() { ended <- c.Wait() }()
-	await := time.After(stopLimit)
+	exited := make(chan error, 1)
+	go func() { exited <- daemon.Wait() }()
+	startTimeout := time.After(startStopTimeout)
 	for {
-		if p, err := http.Get(fmt.Sprintf("http://%s/live", ports[5])); err == nil {
-			is.NoErr(p.Body.Close())
+		if response, err := http.Get(fmt.Sprintf("http://%s/live", ports[5])); err == nil {
+			is.NoErr(response.Body.Close())
 			break
 		}
 		select {
-		case err := <-ended:
-			t.Fatalf("the daemon ended: %v", err)
-		case <-await:
-			t.Fatalf("the daemon did not start within %s", stopLimit)
+		case err := <-exited:
+			t.Fatalf("the daemon exited: %v", err)
+		case <-startTimeout:
+			t.Fatalf("the daemon did not start within %s", startStopTimeout)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 	for range 3 {
-		is.NoErr(c.Process.Signal(syscall.SIGHUP))
+		is.NoErr(daemon.Process.Signal(syscall.SIGHUP))
 	}
-	is.NoErr(c.Process.Signal(syscall.SIGTERM))
+	is.NoErr(daemon.Process.Signal(syscall.SIGTERM))
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		is.NoErr(err)
-	case <-time.After(stopLimit):
-		t.Fatalf("the daemon did not stop within %s", stopLimit)
+	case <-time.After(startStopTimeout):
+		t.Fatalf("the daemon did not stop within %s", startStopTimeout)
 	}
 }
--- a/cmd/bilberryrockd/main.go
+++ b/cmd/bilberryrockd/main.go
@@ -1,11 +1,12 @@
-// Command bilberryrockd is the daemon of an entry instance.
+// Command bilberryrockd runs the daemon of an entry instance.
 //
 //	bilberryrockd --config a.ini
 //
-// It runs until SIGTERM or SIGINT and then stops gracefully: it takes no new
-// work and ends once all requests in progress are answered. At SIGHUP it checks the
-// settings file and logs whether a restart is needed. Its exit status is 0
-// after a graceful stop, 2 if the settings are wrong and 1 for any other error.
+// It runs until SIGTERM or SIGINT and then shuts down gracefully: it accepts no new
+// work and exits once all requests in progress have completed. On SIGHUP it checks
+// the settings file and logs whether a restart is needed. The exit status is 0
+// after a graceful shutdown, 2 if the settings are invalid and 1 for any other
+// error.
 package main
 
 import (
@@ -18,7 +19,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	// Time zones of quiet-hours windows must not depend on the host.
+	// Embeds the time zone database, so that the time zones of quiet-hours windows
+	// do not depend on the host.
 	_ "time/tzdata"
 
 	"github.com/bilberryrock/bilberryrock/internal/entry/daemon"
@@ -29,14 +31,14 @@
 )
 
 const (
-	exitFailed   = 1
-	exitSettings = 2
+	exitFailed          = 1
+	exitInvalidSettings = 2
 )
 
 type options struct {
 	Config string `long:"config" description:"settings file"`
-	Check  bool   `long:"check" description:"check the settings and end"`
-	Keys   bool   `long:"keys" description:"print a table of all settings and end"`
+	Check  bool   `long:"check" description:"check the settings and exit"`
+	Keys   bool   `long:"keys" description:"print a table of all settings and exit"`
 }
 
 func main() {
@@ -50,7 +52,7 @@
 		if errors.As(err, &usage) && usage.Type == flags.ErrHelp {
 			return 0
 		}
-		return exitSettings
+		return exitInvalidSettings
 	}
 	if o.Keys {
 		printKeys()
@@ -58,12 +60,12 @@
 	}
 	if o.Config == "" {
 		fmt.Fprintln(os.Stderr, "bilberryrockd: --config is needed")
-		return exitSettings
+		return exitInvalidSettings
 	}
 	s, err := settings.Load(o.Config)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "bilberryrockd:", err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	if o.Check {
 		fmt.Printf("%s: no fault found\n", o.Config)
@@ -71,7 +73,7 @@
 	}
 	out := output.New(os.Stderr, systemclock.Clock{})
 	defer out.Close()
-	log, err := newLog(s.Log, out)
+	log, err := newLogger(s.Log, out)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "bilberryrockd:", err)
 		return exitFailed
@@ -92,48 +94,48 @@
 		return exitFailed
 	}
 	log = log.Named("daemon")
-	life := lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.Reload(0, func() { compare(file, s, log) }))
-	var failed error
+	manager := lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.Reload(0, func() { checkReload(file, s, log) }))
+	var listenerErr error
 	select {
-	case <-life.Stopping():
-	case failed = <-d.Failed():
-		log.Error("A listener failed.", zap.Error(failed))
+	case <-manager.Stopping():
+	case listenerErr = <-d.Failed():
+		log.Error("A listener failed.", zap.Error(listenerErr))
 	}
 	if err := d.Stop(); err != nil {
-		log.Error("The stop was not graceful.", zap.Error(err))
+		log.Error("Graceful shutdown failed.", zap.Error(err))
 		return exitFailed
 	}
-	if failed != nil {
+	if listenerErr != nil {
 		return exitFailed
 	}
 	return 0
 }
 
-// compare tells whether the settings file differs from the settings in force, which
-// are those of the start.
-func compare(file string, s settings.Settings, log *zap.Logger) {
-	n, err := settings.Load(file)
+// checkReload logs whether the settings file is valid and differs from the active
+// settings, which are those read at the start.
+func checkReload(file string, s settings.Settings, log *zap.Logger) {
+	reloaded, err := settings.Load(file)
 	switch {
 	case err != nil:
-		log.Warn("The settings file has a fault.", zap.Error(err))
-	case reflect.DeepEqual(n, s):
+		log.Warn("The settings file is invalid.", zap.Error(err))
+	case reflect.DeepEqual(reloaded, s):
 		log.Info("The settings have not changed.")
 	default:
 		log.Warn("The settings have changed; they take effect at the next start.")
 	}
 }
 
-// newLog returns a logger to out in the format of the settings.
-func newLog(l settings.Log, out *output.Writer) (*zap.Logger, error) {
+// newLogger returns a logger that writes to out with the level and format of l.
+func newLogger(l settings.Log, out *output.Writer) (*zap.Logger, error) {
 	level, err := zapcore.ParseLevel(l.Level)
 	if err != nil {
 		return nil, errors.Wrap(err, "log level")
 	}
-	config, encoder, trace := zap.NewProductionEncoderConfig(), zapcore.NewJSONEncoder, zapcore.ErrorLevel
+	config, encoder, stackLevel := zap.NewProductionEncoderConfig(), zapcore.NewJSONEncoder, zapcore.ErrorLevel
 	if l.Format == "console" {
-		config, encoder, trace = zap.NewDevelopmentEncoderConfig(), zapcore.NewConsoleEncoder, zapcore.WarnLevel
+		config, encoder, stackLevel = zap.NewDevelopmentEncoderConfig(), zapcore.NewConsoleEncoder, zapcore.WarnLevel
 	}
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	// Without sampling, which would drop lines that an operator looks for.
-	return zap.New(output.Brief(zapcore.NewCore(encoder(config), out, level)), zap.AddCaller(), zap.AddStacktrace(trace)), nil
+	// Sampling is not used, because it would drop lines that an operator may need.
+	return zap.New(output.Brief(zapcore.NewCore(encoder(config), out, level)), zap.AddCaller(), zap.AddStacktrace(stackLevel)), nil
 }
