--- a/internal/entry/platform/platform.go
+++ b/internal/entry/platform/platform.go
@@ -1,9 +1,9 @@
-// Package platform serves what the platform asks a daemon: /live, /ready and
-// /metrics.
+// Package platform serves the endpoints that the hosting platform uses: /live, /ready
+// and /metrics.
 //
-// The daemon is ready once it has a configuration in force and its listeners are
-// open. It turns not ready at the start of a graceful stop, so that the balancer
-// sends new requests elsewhere.
+// The daemon is ready once it has an active configuration and its listeners are open.
+// It becomes not ready at the start of a graceful stop, so that the load balancer sends
+// new requests to other instances.
 package platform
 
 import (
@@ -27,7 +27,7 @@
 	h.state.Store(&ready)
 }
 
-// SetNotReady makes the daemon not ready, with a reason for people.
+// SetNotReady makes the daemon not ready. The reason is a text for operators.
 func (h *Health) SetNotReady(reason string) { h.state.Store(&reason) }
 
 // Reason returns why the daemon is not ready, or "" if it is.
@@ -38,8 +38,8 @@
 	return "starting"
 }
 
-// Handler returns the handler of all paths. With a handler for faults it also
-// serves POST /faults, which is for tests only.
+// Handler returns the handler of all paths. If faults is not nil, it also serves
+// POST /faults, which is for tests only.
 func Handler(h *Health, metrics prometheus.Gatherer, faults http.Handler) http.Handler {
 	r := chi.NewRouter()
 	r.Get("/live", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/entry/timed/timed.go
+++ b/internal/entry/timed/timed.go
@@ -1,4 +1,4 @@
-// Package timed bounds the time in which a listener reads a request:
+// Package timed limits the time that a server spends on reading a request body:
 //
 //	server := &http.Server{Handler: timed.Body(handler, limit), ReadHeaderTimeout: limit}
 package timed
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// Body returns a handler that bounds the time of a request's body. Before
-// net/http sends an answer it reads the rest of a small body, so the deadline
-// also holds for a handler that does not read the body, or failed to.
+// Body returns a handler that limits the time for reading a request's body. Before
+// net/http sends a response it reads the rest of a small body, so the deadline also
+// applies to a handler that does not read the body or failed to read it.
 //
-// The deadline is removed at the end of the body: net/http cancels the request's
-// context when it passes while the answer is still being prepared, which is why
-// ReadTimeout of http.Server is of no use.
+// The deadline is removed at the end of the body: if it passed while the response is
+// still being prepared, net/http would cancel the request's context. For this reason
+// ReadTimeout of http.Server can't be used.
 func Body(h http.Handler, timeout time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Body != http.NoBody {
-			control := http.NewResponseController(w)
-			_ = control.SetReadDeadline(time.Now().Add(timeout))
-			r.Body = &body{ReadCloser: r.Body, control: control}
+			controller := http.NewResponseController(w)
+			_ = controller.SetReadDeadline(time.Now().Add(timeout))
+			r.Body = &body{ReadCloser: r.Body, controller: controller}
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// body removes the read deadline at its end.
+// body is a request body that removes the read deadline at EOF.
 type body struct {
 	io.ReadCloser
-	control *http.ResponseController
+	controller *http.ResponseController
 }
 
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		_ = b.control.SetReadDeadline(time.Time{})
+		_ = b.controller.SetReadDeadline(time.Time{})
 	}
 	return n, err
 }
--- a/internal/entry/timed/timed_test.go
+++ b/internal/entry/timed/timed_test.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// limit is the time for a body. A much shorter one could end a healthy read on a
-	// busy machine.
-	limit = time.Second
-	// hung bounds what would otherwise hang a test.
-	hung = 30 * time.Second
+	// bodyTimeout is the timeout for bodies. With a much shorter one, a healthy read could
+	// time out on a busy machine.
+	bodyTimeout = time.Second
+	// testTimeout limits waits that would otherwise hang a test.
+	testTimeout = 30 * time.Second
 )
 
-// handle reads a body unless it should not, and then works until after the limit.
+// handle reads the body, unless the path is /unread, and then works for longer than
+// bodyTimeout.
 func handle(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/unread" {
 		return
@@ -34,15 +35,15 @@
 	select {
 	case <-r.Context().Done():
 		w.WriteHeader(http.StatusInternalServerError)
-	case <-time.After(2 * limit):
+	case <-time.After(2 * bodyTimeout):
 	}
 }
 
-// Guards against a body that does not come and holds its connection without end,
-// whether the handler reads it or not, and against a deadline that ends a request
-// whose body has come.
+// TestBody guards against an incomplete body that occupies its connection indefinitely,
+// whether the handler reads it or not, and against a deadline that aborts a request
+// whose body is complete.
 func TestBody(t *testing.T) {
-	s := httptest.NewServer(timed.Body(http.HandlerFunc(handle), limit))
+	s := httptest.NewServer(timed.Body(http.HandlerFunc(handle), bodyTimeout))
 	t.Cleanup(s.Close)
 	for _, c := range []struct {
 		name, path, text string
@@ -57,15 +58,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			k, err := net.Dial("tcp", s.Listener.Addr().String())
+			conn, err := net.Dial("tcp", s.Listener.Addr().String())
 			is.NoErr(err)
-			defer func() { _ = k.Close() }()
-			is.NoErr(k.SetDeadline(time.Now().Add(hung)))
-			_, err = io.WriteString(k, "POST "+c.path+" HTTP/1.1\r\nHost: h\r\n"+c.text)
+			defer func() { _ = conn.Close() }()
+			is.NoErr(conn.SetDeadline(time.Now().Add(testTimeout)))
+			_, err = io.WriteString(conn, "POST "+c.path+" HTTP/1.1\r\nHost: h\r\n"+c.text)
 			is.NoErr(err)
-			p, err := http.ReadResponse(bufio.NewReader(k), nil)
+			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			is.NoErr(err)
-			is.Equal(p.StatusCode, c.status)
+			is.Equal(response.StatusCode, c.status)
 		})
 	}
 }
