--- a/internal/entry/lifecycle/lifecycle.go
+++ b/internal/entry/lifecycle/lifecycle.go
@@ -1,15 +1,14 @@
-// Package lifecycle tells a daemon when to stop and when to read its settings
-// again.
+// Package lifecycle tells a daemon when to stop and when to reload its settings.
 //
-//	signals := lifecycle.Catch() // first of all, so that no signal ends the process
+//	signals := lifecycle.Catch() // first, so that no signal terminates the process
 //	...
-//	life := lifecycle.New(signals, clock, log, lifecycle.Reload(every, read))
-//	<-life.Stopping()
+//	m := lifecycle.New(signals, clock, log, lifecycle.WithReload(interval, read))
+//	<-m.Stopping()
 //	drain()
 //
-// Signals come in any number and order, and a process that drains gets them like
-// any other. They stay caught until the process ends, because a signal that nobody
-// catches ends the process and cuts off what is in progress.
+// Signals may arrive in any number and order, also while the process drains. They
+// remain caught until the process exits, because an uncaught signal terminates the
+// process and aborts the requests in progress.
 package lifecycle
 
 import (
@@ -23,15 +22,15 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// Signals are the signals of the process.
+// Signals receives the signals of the process.
 type Signals struct {
-	// Each channel holds one signal, so that a series of one kind displaces none of
-	// the other. Signals that come together count as one.
+	// Each channel buffers one signal, so that a series of one kind displaces none of
+	// the other. Signals of one kind that arrive together count as one.
 	stop, reload chan os.Signal
 }
 
-// Catch catches SIGTERM, SIGINT and SIGHUP for good, and ignores SIGPIPE, which a
-// write to a standard output without a reader raises.
+// Catch catches SIGTERM, SIGINT and SIGHUP until the process exits, and ignores SIGPIPE,
+// which is raised by a write to a standard output without a reader.
 func Catch() Signals {
 	signal.Ignore(syscall.SIGPIPE)
 	s := Signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
@@ -40,74 +39,75 @@
 	return s
 }
 
-// Life is the life of a daemon from its start to its end.
+// Manager handles the signals of a daemon and reloads its settings.
 type Life struct {
 	clock    fleet.Clock
 	logger   *zap.Logger
-	every    time.Duration
+	interval time.Duration
 	reload   func()
 	stopping chan struct{}
 }
 
-// Option changes a Life.
+// Option configures a Manager.
 type Option func(*Life)
 
-// Reload calls read at SIGHUP and, if every is more than 0, that long after the call
-// before. Calls never overlap, and go on while the daemon drains.
-func Reload(every time.Duration, read func()) Option {
-	return func(l *Life) { l.every, l.reload = every, read }
+// WithReload calls read on SIGHUP and, if interval is positive, when interval has passed
+// since the last call. Calls never overlap, and continue while the daemon drains.
+func Reload(interval time.Duration, read func()) Option {
+	return func(m *Life) { m.interval, m.reload = interval, read }
 }
 
-// New returns a Life that lasts until the process ends.
+// New returns a Manager that handles signals until the process exits.
 func New(s Signals, c fleet.Clock, l *zap.Logger, options ...Option) *Life {
-	f := &Life{clock: c, logger: l, reload: func() {}, stopping: make(chan struct{})}
+	m := &Life{clock: c, logger: l, reload: func() {}, stopping: make(chan struct{})}
 	for _, o := range options {
-		o(f)
+		o(m)
 	}
 	go func() {
-		for g := range s.stop {
-			f.stop(g)
+		for sig := range s.stop {
+			m.stop(sig)
 		}
 	}()
-	// Reading the settings may take long or hang, and must not keep the daemon from
+	// Reading the settings may take long or hang, and must not prevent the daemon from
 	// stopping.
 	go func() {
 		for {
-			f.next(s)
+			m.awaitReload(s)
 		}
 	}()
-	return f
+	return m
 }
 
 // Stopping returns a channel that is closed at the first request to stop.
-func (f *Life) Stopping() <-chan struct{} { return f.stopping }
+func (m *Life) Stopping() <-chan struct{} { return m.stopping }
 
-// next waits for one reload.
-func (f *Life) next(s Signals) {
+// awaitReload waits until a reload is due and performs it.
+func (m *Life) awaitReload(s Signals) {
 	var tick <-chan time.Time
-	if f.every > 0 {
-		tick = f.clock.After(f.every)
+	if m.interval > 0 {
+		tick = m.clock.After(m.interval)
 	}
 	select {
-	case g := <-s.reload:
-		f.note("The daemon was asked to reload.", g)
+	case sig := <-s.reload:
+		m.logSignal("The daemon was asked to reload.", sig)
 	case <-tick:
 	}
-	f.reload()
+	m.reload()
 }
 
-func (f *Life) stop(g os.Signal) {
+func (m *Life) stop(sig os.Signal) {
 	select {
-	case <-f.stopping:
-		f.note("The daemon is stopping already.", g)
+	case <-m.stopping:
+		m.logSignal("The daemon is stopping already.", sig)
 	default:
-		close(f.stopping)
-		f.note("The daemon was asked to stop.", g)
+		close(m.stopping)
+		m.logSignal("The daemon was asked to stop.", sig)
 	}
 }
 
-// note writes a line at once, since it may be one of the last.
-func (f *Life) note(message string, g os.Signal) {
-	f.logger.Info(message, zap.Stringer("signal", g))
-	_ = f.logger.Sync() // which only wakes the output
+// logSignal logs a signal and wakes the log output at once, because the line may be one
+// of the last of the process.
+func (m *Life) logSignal(message string, sig os.Signal) {
+	m.logger.Info(message, zap.Stringer("signal", sig))
+	_ = m.logger.Sync() // Sync only wakes the output
 }
