--- a/internal/entry/daemon/listener.go
+++ b/internal/entry/daemon/listener.go
@@ -13,29 +13,29 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// startServer opens a listener and serves h until it is stopped. A failure is sent to
-// failed. With a certificate and key it serves TLS.
+// startServer opens a listener and serves h until the server is stopped. If the listener
+// fails, the error is sent to failed. With a certificate and key it serves TLS.
 //
-// ReadTimeout and WriteTimeout of http.Server stay zero: they would cut off
-// answers that take longer. Each body and write has a deadline instead.
+// ReadTimeout and WriteTimeout of http.Server stay zero, because they would abort
+// responses that take longer. Each request body and each write has a deadline instead.
 func startServer(name, address string, h http.Handler, l entry.Limits, certificate, key string, c fleet.Clock, log *zap.Logger, failed chan<- error) (*listener.Server, error) {
-	t, err := listener.Listen(name, address)
+	tcpListener, err := listener.Listen(name, address)
 	if err != nil {
 		return nil, err
 	}
 	l = l.WithDefaults()
-	v := &http.Server{
+	server := &http.Server{
 		Handler:           timed.Body(h, l.ReadTimeout),
 		ReadHeaderTimeout: l.ReadTimeout,
 		IdleTimeout:       l.IdleTimeout,
 		MaxHeaderBytes:    l.MaxHeader,
 		ErrorLog:          zap.NewStdLog(log),
 	}
-	return listener.New(name, t, v, c, log,
-		listener.Wrap(func(n net.Listener) net.Listener {
+	return listener.New(name, tcpListener, server, c, log,
+		listener.WithWrapper(func(n net.Listener) net.Listener {
 			return timedListener{Listener: netutil.LimitListener(n, l.MaxConnections), timeout: l.WriteTimeout}
 		}),
-		listener.TLS(certificate, key),
+		listener.WithTLS(certificate, key),
 		listener.Failed(func(err error) { failed <- err }),
 	), nil
 }
--- a/internal/entry/listener/conn.go
+++ b/internal/entry/listener/conn.go
@@ -11,51 +11,53 @@
 	"github.com/pkg/errors"
 )
 
-// queue is a TCP listener that accepts what is in its queue before it closes.
-type queue struct {
+// backlogListener is a TCP listener that accepts the connections in its accept queue
+// before it closes.
+type backlogListener struct {
 	*net.TCPListener
-	finishing atomic.Bool
-	last      atomic.Int64 // end of the accepting, in Unix nanoseconds
+	draining    atomic.Bool
+	acceptUntil atomic.Int64 // when accepting ends at the latest, in Unix nanoseconds
 }
 
-// finish makes Accept return net.ErrClosed once the queue is empty.
-func (q *queue) finish() {
-	q.last.Store(time.Now().Add(acceptTime).UnixNano())
-	q.finishing.Store(true)
-	_ = q.SetDeadline(time.Now()) // fails on a closed listener, which is what is wanted
+// startDrain makes Accept return net.ErrClosed once the accept queue is empty, or after
+// acceptDrainTimeout.
+func (q *backlogListener) startDrain() {
+	q.acceptUntil.Store(time.Now().Add(acceptDrainTimeout).UnixNano())
+	q.draining.Store(true)
+	_ = q.SetDeadline(time.Now()) // fails only on a closed listener, on which Accept returns anyway
 }
 
 // Accept implements net.Listener.
-func (q *queue) Accept() (net.Conn, error) {
+func (q *backlogListener) Accept() (net.Conn, error) {
 	for {
-		finishing := q.finishing.Load()
-		if finishing {
-			if time.Now().UnixNano() > q.last.Load() {
+		draining := q.draining.Load()
+		if draining {
+			if time.Now().UnixNano() > q.acceptUntil.Load() {
 				return nil, net.ErrClosed
 			}
-			if err := q.SetDeadline(time.Now().Add(acceptPause)); err != nil {
+			if err := q.SetDeadline(time.Now().Add(acceptIdleTimeout)); err != nil {
 				return nil, err
 			}
 		}
 		c, err := q.TCPListener.Accept()
-		var timeout net.Error
-		if err == nil || !errors.As(err, &timeout) || !timeout.Timeout() {
+		var netErr net.Error
+		if err == nil || !errors.As(err, &netErr) || !netErr.Timeout() {
 			return c, err
 		}
-		if finishing {
+		if draining {
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// tracker keeps the open connections of a server.
-type tracker struct {
+// trackingListener adds the connections that it accepts to those of a server.
+type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
 // Accept implements net.Listener.
-func (t *tracker) Accept() (net.Conn, error) {
+func (t *trackingListener) Accept() (net.Conn, error) {
 	n, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -67,25 +69,28 @@
 	return c, nil
 }
 
-// conn is a connection that knows whether a request is in progress on it.
+// conn is a connection that tracks whether a request is in progress on it.
 type conn struct {
 	net.Conn
 	server *Server
 
 	mu     sync.Mutex
-	active bool // a request has been read and its answer is not complete
-	// received tells that bytes came since the last answer.
-	received bool
-	// ended tells that nothing is read any more.
-	ended bool
-	// resting tells that no part of the next head is awaited yet, and limited that the
-	// deadline in force is that of a limit.
-	resting, limited bool
-}
-
-// SetReadDeadline implements net.Conn. net/http sets a deadline for the time between
-// two requests, none once a request begins, and one for its head; handlers set those
-// for bodies. The limits in force shorten the first two.
+	active bool // a request has been read and its response is not complete
+	// hasInput reports whether bytes have been read since the last response.
+	hasInput bool
+	// readClosed reports whether no more bytes are read from the connection.
+	readClosed bool
+	// idle reports whether the connection is between two requests, before net/http reads
+	// the next head. limited reports whether the current read deadline is a timeout for a
+	// head or for the time between requests, and not one in the past that interrupts a
+	// read.
+	idle, limited bool
+}
+
+// SetReadDeadline implements net.Conn. net/http sets a deadline for the time between two
+// requests, clears it once a request begins, and sets one for its head; handlers set
+// those for bodies. The current limits shorten the deadlines between requests and for
+// heads.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,17 +98,18 @@
 	switch {
 	case c.active:
 	case t.IsZero():
-		c.resting = false
+		c.idle = false
 	default:
-		t = c.limit(t)
+		t = c.limitDeadline(t)
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *conn) limit(t time.Time) time.Time {
+// limitDeadline returns t or the deadline of the current limit, whichever is earlier.
+func (c *conn) limitDeadline(t time.Time) time.Time {
 	l := c.server.limits()
 	d := l.Head
-	if c.resting {
+	if c.idle {
 		d = l.Idle
 	}
 	now := time.Now()
@@ -119,13 +125,13 @@
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	ended := c.ended
+	readClosed := c.readClosed
 	c.mu.Unlock()
-	if ended {
+	if readClosed {
 		return 0, io.EOF
 	}
 	n, err := c.Conn.Read(b)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extend() {
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendDeadline() {
 		n, err = c.Conn.Read(b)
 	}
 	if n == 0 {
@@ -133,20 +139,20 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
-		// The answer to a request that is read now would not be waited for.
+	if c.readClosed {
+		// Stop would not wait for the response to a request that is read now.
 		return 0, io.EOF
 	}
-	c.received = true
+	c.hasInput = true
 	return n, err
 }
 
-// extend reports whether to read once more after a deadline, since the bytes may have
-// come in time to a process that was paused.
-func (c *conn) extend() bool {
+// extendDeadline reports whether to read once more after a deadline has passed, and sets
+// a new one for it. The bytes may have arrived in time while the process was paused.
+func (c *conn) extendDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.limited && !c.ended && c.Conn.SetReadDeadline(time.Now().Add(lateRead)) == nil
+	return c.limited && !c.readClosed && c.Conn.SetReadDeadline(time.Now().Add(lateReadTimeout)) == nil
 }
 
 // Close implements net.Conn.
@@ -159,44 +165,47 @@
 	return err
 }
 
-// CloseWrite is used by net/http where the client may still be sending, so that it
-// gets the answer before the connection is reset.
+// CloseWrite is called by net/http when the client may still be sending, so that it
+// receives the response before the connection is reset.
 func (c *conn) CloseWrite() error {
-	h, ok := c.Conn.(interface{ CloseWrite() error })
+	closer, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
-		return errors.New("the connection cannot be closed for writing alone")
+		return errors.New("connection does not support CloseWrite")
 	}
-	return h.CloseWrite()
+	return closer.CloseWrite()
 }
 
+// inUse reports whether a request, or a part of one, is in progress.
 func (c *conn) inUse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.active || c.received
+	return c.active || c.hasInput
 }
 
-// activate begins a request. It may have been in a buffer of net/http at the end.
-func (c *conn) activate() {
+// setActive marks the start of a request. After stopReading, it is a request that was
+// already in a buffer of net/http.
+func (c *conn) setActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.active, c.ended = true, false
+	c.active, c.readClosed = true, false
 }
 
-func (c *conn) rest() {
+// setIdle marks the end of a request.
+func (c *conn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.active, c.received, c.resting = false, false, true
+	c.active, c.hasInput, c.idle = false, false, true
 }
 
-// end ends the reading on a connection without a request, after which net/http
-// closes it. Requests that net/http has in its buffer are still answered, which they
-// would not be after Close.
-func (c *conn) end() {
+// stopReading ends the reading on a connection without a request, upon which net/http
+// closes the connection. Unlike after Close, requests that net/http already has in its
+// buffer still get a response.
+func (c *conn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.active || c.received {
+	if c.active || c.hasInput {
 		return
 	}
-	c.ended = true
+	c.readClosed = true
 	_ = c.Conn.SetReadDeadline(time.Now()) // fails if the client has closed the connection
 }
--- a/internal/entry/listener/listener.go
+++ b/internal/entry/listener/listener.go
@@ -1,14 +1,13 @@
-// Package listener serves HTTP at an address and stops without cutting off
-// requests.
+// Package listener provides an HTTP server that shuts down without aborting requests.
 //
 //	s := listener.New("callers", l, &http.Server{Handler: h}, clock, log)
 //	...
-//	s.Drain()         // answers from now on close their connections
-//	err := s.Stop(ctx) // returns once all requests are answered, or at the end of ctx
+//	s.Drain()          // responses from now on close their connections
+//	err := s.Stop(ctx) // returns once all requests have their response, or ctx ends
 //
 // Shutdown of http.Server alone is not enough: it drops requests whose head becomes
-// complete after its call, closes kept connections in the moment in which a client
-// may use them, and leaves connections in the accept queue without an answer.
+// complete after the call, closes idle connections just as a client may start to use
+// them, and leaves connections in the accept queue without a response.
 package listener
 
 import (
@@ -28,80 +27,84 @@
 )
 
 const (
-	// idleLinger is how long connections without a request stay open after the
-	// listener has closed, so that clients that use them in this moment get an answer
-	// that closes them. Requests that the platform sends to a gateway later than 3 s
-	// after SIGTERM must not be cut off at the end of the grace time; the gateway
-	// closes its listener after 2.6 s.
-	idleLinger = 300 * time.Millisecond
-	// acceptPause is the time without a further connection after which the accept
-	// queue counts as empty, and acceptTime bounds the time until then.
-	acceptPause = 5 * time.Millisecond
-	acceptTime  = 100 * time.Millisecond
-	// lateRead is the time for bytes that have come to be read after a deadline.
-	lateRead = time.Millisecond
-	// maxNamed bounds the requests that the log names when they are cut off.
-	maxNamed = 100
+	// idleCloseDelay is how long connections without a request remain open after the
+	// listener has closed, so that a client that is just using one gets a response that
+	// closes it. The gateway closes its listener 2.6 s after SIGTERM, and requests that the
+	// platform sends to it later than 3 s after SIGTERM must not be aborted at the end of
+	// the grace time.
+	idleCloseDelay = 300 * time.Millisecond
+	// acceptIdleTimeout is the time without a new connection after which the accept queue
+	// is considered empty. acceptDrainTimeout limits the total time for draining it.
+	acceptIdleTimeout  = 5 * time.Millisecond
+	acceptDrainTimeout = 100 * time.Millisecond
+	// lateReadTimeout is the time for reading bytes that may have arrived before a deadline
+	// that has passed.
+	lateReadTimeout = time.Millisecond
+	// maxLoggedRequests is the maximum number of aborted requests that the log names.
+	maxLoggedRequests = 100
 )
 
-// Server is one HTTP listener.
+// Server is an HTTP server with one listener.
 type Server struct {
-	name     string
-	http     *http.Server
-	clock    fleet.Clock
-	log      *zap.Logger
-	listener *queue
-	wrap     func(net.Listener) net.Listener
-	failed   func(error)
-	// certificate and key are PEM files. Empty ones mean plain HTTP.
+	name      string
+	http      *http.Server
+	clock     fleet.Clock
+	log       *zap.Logger
+	listener  *backlogListener
+	wrap      func(net.Listener) net.Listener
+	onFailure func(error)
+	// certificate and key are names of PEM files. If they are empty, the server uses
+	// plain HTTP.
 	certificate, key string
 
-	identify func(*http.Request) string
-	limits   func() Limits
+	requestName func(*http.Request) string
+	limits      func() Limits
 
-	draining atomic.Bool
-	stopping atomic.Bool
-	served   chan struct{} // closed when no further connection is accepted
-	changed  chan struct{} // gets a token when a connection or a request has ended
+	draining   atomic.Bool
+	stopping   atomic.Bool
+	acceptDone chan struct{} // closed when no more connections are accepted
+	changed    chan struct{} // receives a value when a connection or a request has ended
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
-	// requests are those that handlers work on.
+	// requests are the requests whose handlers are running.
 	requests map[*http.Request]struct{}
-	// lingered tells that connections without a request are closed.
-	lingered bool
+	// idleClosed reports whether connections without a request are being closed.
+	idleClosed bool
 }
 
-// Option changes a Server at its construction.
+// Option configures a Server.
 type Option func(*Server)
 
-// Wrap sets a function that wraps the accepting listener.
-func Wrap(f func(net.Listener) net.Listener) Option { return func(s *Server) { s.wrap = f } }
+// WithWrapper sets a function that wraps the listener, for example to limit connections.
+func WithWrapper(f func(net.Listener) net.Listener) Option { return func(s *Server) { s.wrap = f } }
 
-// TLS serves TLS with a certificate and key, which are PEM files.
-func TLS(certificate, key string) Option {
+// WithTLS serves TLS with a certificate and key, which are names of PEM files. Empty
+// names mean plain HTTP.
+func WithTLS(certificate, key string) Option {
 	return func(s *Server) { s.certificate, s.key = certificate, key }
 }
 
-// Identify sets a function that names a request in the log. Without it the log has
-// method and path.
-func Identify(f func(*http.Request) string) Option { return func(s *Server) { s.identify = f } }
+// WithRequestName sets the function that names aborted requests in the log. The default
+// is method and path.
+func Identify(f func(*http.Request) string) Option { return func(s *Server) { s.requestName = f } }
 
-// Limits bound the time that a client takes. A limit of 0 leaves that of the
-// http.Server, which is the longest in any case.
+// Limits are timeouts for clients. Zero means the timeout of the http.Server, which is
+// the upper bound in any case.
 type Limits struct {
-	// Head is the time for the head of a request, from the first look for it on.
+	// Head is the time to read the head of a request, from when the server starts to wait
+	// for it.
 	Head time.Duration
-	// Idle is the time between two requests.
+	// Idle is the time between two requests on a connection.
 	Idle time.Duration
 }
 
-// Limit sets a function that returns the limits in force, which may change.
+// WithLimits sets a function that returns the current limits, which may change.
 func Limit(f func() Limits) Option { return func(s *Server) { s.limits = f } }
 
-// Failed sets a function that gets the error after which no further connection is
-// accepted, unless that was asked for.
-func Failed(f func(error)) Option { return func(s *Server) { s.failed = f } }
+// WithFailureHandler sets a function that is called with the error if the server stops
+// accepting connections without a call to Stop.
+func Failed(f func(error)) Option { return func(s *Server) { s.onFailure = f } }
 
 // Listen opens a TCP listener for a Server.
 func Listen(name, address string) (*net.TCPListener, error) {
@@ -112,94 +115,94 @@
 	return l.(*net.TCPListener), nil
 }
 
-// New serves v at l until Stop. It owns v and l from then on.
-func New(name string, l *net.TCPListener, v *http.Server, c fleet.Clock, log *zap.Logger, options ...Option) *Server {
+// New serves httpServer on l until Stop, and takes ownership of both.
+func New(name string, l *net.TCPListener, httpServer *http.Server, c fleet.Clock, log *zap.Logger, options ...Option) *Server {
 	s := &Server{
-		name: name, http: v, clock: c, log: log, listener: &queue{TCPListener: l},
-		wrap: func(l net.Listener) net.Listener { return l }, failed: func(error) {},
-		limits:   func() Limits { return Limits{} },
-		identify: func(r *http.Request) string { return r.Method + " " + r.URL.Path },
-		served:   make(chan struct{}), changed: make(chan struct{}, 1), conns: make(map[*conn]struct{}),
+		name: name, http: httpServer, clock: c, log: log, listener: &backlogListener{TCPListener: l},
+		wrap: func(l net.Listener) net.Listener { return l }, onFailure: func(error) {},
+		limits:      func() Limits { return Limits{} },
+		requestName: func(r *http.Request) string { return r.Method + " " + r.URL.Path },
+		acceptDone:  make(chan struct{}), changed: make(chan struct{}, 1), conns: make(map[*conn]struct{}),
 		requests: make(map[*http.Request]struct{}),
 	}
 	for _, o := range options {
 		o(s)
 	}
-	v.Handler = s.closing(v.Handler)
-	v.ConnState = s.follow
-	accepting := &tracker{Listener: s.wrap(s.listener), server: s}
+	httpServer.Handler = s.trackRequests(httpServer.Handler)
+	httpServer.ConnState = s.onConnState
+	accepting := &trackingListener{Listener: s.wrap(s.listener), server: s}
 	go func() {
-		defer close(s.served)
+		defer close(s.acceptDone)
 		var err error
 		if s.certificate != "" {
-			err = v.ServeTLS(accepting, s.certificate, s.key)
+			err = httpServer.ServeTLS(accepting, s.certificate, s.key)
 		} else {
-			err = v.Serve(accepting)
+			err = httpServer.Serve(accepting)
 		}
 		if !s.stopping.Load() {
-			s.failed(errors.Wrapf(err, "listener %s", name))
+			s.onFailure(errors.Wrapf(err, "listener %s", name))
 		}
 	}()
 	return s
 }
 
-// Drain tells clients with each answer whose head is not written yet not to use the
-// connection again. The listener still accepts connections.
+// Drain makes each response whose head is not written yet close its connection, so that
+// clients don't use it again. The listener still accepts connections.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Stop accepts no further connection and waits until all requests are answered, also
-// those whose head is not complete yet. Connections without a request are closed
-// after a short time. At the end of ctx it closes all connections; the error tells
-// how many requests that cut off.
+// Stop stops accepting connections and waits until all requests have their response,
+// including requests whose head is not complete yet. Connections without a request are
+// closed after a short time. When ctx ends, Stop closes all connections; the error then
+// tells how many requests were aborted.
 func (s *Server) Stop(ctx context.Context) error {
 	s.Drain()
 	s.closeListener()
-	linger := s.clock.After(idleLinger)
+	idleTimer := s.clock.After(idleCloseDelay)
 	for s.remaining() > 0 {
 		select {
 		case <-s.changed:
-		case <-linger:
-			s.endIdle()
+		case <-idleTimer:
+			s.closeIdle()
 		case <-ctx.Done():
-			return s.cut()
+			return s.forceClose()
 		}
 	}
-	// What is left are connections without a request, and those of HTTP/2, which
-	// Shutdown ends.
+	// What remains are connections without a request and those of HTTP/2, which Shutdown
+	// closes.
 	if err := s.http.Shutdown(ctx); err != nil {
-		return s.cut()
+		return s.forceClose()
 	}
 	return nil
 }
 
-// closeListener accepts what is in the queue and closes the listener. Connections
-// that arrive between the last look and the close are refused by the kernel.
+// closeListener drains the accept queue and closes the listener. Connections that arrive
+// between the last accept and the close are refused by the kernel.
 func (s *Server) closeListener() {
 	s.stopping.Store(true)
-	s.listener.finish()
+	s.listener.startDrain()
 	select {
-	case <-s.served:
-	case <-time.After(2 * acceptTime): // a limit of connections holds up the accepting
+	case <-s.acceptDone:
+	case <-time.After(2 * acceptDrainTimeout): // a connection limit can block Accept
 	}
-	// The second close of a listener fails without an effect.
+	// If the listener is closed already, Close fails without effect.
 	_ = s.listener.Close()
 }
 
-// cut closes all connections at the end of the time and tells which requests that
-// cuts off.
-func (s *Server) cut() error {
+// forceClose closes all connections when the time to stop has run out, and logs which
+// requests that aborts.
+func (s *Server) forceClose() error {
 	var names []string
 	s.mu.Lock()
 	open, n := len(s.conns), len(s.requests)
 	for r := range s.requests {
-		if len(names) < maxNamed {
-			names = append(names, s.identify(r))
+		if len(names) < maxLoggedRequests {
+			names = append(names, s.requestName(r))
 		}
 	}
 	s.mu.Unlock()
 	slices.Sort(names)
 	if n == 0 {
-		s.log.Info("Connections without a whole request were closed.", zap.String("listener", s.name), zap.Int("connections", open))
+		s.log.Info("Connections without a complete request were closed.", zap.String("listener", s.name), zap.Int("connections", open))
 		return errors.Wrapf(s.http.Close(), "close listener %s", s.name)
 	}
 	s.log.Warn("Requests were cut off at the stop.", zap.String("listener", s.name), zap.Int("requests", n), zap.Strings("named", names))
@@ -213,33 +216,33 @@
 func (s *Server) remaining() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lingered && s.certificate != "" {
-		// The bytes of a TLS connection do not tell whether it has a request.
+	if s.idleClosed && s.certificate != "" {
+		// Bytes read on a TLS connection don't tell whether they belong to a request.
 		return len(s.requests)
 	}
 	n := 0
 	for c := range s.conns {
-		if !s.lingered || c.inUse() {
+		if !s.idleClosed || c.inUse() {
 			n++
 		}
 	}
 	return n
 }
 
-// endIdle closes the connections on which nothing of a request has come.
-func (s *Server) endIdle() {
+// closeIdle closes the connections on which no part of a request has been read.
+func (s *Server) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lingered = true
+	s.idleClosed = true
 	if s.certificate != "" {
 		return
 	}
 	for c := range s.conns {
-		c.end()
+		c.stopReading()
 	}
 }
 
-// notify wakes Stop.
+// notify makes Stop check again what it has to wait for.
 func (s *Server) notify() {
 	if !s.draining.Load() {
 		return
@@ -250,8 +253,8 @@
 	}
 }
 
-// follow implements http.Server.ConnState.
-func (s *Server) follow(n net.Conn, state http.ConnState) {
+// onConnState is the ConnState callback of the http.Server.
+func (s *Server) onConnState(n net.Conn, state http.ConnState) {
 	if t, ok := n.(*tls.Conn); ok {
 		n = t.NetConn()
 	}
@@ -261,19 +264,21 @@
 	}
 	switch state {
 	case http.StateActive:
-		c.activate()
+		c.setActive()
 	case http.StateIdle:
-		c.rest()
+		c.setIdle()
 		s.mu.Lock()
-		if s.lingered && s.certificate == "" {
-			c.end()
+		if s.idleClosed && s.certificate == "" {
+			c.stopReading()
 		}
 		s.mu.Unlock()
 		s.notify()
 	}
 }
 
-func (s *Server) closing(h http.Handler) http.Handler {
+// trackRequests returns a handler that registers each request while h handles it, and
+// makes responses close their connections after Drain.
+func (s *Server) trackRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.requests[r] = struct{}{}
@@ -284,26 +289,26 @@
 			s.mu.Unlock()
 			s.notify()
 		}()
-		v := &writer{ResponseWriter: w, server: s}
-		h.ServeHTTP(v, r)
-		if !v.begun && s.draining.Load() {
+		rw := &responseWriter{ResponseWriter: w, server: s}
+		h.ServeHTTP(rw, r)
+		if !rw.wroteHeader && s.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
 	})
 }
 
-// writer is a ResponseWriter that decides when the head is written whether the
-// answer closes its connection.
-type writer struct {
+// responseWriter is an http.ResponseWriter that decides whether the response closes its
+// connection when the head is written.
+type responseWriter struct {
 	http.ResponseWriter
-	server *Server
-	begun  bool
+	server      *Server
+	wroteHeader bool
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *writer) WriteHeader(status int) {
-	if !w.begun && (status >= http.StatusOK || status == http.StatusSwitchingProtocols) {
-		w.begun = true
+func (w *responseWriter) WriteHeader(status int) {
+	if !w.wroteHeader && (status >= http.StatusOK || status == http.StatusSwitchingProtocols) {
+		w.wroteHeader = true
 		if w.server.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
@@ -312,20 +317,20 @@
 }
 
 // Write implements http.ResponseWriter.
-func (w *writer) Write(b []byte) (int, error) {
-	if !w.begun {
+func (w *responseWriter) Write(b []byte) (int, error) {
+	if !w.wroteHeader {
 		w.WriteHeader(http.StatusOK)
 	}
 	return w.ResponseWriter.Write(b)
 }
 
 // FlushError is used by http.ResponseController.
-func (w *writer) FlushError() error {
-	if !w.begun {
+func (w *responseWriter) FlushError() error {
+	if !w.wroteHeader {
 		w.WriteHeader(http.StatusOK)
 	}
 	return http.NewResponseController(w.ResponseWriter).Flush()
 }
 
 // Unwrap is used by http.ResponseController.
-func (w *writer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/entry/listener/listener_test.go
+++ b/internal/entry/listener/listener_test.go
@@ -19,34 +19,34 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// TestStop guards against requests that a stop cuts off: those whose head becomes
-// complete after it began, those in the accept queue, those on kept connections, and
-// those whose answers are not ready. It also guards against a stop that does not end
-// and one that hides what it cut off.
+// TestStop guards against requests that a stop aborts: those whose head becomes complete
+// after its start, those in the accept queue, those on keep-alive connections and those
+// whose responses take long. It also guards against a stop that does not end, and one
+// that does not report which requests it aborted.
 func TestStop(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var r *rig
+		var h *harness
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd == "serve" {
-				r = newRig(t)
+				h = newHarness(t)
 				return "ok\n"
 			}
 			var name string
 			if len(d.CmdArgs) > 0 {
 				name = d.CmdArgs[0].Key
 			}
-			return r.step(t, d, name) + "\n"
+			return h.step(t, d, name) + "\n"
 		})
 	})
 }
 
-// rig is a server, a stop in progress and clients with a connection each.
-type rig struct {
+// harness holds a server, the stop in progress and clients with one connection each.
+type harness struct {
 	server  *Server
 	address string
-	linger  clock
-	begun   chan struct{} // gets a token when the handler of /hold begins
-	release chan struct{} // lets the handlers of /hold write their answers
+	timer   clock
+	started chan struct{} // receives a value when a handler of /hold or /body starts
+	release chan struct{} // closed to let the handlers of /hold write their responses
 	expire  context.CancelFunc
 	stopped chan error
 	log     bytes.Buffer
@@ -59,112 +59,112 @@
 }
 
 const (
-	half = "GET / HTTP/1.1\r\nHo"
-	rest = "st: h\r\n\r\n"
-	post = "POST /body HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbo"
-	body = "dy"
-	hold = "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n"
+	partialHead = "GET / HTTP/1.1\r\nHo"
+	restOfHead  = "st: h\r\n\r\n"
+	partialPost = "POST /body HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbo"
+	restOfBody  = "dy"
+	holdRequest = "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n"
 )
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	l, err := Listen("test", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{
-		address: l.Addr().String(), linger: make(clock), begun: make(chan struct{}), release: make(chan struct{}),
+	h := &harness{
+		address: l.Addr().String(), timer: make(clock), started: make(chan struct{}), release: make(chan struct{}),
 		stopped: make(chan error, 1), clients: make(map[string]*client),
 	}
 	m := http.NewServeMux()
 	m.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") })
 	m.HandleFunc("/hold", func(w http.ResponseWriter, _ *http.Request) {
-		r.begun <- struct{}{}
-		<-r.release
+		h.started <- struct{}{}
+		<-h.release
 		_, _ = io.WriteString(w, "answer")
 	})
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(zapcore.EncoderConfig{MessageKey: "msg"}), zapcore.AddSync(&r.log), zap.InfoLevel)
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(zapcore.EncoderConfig{MessageKey: "msg"}), zapcore.AddSync(&h.log), zap.InfoLevel)
 	m.HandleFunc("/body", func(w http.ResponseWriter, q *http.Request) {
-		r.begun <- struct{}{}
+		h.started <- struct{}{}
 		b, err := io.ReadAll(q.Body)
 		if err != nil || string(b) != "body" {
 			w.WriteHeader(http.StatusBadRequest)
 		}
 	})
-	r.server = New("test", l, &http.Server{Handler: m}, r.linger, zap.New(core))
-	t.Cleanup(func() { _ = r.server.http.Close() })
-	return r
+	h.server = New("test", l, &http.Server{Handler: m}, h.timer, zap.New(core))
+	t.Cleanup(func() { _ = h.server.http.Close() })
+	return h
 }
 
-func (r *rig) step(t *testing.T, d *datadriven.TestData, name string) string {
-	c := r.clients[name]
+func (h *harness) step(t *testing.T, d *datadriven.TestData, name string) string {
+	c := h.clients[name]
 	switch d.Cmd {
 	case "connect":
-		n, err := net.Dial("tcp", r.address)
+		n, err := net.Dial("tcp", h.address)
 		if err != nil {
 			return "refused"
 		}
 		t.Cleanup(func() { _ = n.Close() })
-		r.clients[name] = &client{Conn: n, reader: bufio.NewReader(n)}
-		await(func() bool { return r.count(func(*conn) bool { return true }) == len(r.clients) })
-	case "half":
-		// The end of the answer before may come later at the server than at the client.
-		await(func() bool { return r.count((*conn).inUse) == 0 })
-		c.send(half)
-		await(func() bool { return r.count((*conn).inUse) == 1 })
-	case "rest":
-		c.send(rest)
+		h.clients[name] = &client{Conn: n, reader: bufio.NewReader(n)}
+		await(func() bool { return h.count(func(*conn) bool { return true }) == len(h.clients) })
+	case "send-partial-head":
+		// The server may notice the end of the previous response later than the client.
+		await(func() bool { return h.count((*conn).inUse) == 0 })
+		c.send(partialHead)
+		await(func() bool { return h.count((*conn).inUse) == 1 })
+	case "send-rest-of-head":
+		c.send(restOfHead)
 	case "get":
-		c.send(half + rest)
-	case "post":
-		c.send(post)
-		<-r.begun
-	case "body":
-		c.send(body)
+		c.send(partialHead + restOfHead)
+	case "send-partial-post":
+		c.send(partialPost)
+		<-h.started
+	case "send-rest-of-body":
+		c.send(restOfBody)
 	case "hold":
-		c.send(hold)
-		<-r.begun
+		c.send(holdRequest)
+		<-h.started
 	case "release":
-		close(r.release)
-	case "answer":
-		out := c.answer()
+		close(h.release)
+	case "response":
+		out := c.readResponse()
 		if out != "kept" {
-			delete(r.clients, name)
+			delete(h.clients, name)
 		}
 		return out
 	case "drain":
-		r.server.Drain()
+		h.server.Drain()
 	case "stop":
 		ctx, cancel := context.WithCancel(context.Background())
-		r.expire = cancel
-		go func() { r.stopped <- r.server.Stop(ctx) }()
-		<-r.server.served
-	case "linger":
-		r.linger <- time.Time{}
+		h.expire = cancel
+		go func() { h.stopped <- h.server.Stop(ctx) }()
+		<-h.server.acceptDone
+	case "close-idle":
+		h.timer <- time.Time{}
 		await(func() bool {
-			r.server.mu.Lock()
-			defer r.server.mu.Unlock()
-			return r.server.lingered
+			h.server.mu.Lock()
+			defer h.server.mu.Unlock()
+			return h.server.idleClosed
 		})
 	case "expire":
-		r.expire()
+		h.expire()
 	case "stopped":
-		err := <-r.stopped
+		err := <-h.stopped
 		if err == nil {
-			return r.log.String() + "ok"
+			return h.log.String() + "ok"
 		}
-		return r.log.String() + err.Error()
+		return h.log.String() + err.Error()
 	default:
 		d.Fatalf(t, "unknown command %q", d.Cmd)
 	}
 	return "ok"
 }
 
-// count returns the number of connections for which f holds.
-func (r *rig) count(f func(*conn) bool) int {
-	r.server.mu.Lock()
-	defer r.server.mu.Unlock()
+// count returns the number of the server's connections for which f returns true.
+func (h *harness) count(f func(*conn) bool) int {
+	h.server.mu.Lock()
+	defer h.server.mu.Unlock()
 	n := 0
-	for c := range r.server.conns {
+	for c := range h.server.conns {
 		if f(c) {
 			n++
 		}
@@ -172,21 +172,21 @@
 	return n
 }
 
-func (c *client) send(s string) { _, _ = io.WriteString(c, s) } // answer tells of a failure
+func (c *client) send(s string) { _, _ = io.WriteString(c, s) } // readResponse reports a failure
 
-// answer reads an answer and tells what becomes of the connection.
-func (c *client) answer() string {
-	p, err := http.ReadResponse(c.reader, nil)
+// readResponse reads a response and returns what happens to the connection.
+func (c *client) readResponse() string {
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return "no answer"
+		return "no response"
 	}
-	if _, err := io.Copy(io.Discard, p.Body); err != nil {
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return "cut off"
 	}
-	if p.StatusCode != http.StatusOK {
-		return p.Status
+	if response.StatusCode != http.StatusOK {
+		return response.Status
 	}
-	if p.Close {
+	if response.Close {
 		return "closed"
 	}
 	return "kept"
@@ -198,15 +198,15 @@
 	}
 }
 
-// clock is a fleet.Clock all of whose waits end when a test sends a time.
+// clock is a fleet.Clock on which a wait ends when the test sends a time.
 type clock chan time.Time
 
 func (c clock) Now() time.Time                       { return time.Time{} }
 func (c clock) After(time.Duration) <-chan time.Time { return c }
 
-// TestQueueIsAccepted guards against connections that the kernel has accepted for
-// the process and that the close of the listener resets.
-func TestQueueIsAccepted(t *testing.T) {
+// TestBacklogIsAccepted guards against resetting connections that the kernel has already
+// accepted for the process when the listener closes.
+func TestBacklogIsAccepted(t *testing.T) {
 	is := is.New(t)
 	l, err := Listen("test", "127.0.0.1:0")
 	is.NoErr(err)
@@ -216,8 +216,8 @@
 		is.NoErr(err)
 		defer func() { _ = c.Close() }()
 	}
-	q := &queue{TCPListener: l}
-	q.finish()
+	q := &backlogListener{TCPListener: l}
+	q.startDrain()
 	n := 0
 	for ; ; n++ {
 		c, err := q.Accept()
@@ -230,9 +230,9 @@
 	is.Equal(n, queued)
 }
 
-// TestDrain guards against a connection that is kept after an answer whose head is
-// written during a graceful stop, however the handler writes it and whenever the
-// request began.
+// TestDrain guards against a connection that is kept open after a response whose head is
+// written during a graceful stop, however the handler writes it and whenever the request
+// began.
 func TestDrain(t *testing.T) {
 	for name, write := range map[string]func(w http.ResponseWriter){
 		"head":    func(w http.ResponseWriter) { w.WriteHeader(http.StatusNoContent) },
@@ -247,9 +247,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := &Server{changed: make(chan struct{}, 1), requests: make(map[*http.Request]struct{})}
-			answer := func(drain bool) string {
+			connectionHeader := func(drain bool) string {
 				w := httptest.NewRecorder()
-				s.closing(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				s.trackRequests(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					if drain {
 						s.Drain()
 					}
@@ -257,15 +257,15 @@
 				})).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
 				return w.Header().Get("Connection")
 			}
-			is.Equal(answer(false), "")
-			is.Equal(answer(true), "close")
-			is.Equal(answer(false), "close")
+			is.Equal(connectionHeader(false), "")
+			is.Equal(connectionHeader(true), "close")
+			is.Equal(connectionHeader(false), "close")
 		})
 	}
 }
 
-// TestFailure guards against a listener that fails without a word, and against a
-// stop that counts as a failure.
+// TestFailure guards against a listener that fails without reporting it, and against a
+// stop that is reported as a failure.
 func TestFailure(t *testing.T) {
 	is := is.New(t)
 	l, err := Listen("test", "127.0.0.1:0")
