--- a/internal/entry/daemon/control.go
+++ b/internal/entry/daemon/control.go
@@ -9,37 +9,39 @@
 	"github.com/bilberryrock/bilberryrock/internal/membership"
 )
 
-// controlInterval is the time between two rounds of the control loop.
+// controlInterval is the pause between two runs of reconcile, unless wake is called.
 const controlInterval = 200 * time.Millisecond
 
-// control runs the controllers until the daemon ends.
-func (d *Daemon) control() {
+// controlLoop calls reconcile periodically, and at once after wake, until the daemon stops.
+func (d *Daemon) controlLoop() {
 	for {
-		d.round()
+		d.reconcile()
 		select {
 		case <-d.clock.After(controlInterval):
-		case <-d.woken:
-		case <-d.ended:
+		case <-d.wakeup:
+		case <-d.done:
 			return
 		}
 	}
 }
 
-func (d *Daemon) round() {
+// reconcile announces the active revision and updates the controllers and the
+// readiness of the daemon.
+func (d *Daemon) reconcile() {
 	status := d.state.follower.Status()
 	if status.State == follower.Ready {
 		d.ready.Store(true)
 		d.node.SetRevision(status.Revision, status.Since)
 	}
 	members := d.members()
-	d.spread.observe(members, d.clock.Now())
-	d.steer(members)
-	d.judgeHealth(status)
+	d.propagation.observe(members, d.clock.Now())
+	d.updateControllers(members)
+	d.updateReadiness(status)
 }
 
-// judgeHealth makes the daemon ready once its configuration is. Readiness is not
-// lost again before the stop: a cut-off instance goes on serving.
-func (d *Daemon) judgeHealth(s follower.Status) {
+// updateReadiness makes the daemon ready once its configuration is. The daemon then
+// stays ready until it stops, so that an isolated instance continues to serve.
+func (d *Daemon) updateReadiness(s follower.Status) {
 	switch {
 	case d.health.Reason() == "" || d.stopping.Load():
 	case s.State != follower.Ready:
--- a/internal/entry/daemon/daemon.go
+++ b/internal/entry/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon joins the parts of an entry instance.
+// Package daemon runs an entry instance: it starts its components and connects them.
 //
 //	d, err := daemon.New(settings, daemon.WithLog(log))
 //	select {
@@ -7,9 +7,9 @@
 //	}
 //	err = d.Stop()
 //
-// New opens all listeners. The daemon turns ready once it has a configuration in
-// force. Stop is graceful: readiness off, no new work, all requests in progress
-// answered, then the end.
+// New opens all listeners. The daemon becomes ready once it has an active
+// configuration. Stop is graceful: it reports not ready, accepts no new requests,
+// waits for the requests in progress and then closes everything.
 package daemon
 
 import (
@@ -34,53 +34,54 @@
 )
 
 const (
-	// endTime is kept at the end of the stop timeout for the parts that end after the
-	// requests, or an endPart of a short timeout.
-	endTime = time.Second
-	endPart = 8
+	// shutdownReserve is reserved at the end of the stop timeout for the stages after the
+	// requests: the context of all stages expires this long before the timeout. Of a
+	// short timeout, 1/shutdownReserveDivisor is reserved.
+	shutdownReserve        = time.Second
+	shutdownReserveDivisor = 8
 )
 
 // Daemon is a running entry instance.
 type Daemon struct {
 	settings settings.Settings
-	// base is the logger of all parts, and log the one of the daemon itself.
+	// base is the parent of the loggers of all components; log is the daemon's own.
 	base    *zap.Logger
 	log     *zap.Logger
 	clock   fleet.Clock
 	health  platform.Health
 	metrics *prometheus.Registry
 
-	security peer.Security
-	peers    *peer.Connections
-	grpc     *grpc.Server
-	servers  []*listener.Server
+	credentials peer.Credentials
+	peers       *peer.Connections
+	grpc        *grpc.Server
+	servers     []*listener.Server
 
-	faults    *faults
-	node      *packet.Node
-	state     *state
-	decisions *decisions
-	requests  *requests
-	spread    spread
+	faults      *faults
+	node        *packet.Node
+	state       *state
+	controllers *controllers
+	requests    *requests
+	propagation propagation
 
-	// ready tells that the configuration in force is at least as new as any that
-	// was in force here before. It stays true.
+	// ready reports whether the active configuration is at least as new as any that
+	// this instance had before. Once true, it stays true.
 	ready    atomic.Bool
 	stopping atomic.Bool
-	// stage is the stage of a stop in progress, a string.
+	// stage is the current stage of the shutdown, a string.
 	stage  atomic.Value
 	failed chan error
-	ended  chan struct{}
-	woken  chan struct{}
+	done   chan struct{}
+	wakeup chan struct{}
 	loops  sync.WaitGroup
 }
 
-// Option changes a Daemon at its construction.
+// Option configures a Daemon.
 type Option func(*Daemon)
 
-// WithLog sets the logger.
+// WithLog sets the logger. The default discards all output.
 func WithLog(log *zap.Logger) Option { return func(d *Daemon) { d.base = log } }
 
-// New starts the daemon.
+// New starts a daemon and opens its listeners.
 func New(s settings.Settings, options ...Option) (*Daemon, error) {
 	d := &Daemon{
 		settings: s,
@@ -88,38 +89,39 @@
 		clock:    systemclock.Clock{},
 		metrics:  prometheus.NewRegistry(),
 		failed:   make(chan error, 8),
-		ended:    make(chan struct{}),
-		woken:    make(chan struct{}, 1),
+		done:     make(chan struct{}),
+		wakeup:   make(chan struct{}, 1),
 		faults:   &faults{self: s.Instance.ID},
 	}
 	for _, option := range options {
 		option(d)
 	}
 	d.log = d.base.Named("daemon")
-	for _, step := range []func() error{d.secure, d.openState, d.openDecisions, d.openMembership, d.openFollower, d.openRequests, d.startRepair, d.listen} {
+	for _, step := range []func() error{d.loadCredentials, d.openState, d.openControllers, d.openMembership, d.openFollower, d.openRequests, d.startRepair, d.listen} {
 		if err := step(); err != nil {
 			return nil, errors.Wrap(err, "start daemon")
 		}
 	}
 	d.registerMetrics()
-	d.loops.Go(d.control)
+	d.loops.Go(d.controlLoop)
 	d.log.Info("Daemon started.", zap.String("instance", string(s.Instance.ID)), zap.String("dataCentre", string(s.Instance.DataCentre)))
 	return d, nil
 }
 
-// Failed delivers an error when a listener or a part fails for good.
+// Failed returns a channel that receives an error when a listener or the voter fails
+// permanently.
 func (d *Daemon) Failed() <-chan error { return d.failed }
 
-func (d *Daemon) secure() error {
+func (d *Daemon) loadCredentials() error {
 	p := d.settings.Peers
-	d.security = peer.Plain()
+	d.credentials = peer.Plaintext()
 	if p.Certificate != "" {
 		var err error
-		if d.security, err = peer.Mutual(p.Certificate, p.Key, p.Authority); err != nil {
+		if d.credentials, err = peer.MutualTLS(p.Certificate, p.Key, p.Authority); err != nil {
 			return err
 		}
 	}
-	d.peers = peer.NewConnections(d.security)
+	d.peers = peer.NewConnections(d.credentials)
 	return nil
 }
 
@@ -131,21 +133,21 @@
 	d.grpc = s
 	go func() {
 		if err := s.Serve(listener); err != nil {
-			d.failed <- errors.Wrap(err, "listener peers")
+			d.failed <- errors.Wrap(err, "serve listener peers")
 		}
 	}()
 	return nil
 }
 
-// Stop stops gracefully within the stop timeout. The error tells what was cut
-// off, or which part did not end.
+// Stop shuts the daemon down gracefully within the stop timeout. The error tells
+// how many requests were aborted, or which stage did not finish.
 func (d *Daemon) Stop() error {
 	d.stopping.Store(true)
 	d.health.SetNotReady("stopping")
-	d.log.Info("Daemon stops.")
+	d.log.Info("Daemon stopping.")
 	total := d.settings.Instance.StopTimeout
-	rest := min(endTime, total/endPart)
-	ctx, cancel := context.WithTimeout(context.Background(), total-rest)
+	reserve := min(shutdownReserve, total/shutdownReserveDivisor)
+	ctx, cancel := context.WithTimeout(context.Background(), total-reserve)
 	defer cancel()
 	stopped := make(chan error, 1)
 	go func() { stopped <- d.stop(ctx) }()
@@ -157,8 +159,8 @@
 	select {
 	case err := <-stopped:
 		return err
-	case <-d.clock.After(rest):
-		return errors.Errorf("the stop did not end within %s: %s", total, d.stage.Load())
+	case <-d.clock.After(reserve):
+		return errors.Errorf("shutdown did not finish within %s, current stage: %s", total, d.stage.Load())
 	}
 }
 
@@ -167,73 +169,74 @@
 		s.Drain()
 	}
 	d.stage.Store("drain delay")
-	// The balancer still sends requests until it has seen the loss of readiness.
+	// The load balancer keeps sending requests until it notices that the daemon is not
+	// ready.
 	select {
 	case <-d.clock.After(d.settings.Instance.DrainDelay):
 	case <-ctx.Done():
 	}
-	var failed error
+	var firstErr error
 	for _, s := range []struct {
 		stage string
-		end   func(context.Context) error
+		run   func(context.Context) error
 	}{
 		{"requests", d.requests.drain},
 		{"listeners", d.stopServers},
-		{"loops", d.endLoops},
+		{"loops", d.stopLoops},
 		{"membership", func(ctx context.Context) error { return errors.Wrap(d.node.Leave(ctx), "leave membership") }},
 		{"state", d.state.stop},
-		{"connections", d.endConnections},
+		{"connections", d.closeConnections},
 	} {
 		d.stage.Store(s.stage)
-		err := s.end(ctx)
+		err := s.run(ctx)
 		switch {
-		case err != nil && failed == nil:
-			failed = err
+		case err != nil && firstErr == nil:
+			firstErr = err
 		case err != nil:
-			d.log.Warn("A stage of the stop failed.", zap.String("stage", s.stage), zap.Error(err))
+			d.log.Warn("Shutdown stage failed.", zap.String("stage", s.stage), zap.Error(err))
 		}
 	}
 	d.log.Info("Daemon stopped.")
-	return failed
+	return firstErr
 }
 
-// stopServers stops all listeners at the same time, so that one with a slow request
-// takes no time from the others.
+// stopServers stops all listeners concurrently, so that a slow request on one of them
+// does not use up the time of the others.
 func (d *Daemon) stopServers(ctx context.Context) error {
 	results := make(chan error, len(d.servers))
 	for _, s := range d.servers {
 		go func() { results <- s.Stop(ctx) }()
 	}
-	var failed error
+	var firstErr error
 	for range d.servers {
 		err := <-results
 		switch {
-		case err != nil && failed == nil:
-			failed = err
+		case err != nil && firstErr == nil:
+			firstErr = err
 		case err != nil:
-			d.log.Warn("A further listener did not stop gracefully.", zap.Error(err))
+			d.log.Warn("Another listener did not stop gracefully.", zap.Error(err))
 		}
 	}
-	return failed
+	return firstErr
 }
 
-func (d *Daemon) endLoops(ctx context.Context) error {
-	close(d.ended)
-	ended := make(chan struct{})
+func (d *Daemon) stopLoops(ctx context.Context) error {
+	close(d.done)
+	done := make(chan struct{})
 	go func() {
 		d.loops.Wait()
-		close(ended)
+		close(done)
 	}()
 	select {
-	case <-ended:
+	case <-done:
 		return nil
 	case <-ctx.Done():
-		return errors.New("a loop did not end")
+		return errors.New("background goroutines did not stop in time")
 	}
 }
 
-func (d *Daemon) endConnections(context.Context) error {
-	d.decisions.close()
+func (d *Daemon) closeConnections(context.Context) error {
+	d.controllers.close()
 	d.grpc.Stop()
 	d.peers.Close()
 	return nil
--- a/internal/entry/daemon/decisions.go
+++ b/internal/entry/daemon/decisions.go
@@ -23,23 +23,24 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/roster"
 )
 
-// clockError is the greatest error of an instance's clock that quiet-hours
+// maxClockError is the largest clock error of an instance that the quiet-hours
 // windows allow for.
-const clockError = 2 * time.Second
+const maxClockError = 2 * time.Second
 
-// usageInterval is the time between two exchanges of account usage.
+// usageInterval is the interval at which account usage is exchanged with the other
+// instances.
 const usageInterval = time.Second
 
-// firstSpeed is the speed of an engine of which nothing is known yet.
-var firstSpeed = pipeline.Speed{
+// initialSpeed is the assumed speed of an engine without measurements.
+var initialSpeed = pipeline.Speed{
 	Fixed:    time.Millisecond,
 	Layer:    500 * time.Microsecond,
 	Position: 50 * time.Microsecond,
 }
 
-// decisions holds the controllers of routing, admission, quiet hours and
+// controllers holds the controllers of routing, admission, quiet hours and
 // pipelines.
-type decisions struct {
+type controllers struct {
 	roster     *roster.Roster
 	dialer     *engine.Dialer
 	limiter    *share.Limiter
@@ -49,53 +50,53 @@
 	counts     inflight.Counts
 	courier    *courier.Courier
 
-	// configured is the configuration that the controllers work with, exchanged
-	// the time of the last exchange of account usage. Only the control loop uses
-	// them.
-	configured *document.Config
-	exchanged  time.Time
+	// appliedConfig is the configuration that the controllers currently use.
+	// lastUsageExchange is when account usage was last exchanged. Only the
+	// control loop accesses them.
+	appliedConfig     *document.Config
+	lastUsageExchange time.Time
 }
 
-func (d *Daemon) openDecisions() error {
+func (d *Daemon) openControllers() error {
 	r, err := roster.New(
 		roster.WithDataCentre(d.settings.Instance.DataCentre),
 		roster.WithFreshness(d.settings.Upstreams.ConfirmationAge),
 	)
 	if err != nil {
-		return errors.Wrap(err, "open roster")
+		return errors.Wrap(err, "open upstream registry")
 	}
-	c := &decisions{
+	c := &controllers{
 		roster:   r,
 		dialer:   engine.NewDialer(),
 		limiter:  share.New(d.settings.Instance.FleetSize),
-		governor: governor.New(clockError),
+		governor: governor.New(maxClockError),
 	}
 	c.gate = gate.New(d.clock, c.limiter, gate.WithQueue(d.settings.Requests.QueueLength), gate.WithBound(c.governor))
 	c.dispatcher = dispatch.New(r, c.dialer, d.clock, dispatch.WithBudget(budget.New()), dispatch.WithTrail(d.state.trail))
-	learned := speeds.New(firstSpeed)
-	longest := d.settings.Upstreams.StepTimeout
-	plan := planner.New(r, d.model, learned, d.clock, planner.WithCounts(&c.counts))
+	learnedSpeeds := speeds.New(initialSpeed)
+	maxStepTimeout := d.settings.Upstreams.StepTimeout
+	plan := planner.New(r, d.model, learnedSpeeds, d.clock, planner.WithCounts(&c.counts))
 	c.courier = courier.New(plan, c.dialer,
 		courier.WithClock(d.clock),
-		courier.WithSpeeds(learned),
-		courier.WithObserver(learned),
+		courier.WithSpeeds(learnedSpeeds),
+		courier.WithObserver(learnedSpeeds),
 		courier.WithRoster(r),
 		courier.WithTrail(d.state.trail),
 		courier.WithGauge(&c.counts),
-		courier.WithTimeouts(min(courier.DefaultMinTimeout, longest), longest),
+		courier.WithTimeouts(min(courier.DefaultMinTimeout, maxStepTimeout), maxStepTimeout),
 	)
-	d.decisions = c
+	d.controllers = c
 	return nil
 }
 
-func (c *decisions) close() {
+func (c *controllers) close() {
 	c.courier.Close()
 	c.dialer.Close()
 }
 
-// model returns a model of the configuration in force.
+// model returns a model of the active configuration.
 func (d *Daemon) model(id fleet.ModelID) (document.Model, bool) {
-	config := d.inForce()
+	config := d.activeConfig()
 	if config == nil {
 		return document.Model{}, false
 	}
@@ -103,19 +104,19 @@
 	return m, known
 }
 
-// steer hands the configuration, the members and the reports of the upstreams to
-// the controllers.
-func (d *Daemon) steer(members []membership.Member) {
-	config := d.inForce()
+// updateControllers passes the active configuration, the members and the reports of
+// the upstreams to the controllers.
+func (d *Daemon) updateControllers(members []membership.Member) {
+	config := d.activeConfig()
 	if config == nil {
 		return
 	}
-	c, now := d.decisions, d.clock.Now()
-	c.configure(config, d.settings.Instance.DataCentre)
+	c, now := d.controllers, d.clock.Now()
+	c.applyConfig(config, d.settings.Instance.DataCentre)
 	alive := aliveIn(members, d.settings.Instance.DataCentre)
 	c.limiter.SetInstances(max(len(aliveIn(members, "")), 1))
-	if now.Sub(c.exchanged) >= usageInterval {
-		c.exchanged = now
+	if now.Sub(c.lastUsageExchange) >= usageInterval {
+		c.lastUsageExchange = now
 		d.exchangeUsage(now)
 	}
 	c.governor.SetFleet(d.settings.Instance.ID, d.settings.Instance.FleetSize, alive)
@@ -126,24 +127,25 @@
 	c.gate.Wake()
 }
 
-// configure hands over what depends on the configuration alone. It takes time for
-// each account, so it is done once for each revision.
-func (c *decisions) configure(config *document.Config, id fleet.DataCentreID) {
-	if c.configured == config {
+// applyConfig updates what depends on the configuration alone. Its cost grows with the
+// number of accounts, so it runs once per revision only.
+func (c *controllers) applyConfig(config *document.Config, id fleet.DataCentreID) {
+	if c.appliedConfig == config {
 		return
 	}
-	c.configured = config
+	c.appliedConfig = config
 	c.limiter.Configure(config.Accounts)
 	c.governor.SetWindows(windowsOf(config, id))
 }
 
-// capacity returns what the pool can run.
+// capacity returns the capacity of a pool for admission.
 func (d *Daemon) capacity(id fleet.PoolID, instances int) lane.Capacity {
-	load := d.decisions.dispatcher.Pool(id).Load()
+	load := d.controllers.dispatcher.Pool(id).Load()
 	return lane.Capacity{Slots: load.Slots, Instances: instances, Reported: load.Reported, Known: load.Known}
 }
 
-// aliveIn returns the live members of a data centre, or of all for "".
+// aliveIn returns the IDs of the live members in a data centre, or in all data centres
+// if id is empty.
 func aliveIn(members []membership.Member, id fleet.DataCentreID) []fleet.InstanceID {
 	var alive []fleet.InstanceID
 	for _, m := range members {
--- a/internal/entry/daemon/drain_test.go
+++ b/internal/entry/daemon/drain_test.go
@@ -14,8 +14,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/processes"
 )
 
-// TestDrain guards against a connection that is kept after an answer during a
-// graceful stop. The client could use it in the moment in which it is closed.
+// TestDrain guards against a connection that is kept open after a response during a
+// graceful stop. The client could send a request on it just as it is closed.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
 	f, err := processes.New("", t.TempDir())
@@ -26,10 +26,10 @@
 	s, err := startServer("callers", address, h, entry.Limits{}, "", "", systemclock.Clock{}, zap.NewNop(), make(chan error, 1))
 	is.NoErr(err)
 	closes := func() bool {
-		p, err := http.Get("http://" + address)
+		response, err := http.Get("http://" + address)
 		is.NoErr(err)
-		is.NoErr(p.Body.Close())
-		return p.Close
+		is.NoErr(response.Body.Close())
+		return response.Close
 	}
 	is.True(!closes())
 	s.Drain()
--- a/internal/entry/daemon/faults.go
+++ b/internal/entry/daemon/faults.go
@@ -9,8 +9,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// faults drops messages between instances, so that tests can cut links in one
-// direction. It does nothing unless the settings allow it.
+// faults drops messages between instances, so that tests can interrupt links in one
+// direction. It drops nothing unless the settings enable fault injection.
 type faults struct {
 	self fleet.InstanceID
 
@@ -19,8 +19,8 @@
 	dropTo   []fleet.InstanceID
 }
 
-// cut tells whether a message is dropped.
-func (f *faults) cut(from, to fleet.InstanceID) bool {
+// shouldDrop reports whether a message between two instances is to be dropped.
+func (f *faults) shouldDrop(from, to fleet.InstanceID) bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	if from == f.self {
@@ -29,18 +29,18 @@
 	return slices.Contains(f.dropFrom, from)
 }
 
-// faultsBody is the body of POST /faults. It replaces all faults.
-type faultsBody struct {
+// faultsRequest is the body of POST /faults. It replaces all previous faults.
+type faultsRequest struct {
 	DropFrom []fleet.InstanceID `json:"dropFrom"`
 	DropTo   []fleet.InstanceID `json:"dropTo"`
 }
 
-const maxFaultsBody = 64 << 10 // bytes
+const maxFaultsRequestBytes = 64 << 10
 
-// ServeHTTP answers POST /faults.
+// ServeHTTP handles POST /faults.
 func (f *faults) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var b faultsBody
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFaultsBody)).Decode(&b); err != nil {
+	var b faultsRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFaultsRequestBytes)).Decode(&b); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/internal/entry/daemon/fetcher.go
+++ b/internal/entry/daemon/fetcher.go
@@ -13,10 +13,11 @@
 	"github.com/bilberryrock/bilberryrock/internal/membership"
 )
 
-// replicaPoll is the time between two looks at the own replica.
-const replicaPoll = 50 * time.Millisecond
+// replicaPollInterval is the interval at which the local register is polled for changes.
+const replicaPollInterval = 50 * time.Millisecond
 
-// fetcher implements follower.Fetcher over gRPC, and over the own replica.
+// fetcher implements follower.Fetcher with gRPC calls to the other instances and reads
+// from the local voter.
 type fetcher struct{ daemon *Daemon }
 
 // Fetch implements follower.Fetcher.
@@ -24,10 +25,10 @@
 	d := f.daemon
 	self := d.settings.Instance.ID
 	if from.ID == self {
-		return d.readOwn(ctx, after, wait)
+		return d.readLocal(ctx, after, wait)
 	}
-	if d.faults.cut(self, from.ID) || d.faults.cut(from.ID, self) {
-		return follower.Reply{}, errors.Errorf("the link to %s is cut", from.ID)
+	if d.faults.shouldDrop(self, from.ID) || d.faults.shouldDrop(from.ID, self) {
+		return follower.Reply{}, errors.Errorf("fault injection drops messages to or from %s", from.ID)
 	}
 	conn, err := d.peers.Get(from.Peers)
 	if err != nil {
@@ -55,34 +56,35 @@
 	return reply
 }
 
-// readOwn reads the document through the own voter. Until the daemon is ready, a
-// majority has to confirm that there is nothing newer: a replica that has just
-// restarted applies its log step by step, and what it has applied so far can be
-// older than what was in force here before.
-func (d *Daemon) readOwn(ctx context.Context, after fleet.Revision, wait time.Duration) (follower.Reply, error) {
+// readLocal reads the document through the local voter. Until the daemon is ready, a
+// majority has to confirm that there is no newer revision: a replica that has just
+// restarted applies its log step by step, so its state can be older than the
+// configuration that was active on this instance before.
+func (d *Daemon) readLocal(ctx context.Context, after fleet.Revision, wait time.Duration) (follower.Reply, error) {
 	if d.ready.Load() {
 		return d.readReplica(ctx, after, wait)
 	}
 	changed, full, err := d.state.register.ChangesSince(ctx, after)
 	if err != nil {
-		return follower.Reply{}, errors.Wrap(err, "read from the voters")
+		return follower.Reply{}, errors.Wrap(err, "read document from the voters")
 	}
 	return follower.Reply{Document: changed, Full: full}, nil
 }
 
-// readReplica returns what the own voter has applied after a revision.
+// readReplica returns what the local voter has applied after a revision. It waits for a
+// newer revision for up to wait.
 func (d *Daemon) readReplica(ctx context.Context, after fleet.Revision, wait time.Duration) (follower.Reply, error) {
-	if d.state.replica == nil {
-		return follower.Reply{}, errors.New("this instance does not vote")
+	if d.state.localRegister == nil {
+		return follower.Reply{}, errors.New("this instance is not a voter")
 	}
 	timeout := d.clock.After(wait)
 	for {
-		changed, full := d.state.replica.ChangesSince(after)
+		changed, full := d.state.localRegister.ChangesSince(after)
 		if changed.Revision > after {
 			return follower.Reply{Document: changed, Full: full}, nil
 		}
 		select {
-		case <-d.clock.After(replicaPoll):
+		case <-d.clock.After(replicaPollInterval):
 		case <-timeout:
 			return follower.Reply{Document: document.Document{Revision: changed.Revision}}, nil
 		case <-ctx.Done():
--- a/internal/entry/daemon/finder.go
+++ b/internal/entry/daemon/finder.go
@@ -11,8 +11,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/report"
 )
 
-// Find implements operator.Finder. A record that is not kept here is asked of
-// the instance that the request id points to.
+// Find implements operator.Finder. If this instance does not have the record, it asks
+// the instances that the request ID may come from.
 func (r *requests) Find(ctx context.Context, id string) (report.Record, bool) {
 	d := r.daemon
 	if record, found := d.state.trail.Find(id); found {
@@ -22,14 +22,15 @@
 		if m.ID == d.settings.Instance.ID || !fleet.RequestID(id).MayBeOf(m.ID) {
 			continue
 		}
-		if record, found := d.ask(ctx, m.Peers, id); found {
+		if record, found := d.findRemote(ctx, m.Peers, id); found {
 			return record, true
 		}
 	}
 	return report.Record{}, false
 }
 
-func (d *Daemon) ask(ctx context.Context, address, id string) (report.Record, bool) {
+// findRemote asks the instance at an address for a decision record.
+func (d *Daemon) findRemote(ctx context.Context, address, id string) (report.Record, bool) {
 	var record report.Record
 	conn, err := d.peers.Get(address)
 	if err != nil {
@@ -37,14 +38,14 @@
 	}
 	reply, err := peerv1.NewPeerClient(conn).Explain(ctx, &peerv1.ExplainRequest{Id: id})
 	if err != nil {
-		d.log.Info("An instance did not answer.", zap.String("address", address), zap.Error(err))
+		d.log.Info("An instance did not answer a request for a decision record.", zap.String("address", address), zap.Error(err))
 		return record, false
 	}
 	if !reply.GetFound() {
 		return record, false
 	}
 	if err := json.Unmarshal(reply.GetRecord(), &record); err != nil {
-		d.log.Error("A record could not be decoded.", zap.String("address", address), zap.Error(err))
+		d.log.Error("A decision record of another instance could not be decoded.", zap.String("address", address), zap.Error(err))
 		return record, false
 	}
 	return record, true
--- a/internal/entry/daemon/hostile_test.go
+++ b/internal/entry/daemon/hostile_test.go
@@ -28,19 +28,20 @@
 )
 
 const (
-	// hung bounds what would otherwise hang a test.
-	hung = 30 * time.Second
-	// short is the limit of reads and writes in tests of slow peers. A limit of
-	// 100 ms could end a healthy read on a busy machine.
-	short = time.Second
-	auth  = "Authorization: Bearer " + processes.APIKey + "\r\n"
+	// testTimeout limits waits that would otherwise hang a test.
+	testTimeout = 30 * time.Second
+	// shortTimeout is the read and write timeout in tests of slow clients. With 100 ms, a
+	// healthy read could time out on a busy machine.
+	shortTimeout = time.Second
+	authHeader   = "Authorization: Bearer " + processes.APIKey + "\r\n"
 )
 
-// flood is a courier that emits large tokens until the request ends, a gate, and
-// a service with a large answer.
-type flood struct{ ended chan error }
+// floodingFake implements the parts of the callers' API that a test needs: an executor
+// that emits large tokens until the request ends, a gate that admits everything, and a
+// service with a large response. It sends to ended when a request has ended.
+type floodingFake struct{ ended chan error }
 
-func (f flood) Run(ctx context.Context, _ pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
+func (f floodingFake) Run(ctx context.Context, _ pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
 	text := strings.Repeat("t", 64<<10)
 	for {
 		if err := emit(pipeline.Piece{Text: text}); err != nil {
@@ -54,17 +55,17 @@
 	}
 }
 
-func (f flood) Enter(context.Context, admission.Ask) (admission.Ticket, error) { return f, nil }
+func (f floodingFake) Enter(context.Context, admission.Ask) (admission.Ticket, error) { return f, nil }
 
-// Done reports the end of a call to the service, too.
-func (f flood) Done() { f.ended <- nil }
+// Done implements admission.Ticket. It also reports the end of a call to the service.
+func (f floodingFake) Done() { f.ended <- nil }
 
-func (f flood) Lookup(context.Context, fleet.RequestID, document.Pool, upstream.Call) (upstream.Answer, error) {
+func (f floodingFake) Lookup(context.Context, fleet.RequestID, document.Pool, upstream.Call) (upstream.Answer, error) {
 	return upstream.Answer{Status: http.StatusOK, Body: make([]byte, 64<<20)}, nil
 }
 
-// open starts a callers' listener with short limits and returns its address.
-func open(t *testing.T, f flood, l entry.Limits) string {
+// startCallers starts a callers' listener with the given limits and returns its address.
+func startCallers(t *testing.T, f floodingFake, l entry.Limits) string {
 	t.Helper()
 	config := &document.Config{
 		Models:   map[fleet.ModelID]document.Model{"m": {ID: "m", Team: "alpha", Layers: 4, Pool: "e", MaxTokens: 100}},
@@ -89,12 +90,12 @@
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_ = s.Stop(ctx) // cuts off what is open
+		_ = s.Stop(ctx) // closes the open connections
 	})
 	return address
 }
 
-// dial connects and sends raw bytes.
+// dial opens a connection and sends raw on it.
 func dial(t *testing.T, address, raw string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -102,43 +103,43 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(hung))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	go func() {
-		// The server may answer and close before it has read everything.
+		// The server may respond and close before it has read everything.
 		_, _ = io.WriteString(c, raw)
 	}()
 	return c
 }
 
-func post(path, body string) string {
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, auth, len(body), body)
+func postRequest(path, body string) string {
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, authHeader, len(body), body)
 }
 
-const stream = `{"model":"m","prompt":"x","max_tokens":9,"stream":true}`
+const streamRequest = `{"model":"m","prompt":"x","max_tokens":9,"stream":true}`
 
-var shortLimits = entry.Limits{MaxBody: 4096, MaxHeader: 4096, ReadTimeout: short, WriteTimeout: short}
+var shortLimits = entry.Limits{MaxBody: 4096, MaxHeader: 4096, ReadTimeout: shortTimeout, WriteTimeout: shortTimeout}
 
-// TestHostileInput guards against input that crashes a listener, is answered
-// with the wrong status, or holds a connection without end.
+// TestHostileInput guards against input that crashes a listener, gets a response with
+// the wrong status, or occupies a connection indefinitely.
 func TestHostileInput(t *testing.T) {
-	prompt := shortLimits
-	prompt.ReadTimeout, prompt.WriteTimeout = hung, hung
+	longLimits := shortLimits
+	longLimits.ReadTimeout, longLimits.WriteTimeout = testTimeout, testTimeout
 	addresses := map[bool]string{
-		false: open(t, flood{make(chan error, 9)}, prompt),
-		true:  open(t, flood{make(chan error, 9)}, shortLimits),
+		false: startCallers(t, floodingFake{make(chan error, 9)}, longLimits),
+		true:  startCallers(t, floodingFake{make(chan error, 9)}, shortLimits),
 	}
 	for name, c := range map[string]struct {
 		raw    string
-		status int // 0: the connection is closed without an answer
+		status int // 0: the connection is closed without a response
 	}{
-		"huge body":         {post("/v1/completions", strings.Repeat("x", 1<<20)), 413},
-		"huge chunked body": {"POST /v1/completions HTTP/1.1\r\nHost: x\r\n" + auth + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("x", 4096)+"\r\n", 3) + "0\r\n\r\n", 413},
+		"huge body":         {postRequest("/v1/completions", strings.Repeat("x", 1<<20)), 413},
+		"huge chunked body": {"POST /v1/completions HTTP/1.1\r\nHost: x\r\n" + authHeader + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("x", 4096)+"\r\n", 3) + "0\r\n\r\n", 413},
 		"huge header":       {"GET /v1/models HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("x", 64<<10) + "\r\n\r\n", 431},
 		"slow header":       {"GET /v1/models HTTP/1.1\r\nHost:", 0},
-		"slow body":         {"POST /v1/completions HTTP/1.1\r\nHost: x\r\n" + auth + "Content-Length: 100\r\n\r\n{", 400},
+		"slow body":         {"POST /v1/completions HTTP/1.1\r\nHost: x\r\n" + authHeader + "Content-Length: 100\r\n\r\n{", 400},
 		"slow body, no key": {"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{", 401},
-		"broken JSON":       {post("/v1/completions", `{"model":"m",`), 400},
-		"bad UTF-8":         {post("/v1/completions", "{\"model\":\"m\",\"prompt\":\"\xff\"}"), 400},
+		"broken JSON":       {postRequest("/v1/completions", `{"model":"m",`), 400},
+		"bad UTF-8":         {postRequest("/v1/completions", "{\"model\":\"m\",\"prompt\":\"\xff\"}"), 400},
 		"not HTTP":          {"\x16\x03\x01\x00\x00\r\n\r\n", 400},
 		"two lengths":       {"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400},
 	} {
@@ -146,14 +147,14 @@
 			t.Parallel()
 			is := is.New(t)
 			conn := dial(t, addresses[strings.HasPrefix(name, "slow")], c.raw)
-			answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if c.status == 0 {
 				is.True(err != nil)
 				is.True(!timedOut(err)) // the server closed the connection
 				return
 			}
 			is.NoErr(err)
-			is.Equal(answer.StatusCode, c.status)
+			is.Equal(response.StatusCode, c.status)
 		})
 	}
 }
@@ -163,27 +164,27 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// TestReaderThatStops guards against a caller that stops reading and so holds an
-// engine, a place in the queue and memory without end.
-func TestReaderThatStops(t *testing.T) {
+// TestStalledReader guards against a caller that stops reading and thereby occupies an
+// engine, a place in the queue and memory indefinitely.
+func TestStalledReader(t *testing.T) {
 	for name, raw := range map[string]string{
-		"stream": post("/v1/completions", stream),
-		"answer": "GET /services/desk/x HTTP/1.1\r\nHost: x\r\n" + auth + "\r\n",
+		"stream": postRequest("/v1/completions", streamRequest),
+		"answer": "GET /services/desk/x HTTP/1.1\r\nHost: x\r\n" + authHeader + "\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := flood{make(chan error, 9)}
-			dial(t, open(t, f, shortLimits), raw)
+			f := floodingFake{make(chan error, 9)}
+			dial(t, startCallers(t, f, shortLimits), raw)
 			awaitEnd(t, f)
 		})
 	}
 }
 
-// TestCallerThatLeaves guards against a generation that goes on without its
-// caller.
-func TestCallerThatLeaves(t *testing.T) {
-	f := flood{make(chan error, 9)}
-	// The write timeout is too long to end the request.
-	conn := dial(t, open(t, f, entry.Limits{WriteTimeout: time.Hour}), post("/v1/completions", stream))
+// TestCallerDisconnects guards against a generation that continues after its caller
+// has disconnected.
+func TestCallerDisconnects(t *testing.T) {
+	f := floodingFake{make(chan error, 9)}
+	// The write timeout is too long to end the request within the test.
+	conn := dial(t, startCallers(t, f, entry.Limits{WriteTimeout: time.Hour}), postRequest("/v1/completions", streamRequest))
 	if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil {
 		t.Fatal(err)
 	}
@@ -191,28 +192,28 @@
 	awaitEnd(t, f)
 }
 
-func awaitEnd(t *testing.T, f flood) {
+func awaitEnd(t *testing.T, f floodingFake) {
 	t.Helper()
 	select {
 	case <-f.ended:
-	case <-time.After(hung):
+	case <-time.After(testTimeout):
 		t.Fatal("the request did not end")
 	}
 }
 
-// TestIdleConnections guards against idle connections that shut callers out for
-// good, and against more open connections than the limit.
+// TestIdleConnections guards against idle connections that lock callers out
+// permanently, and against more open connections than the limit.
 func TestIdleConnections(t *testing.T) {
 	is := is.New(t)
-	const bound = 500
-	address := open(t, flood{make(chan error, 9)}, entry.Limits{MaxConnections: bound, ReadTimeout: short, IdleTimeout: short})
+	const maxConnections = 500
+	address := startCallers(t, floodingFake{make(chan error, 9)}, entry.Limits{MaxConnections: maxConnections, ReadTimeout: shortTimeout, IdleTimeout: shortTimeout})
 	for range 2000 {
 		dial(t, address, "")
 	}
-	// The listener closes the idle ones in groups of the bound, until it is the
-	// turn of this one.
-	conn := dial(t, address, "GET /v1/models HTTP/1.1\r\nHost: x\r\n"+auth+"\r\n")
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	// The listener closes the idle connections in batches of up to maxConnections until
+	// it accepts this one.
+	conn := dial(t, address, "GET /v1/models HTTP/1.1\r\nHost: x\r\n"+authHeader+"\r\n")
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	is.NoErr(err)
-	is.Equal(answer.StatusCode, http.StatusOK)
+	is.Equal(response.StatusCode, http.StatusOK)
 }
--- a/internal/entry/daemon/membership.go
+++ b/internal/entry/daemon/membership.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/membership/packet"
 )
 
-// openMembership joins the other instances.
+// openMembership joins the gossip membership of the instances.
 func (d *Daemon) openMembership() error {
 	s := d.settings
 	node, err := packet.New(membership.Member{
@@ -26,35 +26,35 @@
 		packet.WithLogger(d.base),
 		packet.WithSecret(s.Membership.Secret),
 		packet.WithSeeds(s.Membership.Seeds...),
-		packet.WithRoster(d.decisions.roster),
-		packet.WithCut(d.faults.cut),
-		packet.WithCombine(func([][]byte) []byte { return d.decisions.limiter.GroupSummary(d.clock.Now()) }),
+		packet.WithRoster(d.controllers.roster),
+		packet.WithCut(d.faults.shouldDrop),
+		packet.WithCombine(func([][]byte) []byte { return d.controllers.limiter.GroupSummary(d.clock.Now()) }),
 		packet.WithRevisionHook(func(fleet.Revision) { d.wake() }),
 	)
 	d.node = node
 	return errors.Wrap(err, "open membership")
 }
 
-// wake makes the control loop look for a newer configuration at once.
+// wake makes the control loop check for a newer configuration at once.
 func (d *Daemon) wake() {
 	select {
-	case d.woken <- struct{}{}:
+	case d.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// exchangeUsage hands the usage of client accounts to the other instances and
-// takes over theirs.
+// exchangeUsage publishes this instance's usage of client accounts and merges the usage
+// that the other instances published.
 func (d *Daemon) exchangeUsage(now time.Time) {
-	limiter := d.decisions.limiter
+	limiter := d.controllers.limiter
 	for id, usage := range d.node.InstanceUsages() {
 		if err := limiter.Absorb(id, usage, now); err != nil {
-			d.log.Warn("The usage of an instance can't be read.", zap.String("instance", string(id)), zap.Error(err))
+			d.log.Warn("Account usage of an instance could not be decoded.", zap.String("instance", string(id)), zap.Error(err))
 		}
 	}
 	for id, usage := range d.node.CentreUsages() {
 		if err := limiter.AbsorbGroup(id, usage, now); err != nil {
-			d.log.Warn("The usage of a data centre can't be read.", zap.String("dataCentre", string(id)), zap.Error(err))
+			d.log.Warn("Account usage of a data centre could not be decoded.", zap.String("dataCentre", string(id)), zap.Error(err))
 		}
 	}
 	limiter.Tick(now)
--- a/internal/entry/daemon/repairer.go
+++ b/internal/entry/daemon/repairer.go
@@ -21,7 +21,7 @@
 	return err
 }
 
-// startRepair runs the repair of layer coverage until the daemon ends.
+// startRepair starts the loop that repairs layer coverage. It runs until the daemon stops.
 func (d *Daemon) startRepair() error {
 	s := d.settings
 	proposer := configgroup.Select(d.state.proposer, configgroup.Fencing)
@@ -32,28 +32,28 @@
 			LayerBytes:     s.Repair.LayerBytes,
 			BytesPerSecond: s.Repair.WeightRate,
 		}),
-		Roster:    d.decisions.roster,
+		Roster:    d.controllers.roster,
 		Models:    d.modelsToRepair,
-		Commander: commander{fencing.NewCommander(holder, d.decisions.dialer)},
+		Commander: commander{fencing.NewCommander(holder, d.controllers.dialer)},
 		Clock:     d.clock,
 		Logger:    d.base.Named("repair"),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.loops.Go(func() { loop.Run(ctx) })
 	go func() {
-		<-d.ended
+		<-d.done
 		cancel()
 	}()
 	return nil
 }
 
-// modelsToRepair returns the models of the configuration in force on the first
-// live instance of the data centre, and none on the others. In a partition two
-// instances may take themselves for the first; the fencing leases keep their
-// commands apart.
+// modelsToRepair returns the models of the active configuration on the first live
+// instance of the data centre, and none on the others. In a network partition, two
+// instances may each consider themselves the first; the fencing leases prevent their
+// commands from conflicting.
 func (d *Daemon) modelsToRepair() []document.Model {
 	alive := aliveIn(d.members(), d.settings.Instance.DataCentre)
-	config := d.inForce()
+	config := d.activeConfig()
 	if config == nil || len(alive) == 0 || alive[0] != d.settings.Instance.ID {
 		return nil
 	}
--- a/internal/entry/daemon/requests.go
+++ b/internal/entry/daemon/requests.go
@@ -21,7 +21,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/roster"
 )
 
-// requests holds the APIs.
+// requests holds the handlers of the HTTP listeners and the executor of orders.
 type requests struct {
 	daemon    *Daemon
 	desk      *desk.Desk
@@ -37,10 +37,10 @@
 	s := d.settings
 	r.callers = caller.New(caller.Parts{
 		Instance: s.Instance.ID,
-		Config:   d.inForce,
-		Gate:     d.decisions.gate,
-		Courier:  d.decisions.courier,
-		Lookups:  d.decisions.dispatcher,
+		Config:   d.activeConfig,
+		Gate:     d.controllers.gate,
+		Courier:  d.controllers.courier,
+		Lookups:  d.controllers.dispatcher,
 		Orders:   r,
 		Trail:    d.state.trail,
 		Clock:    d.clock,
@@ -48,7 +48,7 @@
 	},
 		caller.WithLimits(s.Limits),
 		caller.WithDeadlines(s.Requests.Deadline, s.Requests.MaxDeadline),
-		caller.WithObserver(newAnswers(d.metrics).observe),
+		caller.WithObserver(newRequestMetrics(d.metrics).observe),
 	).Handler()
 	r.operators = operator.New(operator.Parts{
 		Documents: d.state.register,
@@ -60,7 +60,7 @@
 		Clock:     d.clock,
 		Log:       d.base.Named("operator"),
 	}, operator.WithLimits(s.Limits), operator.WithTimeout(2*s.Quorum.ProposalTimeout)).Handler()
-	r.upstreams = roster.NewHandler(d.decisions.roster, d.clock, roster.WithToken(string(s.Upstreams.Token)))
+	r.upstreams = roster.NewHandler(d.controllers.roster, d.clock, roster.WithToken(string(s.Upstreams.Token)))
 	var injection http.Handler
 	if s.Faults.Injection {
 		injection = d.faults
@@ -69,9 +69,9 @@
 	return nil
 }
 
-// owner returns the team of a client account in the configuration in force.
+// owner returns the team of a client account in the active configuration.
 func (d *Daemon) owner(id fleet.AccountID) (fleet.TeamID, bool) {
-	config := d.inForce()
+	config := d.activeConfig()
 	if config == nil {
 		return "", false
 	}
@@ -81,7 +81,7 @@
 
 func (d *Daemon) listen() error {
 	l := d.settings.Listeners
-	for _, one := range []struct {
+	for _, spec := range []struct {
 		name, address    string
 		handler          http.Handler
 		certificate, key string
@@ -91,7 +91,7 @@
 		{"operators", l.Operators, d.requests.operators, d.settings.Operators.Certificate, d.settings.Operators.Key},
 		{"callers", l.Callers, d.requests.callers, "", ""},
 	} {
-		s, err := startServer(one.name, one.address, one.handler, d.settings.Limits, one.certificate, one.key, d.clock, d.base.Named(one.name), d.failed)
+		s, err := startServer(spec.name, spec.address, spec.handler, d.settings.Limits, spec.certificate, spec.key, d.clock, d.base.Named(spec.name), d.failed)
 		if err != nil {
 			return err
 		}
@@ -102,7 +102,7 @@
 
 // drain refuses new requests and waits for those in progress.
 func (r *requests) drain(ctx context.Context) error {
-	if err := r.daemon.decisions.gate.Close(ctx); err != nil {
+	if err := r.daemon.controllers.gate.Close(ctx); err != nil {
 		return errors.Wrap(err, "drain requests")
 	}
 	return errors.Wrap(r.desk.Close(ctx), "drain orders")
@@ -110,14 +110,14 @@
 
 // Order implements caller.Orders.
 func (r *requests) Order(ctx context.Context, id fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Answer, error) {
-	picks := &picks{daemon: r.daemon, request: id, pool: p.ID}
-	answer, err := r.desk.Run(ctx, desk.Order{Key: k, Request: id, Call: c, Timeout: p.Timeout, Pick: picks.next})
-	r.record(id, k, picks, err)
-	return answer, err
+	picker := &picker{daemon: r.daemon, request: id, pool: p.ID}
+	response, err := r.desk.Run(ctx, desk.Order{Key: k, Request: id, Call: c, Timeout: p.Timeout, Pick: picker.next})
+	r.record(id, k, picker, err)
+	return response, err
 }
 
-// record keeps what came of an order in the decision record of the request.
-func (r *requests) record(id fleet.RequestID, k order.Key, p *picks, err error) {
+// record adds the outcome of an order to the decision record of the request.
+func (r *requests) record(id fleet.RequestID, k order.Key, p *picker, err error) {
 	entry := report.Entry{
 		At:     r.daemon.clock.Now(),
 		Part:   "order",
@@ -133,33 +133,33 @@
 	r.daemon.state.trail.Add(string(id), entry)
 }
 
-// picks chooses the upstreams of one order, each of them once.
-type picks struct {
+// picker selects upstreams for the attempts of one order, each upstream at most once.
+type picker struct {
 	daemon  *Daemon
 	request fleet.RequestID
 	pool    fleet.PoolID
 	tried   []fleet.UpstreamID
 }
 
-func (p *picks) next(context.Context) (upstream.ServiceClient, error) {
-	lease, err := p.daemon.decisions.dispatcher.Pick(p.request, p.pool, p.tried)
+func (p *picker) next(context.Context) (upstream.ServiceClient, error) {
+	lease, err := p.daemon.controllers.dispatcher.Pick(p.request, p.pool, p.tried)
 	if err != nil {
 		return nil, err
 	}
 	u := lease.Upstream()
 	p.tried = append(p.tried, u.ID)
-	return &leased{client: p.daemon.decisions.dialer.Service(u), lease: lease}, nil
+	return &leasedClient{client: p.daemon.controllers.dialer.Service(u), lease: lease}, nil
 }
 
-// leased is a client that gives its lease back after the call.
-type leased struct {
+// leasedClient is a service client that releases its lease after the call.
+type leasedClient struct {
 	client upstream.ServiceClient
 	lease  pool.Lease
 }
 
 // Call implements upstream.ServiceClient.
-func (l *leased) Call(ctx context.Context, c upstream.Call) (upstream.Answer, error) {
-	answer, err := l.client.Call(ctx, c)
-	l.lease.Done(dispatch.Result(ctx, answer, err))
-	return answer, err
+func (l *leasedClient) Call(ctx context.Context, c upstream.Call) (upstream.Answer, error) {
+	response, err := l.client.Call(ctx, c)
+	l.lease.Done(dispatch.Result(ctx, response, err))
+	return response, err
 }
--- a/internal/entry/daemon/spread.go
+++ b/internal/entry/daemon/spread.go
@@ -10,69 +10,69 @@
 	"github.com/bilberryrock/bilberryrock/internal/membership"
 )
 
-// keptChanges bounds the revisions whose spread is remembered.
-const keptChanges = 16
+// maxTrackedRevisions is the number of newest revisions whose propagation is tracked.
+const maxTrackedRevisions = 16
 
-// spread remembers when each of the newest revisions was in force on all
+// propagation records when each of the newest revisions had become active on all
 // reachable instances.
-type spread struct {
-	mu      sync.Mutex
-	inForce map[fleet.Revision]time.Time
-	newest  fleet.Revision
+type propagation struct {
+	mu       sync.Mutex
+	activeAt map[fleet.Revision]time.Time
+	newest   fleet.Revision
 }
 
-// observe takes over the revisions that the members report.
-func (s *spread) observe(members []membership.Member, now time.Time) {
+// observe records the revisions that the members report.
+func (s *propagation) observe(members []membership.Member, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.inForce == nil {
-		s.inForce = make(map[fleet.Revision]time.Time)
+	if s.activeAt == nil {
+		s.activeAt = make(map[fleet.Revision]time.Time)
 	}
-	least, newest := extremes(members)
+	lowest, newest := revisionRange(members)
 	s.newest = max(s.newest, newest)
-	for r := s.oldest(); r <= least; r++ {
-		if _, known := s.inForce[r]; !known {
-			s.inForce[r] = now
+	for r := s.oldestTracked(); r <= lowest; r++ {
+		if _, known := s.activeAt[r]; !known {
+			s.activeAt[r] = now
 		}
 	}
-	for r := range s.inForce {
-		if r < s.oldest() {
-			delete(s.inForce, r)
+	for r := range s.activeAt {
+		if r < s.oldestTracked() {
+			delete(s.activeAt, r)
 		}
 	}
 }
 
-func (s *spread) oldest() fleet.Revision {
-	if s.newest <= keptChanges {
+func (s *propagation) oldestTracked() fleet.Revision {
+	if s.newest <= maxTrackedRevisions {
 		return 1
 	}
-	return s.newest - keptChanges + 1
+	return s.newest - maxTrackedRevisions + 1
 }
 
-// extremes returns the least and the newest revision of the reachable members.
-func extremes(members []membership.Member) (least, newest fleet.Revision) {
+// revisionRange returns the lowest and the newest revision of the live members.
+func revisionRange(members []membership.Member) (lowest, newest fleet.Revision) {
 	first := true
 	for _, m := range members {
 		if m.Status != membership.Alive {
 			continue
 		}
-		if first || m.Revision < least {
-			least = m.Revision
+		if first || m.Revision < lowest {
+			lowest = m.Revision
 		}
 		newest = max(newest, m.Revision)
 		first = false
 	}
-	return least, newest
+	return lowest, newest
 }
 
-// changes returns the spread of the newest revisions, the newest first.
-func (s *spread) changes(members []membership.Member) []operator.ChangeStatus {
+// changes returns the propagation of the newest revisions, newest first.
+func (s *propagation) changes(members []membership.Member) []operator.ChangeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := []operator.ChangeStatus{}
-	for r := s.newest; r >= s.oldest() && r > 0; r-- {
+	for r := s.newest; r >= s.oldestTracked() && r > 0; r-- {
 		change := operator.ChangeStatus{Revision: r}
-		if at, known := s.inForce[r]; known {
+		if at, known := s.activeAt[r]; known {
 			change.InForce = &at
 		} else {
 			change.Lagging = lagging(members, r)
--- a/internal/entry/daemon/state.go
+++ b/internal/entry/daemon/state.go
@@ -22,22 +22,23 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/fencing"
 )
 
-// state holds the replicated logs, their clients and the configuration in force.
+// state holds the replicated logs, their clients and the active configuration.
 type state struct {
 	proposer quorum.Proposer
 	voter    *voter.Voter
 	client   *voter.Client
 	register *register.Client
 	ledger   *ledger.Client
-	// replica is the register of the own voter, or nil.
-	replica  *register.Register
-	follower *follower.Follower
-	config   board.Cell[document.Config]
-	trail    *trail.Trail
+	// localRegister is the register replica of this instance's voter. It is nil if the
+	// instance is not a voter.
+	localRegister *register.Register
+	follower      *follower.Follower
+	config        board.Cell[document.Config]
+	trail         *trail.Trail
 }
 
-// openState starts the replicated logs, or the client of those of other
-// instances.
+// openState starts the voter of the replicated logs, or on an instance that does not
+// vote a client of the voters.
 func (d *Daemon) openState() error {
 	d.state = &state{trail: trail.New()}
 	if err := d.openQuorum(); err != nil {
@@ -75,7 +76,7 @@
 		select {
 		case err := <-v.Failed():
 			d.failed <- errors.Wrap(err, "voter")
-		case <-d.ended:
+		case <-d.done:
 		}
 	}()
 	return nil
@@ -93,23 +94,23 @@
 		voter.Clock(d.clock),
 		voter.Tick(s.Quorum.Tick),
 		voter.AttemptTimeout(s.Quorum.ProposalTimeout),
-		voter.Dial(grpc.WithTransportCredentials(d.security.Client)),
+		voter.Dial(grpc.WithTransportCredentials(d.credentials.Client)),
 		voter.Logger(d.base),
-		voter.Cut(d.faults.cut),
+		voter.Cut(d.faults.shouldDrop),
 	}
 }
 
-// keptFraction is the part of the log entries between two snapshots that is kept
-// for members that lag.
-const keptFraction = 10
+// retainedEntriesDivisor determines how many log entries are retained after a snapshot
+// for members that lag: the number of entries between two snapshots divided by it.
+const retainedEntriesDivisor = 10
 
 func (d *Daemon) groupOptions() []voter.Option {
-	d.state.replica = register.New()
+	d.state.localRegister = register.New()
 	entries := d.settings.Quorum.SnapshotEntries
 	options := []voter.Option{
 		voter.Folder(d.settings.Instance.DataFolder),
-		voter.SnapshotEntries(entries, entries/keptFraction),
-		voter.Group(quorum.ConfigGroup, configgroup.New(d.state.replica, fencing.NewMachine())),
+		voter.SnapshotEntries(entries, entries/retainedEntriesDivisor),
+		voter.Group(quorum.ConfigGroup, configgroup.New(d.state.localRegister, fencing.NewMachine())),
 	}
 	for i := range d.settings.Orders.Shards {
 		options = append(options, voter.Group(quorum.GroupID(fmt.Sprintf("orders-%d", i)), ledger.New()))
@@ -117,31 +118,31 @@
 	return options
 }
 
-// openFollower starts to keep the configuration in force current, and offers it
-// to the other instances.
+// openFollower starts the follower, which keeps the active configuration up to date,
+// and the gRPC server that offers the configuration to the other instances.
 func (d *Daemon) openFollower() error {
 	s := d.state
 	s.follower = follower.New(d.node, fetcher{d}, d.clock, &s.config, d.base)
-	server := grpc.NewServer(append(voter.ServerOptions(), grpc.Creds(d.security.Server))...)
-	var log peerv1.PeerServer
+	server := grpc.NewServer(append(voter.ServerOptions(), grpc.Creds(d.credentials.Server))...)
+	var logServer peerv1.PeerServer
 	if s.voter != nil {
-		log = s.voter.Service()
+		logServer = s.voter.Service()
 	}
-	peerv1.RegisterPeerServer(server, peer.NewServer(log, s.follower, s.trail))
+	peerv1.RegisterPeerServer(server, peer.NewServer(logServer, s.follower, s.trail))
 	return d.serveGRPC(server)
 }
 
-// inForce returns the configuration in force, or nil before the daemon is ready.
-func (d *Daemon) inForce() *document.Config {
+// activeConfig returns the active configuration, or nil before the daemon is ready.
+func (d *Daemon) activeConfig() *document.Config {
 	if !d.ready.Load() {
 		return nil
 	}
 	return d.state.config.Load()
 }
 
-// revision returns the revision in force, or zero.
-func (d *Daemon) revision() fleet.Revision {
-	if c := d.inForce(); c != nil {
+// activeRevision returns the active revision, or zero before the daemon is ready.
+func (d *Daemon) activeRevision() fleet.Revision {
+	if c := d.activeConfig(); c != nil {
 		return c.Revision
 	}
 	return 0
--- a/internal/entry/daemon/status.go
+++ b/internal/entry/daemon/status.go
@@ -11,17 +11,17 @@
 
 const statusTimeout = time.Second
 
-// status composes what the operators' command shows.
+// status returns the status that the operators' API reports.
 func (d *Daemon) status() operator.Status {
 	now, members := d.clock.Now(), d.members()
-	d.spread.observe(members, now)
+	d.propagation.observe(members, now)
 	follower := d.state.follower.Status()
 	s := operator.Status{
 		Instance:     d.settings.Instance.ID,
-		Revision:     d.revision(),
+		Revision:     d.activeRevision(),
 		ConfirmedAgo: operator.InSeconds(follower.Age(now)),
 		Instances:    []operator.InstanceStatus{},
-		Changes:      d.spread.changes(members),
+		Changes:      d.propagation.changes(members),
 		Groups:       d.groups(),
 		Upstreams:    d.pools(now),
 	}
@@ -65,7 +65,7 @@
 
 func (d *Daemon) pools(now time.Time) []operator.PoolStatus {
 	list := []operator.PoolStatus{}
-	for id, n := range d.decisions.roster.Counts(now) {
+	for id, n := range d.controllers.roster.Counts(now) {
 		list = append(list, operator.PoolStatus{Pool: id, Usable: n})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Pool < list[j].Pool })
--- a/internal/entry/daemon/timed.go
+++ b/internal/entry/daemon/timed.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// maxWrite is the part of an answer, in bytes, that has one write deadline. A
-// caller that reads slowly gets through a large answer, one that stops reading
-// does not hold the request.
-const maxWrite = 64 << 10
+// maxWriteBytes is the number of bytes of a response that share one write deadline. A
+// caller that reads slowly can therefore receive a large response, while one that stops
+// reading does not block the request.
+const maxWriteBytes = 64 << 10
 
-// timedListener accepts connections on which each write has a deadline.
-// WriteTimeout of http.Server would cut off answers that take longer.
+// timedListener accepts connections on which each write has its own deadline.
+// WriteTimeout of http.Server would abort responses that take longer.
 type timedListener struct {
 	net.Listener
 	timeout time.Duration
@@ -35,11 +35,11 @@
 func (c *timedConn) Write(b []byte) (int, error) {
 	written := 0
 	for {
-		part := b[written:min(len(b), written+maxWrite)]
+		chunk := b[written:min(len(b), written+maxWriteBytes)]
 		if err := c.SetWriteDeadline(time.Now().Add(c.timeout)); err != nil {
 			return written, err
 		}
-		n, err := c.Conn.Write(part)
+		n, err := c.Conn.Write(chunk)
 		written += n
 		if err != nil || written == len(b) {
 			return written, err
--- a/internal/entry/daemon/tls_test.go
+++ b/internal/entry/daemon/tls_test.go
@@ -29,7 +29,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/processes"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	t           *testing.T
 	dir, name   string
@@ -45,13 +45,15 @@
 
 func (a *authority) path(name string) string { return filepath.Join(a.dir, name+".pem") }
 
-// pair writes a certificate for loopback and its key, and returns their files.
-func (a *authority) pair(name string) (certificate, key string) {
+// issuePair writes a certificate for the loopback address and its key, and returns the
+// names of their files.
+func (a *authority) issuePair(name string) (certificate, key string) {
 	a.issue(name, a)
 	return a.path(name), a.path(name + "-key")
 }
 
-// issue writes a certificate that parent signs, or that signs itself.
+// issue writes a certificate and its key. The certificate is signed by parent, or
+// self-signed if parent is nil.
 func (a *authority) issue(name string, parent *authority) (*x509.Certificate, *ecdsa.PrivateKey) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -94,10 +96,10 @@
 	}
 }
 
-// startSecure starts a daemon with TLS for operators and peers.
-func startSecure(t *testing.T, a *authority) settings.Settings {
+// startWithTLS starts a daemon with TLS for operators and peers.
+func startWithTLS(t *testing.T, a *authority) settings.Settings {
 	t.Helper()
-	s := secureSettings(t, a)
+	s := tlsSettings(t, a)
 	d, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -110,8 +112,8 @@
 	return s
 }
 
-// secureSettings returns settings with TLS for operators and peers, as from a file.
-func secureSettings(t *testing.T, a *authority) settings.Settings {
+// tlsSettings returns settings with TLS for operators and peers, parsed as from a file.
+func tlsSettings(t *testing.T, a *authority) settings.Settings {
 	t.Helper()
 	f, err := processes.New("", a.dir)
 	if err != nil {
@@ -123,7 +125,7 @@
 			t.Fatal(err)
 		}
 	}
-	certificate, key := a.pair("daemon")
+	certificate, key := a.issuePair("daemon")
 	s, err := settings.Parse("a.ini", fmt.Appendf(nil, `[instance]
 id = a
 dataCentre = dc1
@@ -163,34 +165,35 @@
 }
 
 // TestTLS guards against an operators' listener that serves plain HTTP or another
-// certificate than that of its settings, and against peers that let in whoever
-// has no certificate of their authority. It also guards against a goroutine of a
-// daemon that outlives its stop.
+// certificate than the configured one, and against peers that accept a client without
+// a certificate of their authority. It also guards against goroutines of a daemon that
+// are still running after its stop.
 func TestTLS(t *testing.T) {
-	// Cleanups run in reverse order, so this one runs after the daemon's stop.
+	// Cleanups run in reverse order, so this one runs after the daemon has stopped.
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
 	ours := newAuthority(t, t.TempDir(), "ours")
 	theirs := newAuthority(t, t.TempDir(), "theirs")
-	s := startSecure(t, ours)
+	s := startWithTLS(t, ours)
 	t.Run("operators", func(t *testing.T) { checkOperators(t, s, ours, theirs) })
 	t.Run("peers", func(t *testing.T) { checkPeers(t, s, ours, theirs) })
 }
 
 func checkOperators(t *testing.T, s settings.Settings, ours, theirs *authority) {
 	is := is.New(t)
-	code, err := askStatus(s, "https", ours)
+	code, err := getStatus(s, "https", ours)
 	is.NoErr(err)
 	is.Equal(code, http.StatusOK)
-	_, err = askStatus(s, "https", theirs)
-	is.True(err != nil) // the certificate is not one of that authority
-	code, err = askStatus(s, "http", ours)
+	_, err = getStatus(s, "https", theirs)
+	is.True(err != nil) // that authority did not issue the certificate
+	code, err = getStatus(s, "http", ours)
 	is.NoErr(err)
-	is.Equal(code, http.StatusBadRequest) // net/http answers plain HTTP so
+	is.Equal(code, http.StatusBadRequest) // the response of net/http to plain HTTP on a TLS listener
 }
 
-// askStatus asks the operators' listener for its status, trusting one authority.
-func askStatus(s settings.Settings, scheme string, a *authority) (int, error) {
+// getStatus requests the status from the operators' listener, trusting only authority a.
+// It returns the HTTP status code.
+func getStatus(s settings.Settings, scheme string, a *authority) (int, error) {
 	roots := x509.NewCertPool()
 	roots.AddCert(a.certificate)
 	transport := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots}}
@@ -200,43 +203,43 @@
 		return 0, err
 	}
 	r.Header.Set("Authorization", "Bearer "+processes.Token)
-	client := &http.Client{Transport: transport, Timeout: hung}
-	answer, err := client.Do(r)
+	client := &http.Client{Transport: transport, Timeout: testTimeout}
+	response, err := client.Do(r)
 	if err != nil {
 		return 0, err
 	}
-	return answer.StatusCode, answer.Body.Close()
+	return response.StatusCode, response.Body.Close()
 }
 
 func checkPeers(t *testing.T, s settings.Settings, ours, theirs *authority) {
 	// A client of the other authority that trusts the daemon's certificate.
-	mixed, key := theirs.pair("stranger")
+	foreignCertificate, key := theirs.issuePair("stranger")
 	for name, c := range map[string]struct {
-		security func() (peer.Security, error)
-		code     codes.Code
+		credentials func() (peer.Credentials, error)
+		code        codes.Code
 	}{
-		"own authority": {func() (peer.Security, error) {
-			certificate, key := ours.pair("peer")
-			return peer.Mutual(certificate, key, ours.path(ours.name))
+		"own authority": {func() (peer.Credentials, error) {
+			certificate, key := ours.issuePair("peer")
+			return peer.MutualTLS(certificate, key, ours.path(ours.name))
 		}, codes.OK},
-		"foreign certificate": {func() (peer.Security, error) {
-			return peer.Mutual(mixed, key, ours.path(ours.name))
+		"foreign certificate": {func() (peer.Credentials, error) {
+			return peer.MutualTLS(foreignCertificate, key, ours.path(ours.name))
 		}, codes.Unavailable},
-		"foreign daemon": {func() (peer.Security, error) {
-			certificate, key := ours.pair("wary")
-			return peer.Mutual(certificate, key, theirs.path(theirs.name))
+		"foreign daemon": {func() (peer.Credentials, error) {
+			certificate, key := ours.issuePair("wary")
+			return peer.MutualTLS(certificate, key, theirs.path(theirs.name))
 		}, codes.Unavailable},
-		"plain": {func() (peer.Security, error) { return peer.Plain(), nil }, codes.Unavailable},
+		"plain": {func() (peer.Credentials, error) { return peer.Plaintext(), nil }, codes.Unavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			security, err := c.security()
+			credentials, err := c.credentials()
 			is.NoErr(err)
-			connections := peer.NewConnections(security)
+			connections := peer.NewConnections(credentials)
 			defer connections.Close()
 			conn, err := connections.Get(s.Listeners.Peers)
 			is.NoErr(err)
-			ctx, cancel := context.WithTimeout(t.Context(), hung)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			_, err = peerv1.NewPeerClient(conn).Explain(ctx, &peerv1.ExplainRequest{Id: "none"})
 			is.Equal(status.Code(err), c.code)
--- a/internal/entry/peer/connections.go
+++ b/internal/entry/peer/connections.go
@@ -12,35 +12,36 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// maxMessage is the greatest message in bytes. The default of gRPC, 4 MiB, is less
-// than a whole document with the 42,000 client accounts of the design page.
-const maxMessage = 64 << 20
+// maxMessageBytes is the maximum size of a received message. The default of gRPC, 4 MiB,
+// is too small for a complete document with the 42,000 client accounts that the design
+// provides for.
+const maxMessageBytes = 64 << 20
 
-// Security holds the transport credentials between daemons.
-type Security struct {
+// Credentials holds the transport credentials for connections between daemons.
+type Credentials struct {
 	Server credentials.TransportCredentials
 	Client credentials.TransportCredentials
 }
 
-// Plain returns credentials for plain TCP.
-func Plain() Security {
-	return Security{Server: insecure.NewCredentials(), Client: insecure.NewCredentials()}
+// Plaintext returns credentials for plain TCP.
+func Plaintext() Credentials {
+	return Credentials{Server: insecure.NewCredentials(), Client: insecure.NewCredentials()}
 }
 
-// Mutual returns credentials for TLS in which both sides show a certificate of
-// the authority. The arguments are PEM files.
-func Mutual(certificate, key, authority string) (Security, error) {
+// MutualTLS returns credentials for TLS in which both sides present a certificate that
+// the authority issued. The arguments are names of PEM files.
+func MutualTLS(certificate, key, authority string) (Credentials, error) {
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
-		return Security{}, errors.Wrapf(err, "load certificate %q", certificate)
+		return Credentials{}, errors.Wrapf(err, "load certificate %q", certificate)
 	}
 	raw, err := os.ReadFile(authority)
 	if err != nil {
-		return Security{}, errors.Wrap(err, "read authority")
+		return Credentials{}, errors.Wrap(err, "read certificates of authority")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return Security{}, errors.Errorf("%q holds no PEM certificate", authority)
+		return Credentials{}, errors.Errorf("%q holds no PEM certificate", authority)
 	}
 	server := &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -53,24 +54,24 @@
 		Certificates: []tls.Certificate{pair},
 		RootCAs:      pool,
 	}
-	return Security{Server: credentials.NewTLS(server), Client: credentials.NewTLS(client)}, nil
+	return Credentials{Server: credentials.NewTLS(server), Client: credentials.NewTLS(client)}, nil
 }
 
-// Connections keeps one connection for each address. It is safe for concurrent
-// use.
+// Connections keeps one gRPC connection per address. It is safe for concurrent use.
 type Connections struct {
-	security Security
-	mu       sync.Mutex
-	open     map[string]*grpc.ClientConn
-	closed   bool
+	credentials Credentials
+	mu          sync.Mutex
+	open        map[string]*grpc.ClientConn
+	closed      bool
 }
 
-// NewConnections returns Connections without any open one.
-func NewConnections(s Security) *Connections {
-	return &Connections{security: s, open: make(map[string]*grpc.ClientConn)}
+// NewConnections returns Connections that has none open yet.
+func NewConnections(s Credentials) *Connections {
+	return &Connections{credentials: s, open: make(map[string]*grpc.ClientConn)}
 }
 
-// Get returns the connection to an IP address and port. It belongs to c.
+// Get returns the connection to an IP address and port, and opens it if there is none.
+// The connection belongs to c, callers must not close it.
 func (c *Connections) Get(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,8 +82,8 @@
 		return conn, nil
 	}
 	conn, err := grpc.NewClient("passthrough:///"+address,
-		grpc.WithTransportCredentials(c.security.Client),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithTransportCredentials(c.credentials.Client),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 	)
 	if err != nil {
 		return nil, errors.Wrapf(err, "connect to %s", address)
@@ -97,7 +98,7 @@
 	defer c.mu.Unlock()
 	c.closed = true
 	for _, conn := range c.open {
-		// Closing a connection twice is its only error.
+		// Close fails only if the connection is closed already.
 		_ = conn.Close()
 	}
 }
--- a/internal/entry/peer/peer.go
+++ b/internal/entry/peer/peer.go
@@ -1,8 +1,8 @@
-// Package peer is the gRPC service that daemons offer each other, and the
-// connections to it.
+// Package peer implements the gRPC service that daemons offer to each other, and keeps
+// the connections to it.
 //
-// The methods of the replicated logs are those of package voter. Fetch hands out
-// the configuration in force, Explain a decision record.
+// Package voter implements the methods of the replicated logs. Fetch returns the active
+// configuration, Explain a decision record.
 package peer
 
 import (
@@ -20,44 +20,45 @@
 	"github.com/bilberryrock/bilberryrock/internal/report"
 )
 
-// maxFetchWait bounds the time that a Fetch waits for a newer revision.
-const maxFetchWait = 30 * time.Second
+// maxLongPollTimeout is the longest time for which Fetch waits for a newer revision.
+const maxLongPollTimeout = 30 * time.Second
 
-// Source is the document in force on this instance.
-type Source interface {
-	// ChangesSince returns what is in force after a revision, and waits for it
-	// up to wait.
+// ConfigSource provides the active document of this instance.
+type ConfigSource interface {
+	// ChangesSince returns the changes of the active document after a revision. It
+	// waits for a newer revision for up to wait.
 	ChangesSince(ctx context.Context, after fleet.Revision, wait time.Duration) follower.Reply
-	// Status tells whether the document is at least as new as any before.
+	// Status tells whether the document is at least as new as any that this instance
+	// had before.
 	Status() follower.Status
 }
 
-// Server implements peerv1.PeerServer. The methods of the replicated logs are
-// those of the embedded server.
+// Server implements peerv1.PeerServer. The embedded server implements the methods of
+// the replicated logs.
 type Server struct {
 	peerv1.PeerServer
-	source Source
+	source ConfigSource
 	trail  report.Trail
 }
 
-// NewServer returns a Server. The log serves the methods of the replicated logs;
-// an instance that does not vote has a nil one.
-func NewServer(log peerv1.PeerServer, source Source, trail report.Trail) *Server {
-	if log == nil {
-		log = peerv1.UnimplementedPeerServer{}
+// NewServer returns a Server. The logServer implements the methods of the replicated
+// logs; it is nil on an instance that does not vote.
+func NewServer(logServer peerv1.PeerServer, source ConfigSource, trail report.Trail) *Server {
+	if logServer == nil {
+		logServer = peerv1.UnimplementedPeerServer{}
 	}
-	return &Server{PeerServer: log, source: source, trail: trail}
+	return &Server{PeerServer: logServer, source: source, trail: trail}
 }
 
-// Fetch returns the sections that are newer than the asking instance's revision.
-// It waits for a newer revision for the time that the request names. An instance
-// that is not ready refuses: the asking one could take an old revision for the
-// newest.
+// Fetch returns the sections that are newer than the revision of the requesting
+// instance. It waits for a newer revision for up to the time given in the request. An
+// instance that is not ready returns an error, because the requesting instance could
+// mistake an old revision for the newest.
 func (s *Server) Fetch(ctx context.Context, r *peerv1.FetchRequest) (*peerv1.FetchReply, error) {
 	if state := s.source.Status().State; state != follower.Ready {
 		return nil, status.Errorf(codes.Unavailable, "the configuration of this instance is %s", state)
 	}
-	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxFetchWait)
+	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxLongPollTimeout)
 	changes := s.source.ChangesSince(ctx, fleet.Revision(r.GetAfter()), wait)
 	if err := ctx.Err(); err != nil {
 		return nil, status.FromContextError(err).Err()
