--- a/internal/entry/listener/listener.go
+++ b/internal/entry/listener/listener.go
@@ -87,7 +87,9 @@
 
 // WithRequestName sets the function that names aborted requests in the log. The default
 // is method and path.
-func Identify(f func(*http.Request) string) Option { return func(s *Server) { s.requestName = f } }
+func Identify(f func(*http.Request) string) Option {
+	return func(s *Server) { s.requestName = f }
+}
 
 // Limits are timeouts for clients. Zero means the timeout of the http.Server, which is
 // the upper bound in any case.
