--- a/cmd/bilberryrock-platform/run.go
+++ b/cmd/bilberryrock-platform/run.go
@@ -79,17 +79,17 @@
 
 // runGateway serves clients until SIGTERM.
 func runGateway(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
-	clock := systemclock.NewSteady()
+	clock := systemclock.NewBootClock()
 	client := exchange.New(clock)
 	st := state.New(clock, s.DataCentre, platform.Configuration{}, state.Limits{
-		Alive: aliveBeats * s.Heartbeat, Lease: s.Revoke - leaseMargin, Fresh: freshLimit,
+		HeartbeatTimeout: aliveBeats * s.Heartbeat, KeyLease: s.Revoke - leaseMargin, ReadinessTimeout: freshLimit,
 		Retries: budget.Limit{Share: s.RetryRatio * retryPart, Extra: s.RetryExtra * retryPart, Window: s.RetryWindow},
 	}, client, log)
 	registry := newRegistry(out)
 	handler := forward.New(clock, st, client, platform.Headers{}, platform.Engines{Client: client},
 		forward.NewMetrics(registry), log)
-	follower := feed.NewClient(s.Instance, clock, st, log, feed.Seeds(s.PeerSeeds...), feed.Home(s.DataCentre),
-		feed.Dial(dialOptions()...))
+	follower := feed.NewClient(s.Instance, clock, st, log, feed.WithSeeds(s.PeerSeeds...), feed.WithDataCentre(s.DataCentre),
+		feed.WithDialOptions(dialOptions()...))
 	defer follower.Stop()
 	servers := &servers{clock: clock, log: log, failed: make(chan error, 4)}
 	front := server(handler)
@@ -100,16 +100,16 @@
 	if _, err := servers.start("readiness", server(readiness(handler.Ready)), s.Ready); err != nil {
 		return err
 	}
-	clients, err := servers.start("clients", front, s.Clients, listener.Identify(requestID), listener.Limit(clientLimits(st)))
+	clients, err := servers.start("clients", front, s.Clients, listener.WithRequestName(requestID), listener.WithLimits(clientLimits(st)))
 	if err != nil {
 		return err
 	}
-	life := live(s, signals, log, func(n platform.Settings) { follower.LearnSeeds(n.PeerSeeds) })
+	life := live(s, signals, log, func(n platform.Settings) { follower.AddSeeds(n.PeerSeeds) })
 	failed := wait(life, servers.failed, log)
 	drain, end := stopTimes(s.Grace)
 	ctx, cancel := context.WithTimeout(context.Background(), end)
 	defer cancel()
-	handler.Close()
+	handler.StartDrain()
 	clients.Drain()
 	milestone(log, "The gateway drains.", zap.Int64("requests", handler.Active()), zap.Duration("grace", s.Grace))
 	time.Sleep(drain)
@@ -138,10 +138,10 @@
 // runController serves the operator, the workers and the other daemons until
 // SIGTERM.
 func runController(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
-	clock := systemclock.NewSteady()
+	clock := systemclock.NewBootClock()
 	c, err := controller.New(controller.Settings{
-		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.Folder, Found: s.Found, Seeds: s.PeerSeeds,
-		Alive: aliveBeats * s.Heartbeat, Dial: dialOptions(),
+		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.Folder, Bootstrap: s.Found, Seeds: s.PeerSeeds,
+		HeartbeatTimeout: aliveBeats * s.Heartbeat, DialOptions: dialOptions(),
 	}, platform.Configuration{}, platform.Engines{Client: exchange.New(clock)}, clock, log)
 	if err != nil {
 		return err
@@ -207,14 +207,14 @@
 	if err != nil {
 		return nil, err
 	}
-	options = append([]listener.Option{listener.Failed(func(err error) { s.failed <- err })}, options...)
+	options = append([]listener.Option{listener.WithFailureHandler(func(err error) { s.failed <- err })}, options...)
 	return listener.New(name, l, v, s.clock, s.log, options...), nil
 }
 
 // startMetrics serves the metrics, whose loss ends no request.
 func (s *servers) startMetrics(r *prometheus.Registry, address string) error {
 	_, err := s.start("metrics", server(promhttp.HandlerFor(r, promhttp.HandlerOpts{})), address,
-		listener.Failed(func(err error) { s.log.Error("The metrics are not served any more.", zap.Error(err)) }))
+		listener.WithFailureHandler(func(err error) { s.log.Error("The metrics are not served any more.", zap.Error(err)) }))
 	return err
 }
 
@@ -231,7 +231,7 @@
 
 // requestID names a request of a client in the log.
 func requestID(r *http.Request) string {
-	call, err := platform.Headers{}.ReadCall(r.Header)
+	call, err := platform.Headers{}.DecodeClient(r.Header)
 	if err != nil || call.ID == "" {
 		return r.Method + " " + r.URL.Path
 	}
@@ -240,13 +240,13 @@
 
 // live returns the life of a daemon, which hands over the settings when the file has
 // changed.
-func live(s platform.Settings, signals lifecycle.Signals, log *zap.Logger, changed func(platform.Settings)) *lifecycle.Life {
-	return lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.Reload(reloadEvery, func() { s = reload(s, log, changed) }))
+func live(s platform.Settings, signals lifecycle.Signals, log *zap.Logger, changed func(platform.Settings)) *lifecycle.Manager {
+	return lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.WithReload(reloadEvery, func() { s = reload(s, log, changed) }))
 }
 
 // wait returns at the first request to stop, or with the error of a part that failed.
 // The daemon drains in both cases.
-func wait(l *lifecycle.Life, failed <-chan error, log *zap.Logger) error {
+func wait(l *lifecycle.Manager, failed <-chan error, log *zap.Logger) error {
 	select {
 	case <-l.Stopping():
 		return nil
--- a/internal/upstream/standin/command.go
+++ b/internal/upstream/standin/command.go
@@ -17,7 +17,7 @@
 
 // commands is the state of an engine that commands change.
 type commands struct {
-	fence fleet.Fence
+	fence fleet.FencingToken
 	// known holds the commands that were accepted, by id.
 	known map[string]upstream.Command
 	// local holds the roles whose weights are on the engine.
@@ -48,7 +48,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	fenced := e.standin.config.Announcement.Fencing == upstream.RefusesOld
+	fenced := e.standin.config.Announcement.Fencing == upstream.RejectsStaleToken
 	if fenced && c.Fence < e.commands.fence {
 		return refuse(http.StatusConflict, "staleFence", "fencing token %d is older than %d", c.Fence, e.commands.fence)
 	}
--- a/internal/upstream/standin/engine.go
+++ b/internal/upstream/standin/engine.go
@@ -382,7 +382,7 @@
 	e.settle()
 	return upstream.Load{
 		At: e.standin.clock.Now(), Running: e.running, Waiting: len(e.queue),
-		FreeKV: max(e.standin.config.KVTokens-e.kvTokens(), 0),
+		FreeKVTokens: max(e.standin.config.KVTokens-e.kvTokens(), 0),
 	}
 }
 
--- a/internal/upstream/standin/prefix.go
+++ b/internal/upstream/standin/prefix.go
@@ -24,7 +24,7 @@
 	mu       sync.Mutex
 	random   *rand.Rand
 	order    *list.List // of upstream.Block, the most recently used first
-	blocks   map[upstream.Block]*list.Element
+	blocks   map[upstream.BlockHash]*list.Element
 	sequence uint64
 	events   []datedEvent
 }
@@ -40,7 +40,7 @@
 		clock: c.Clock, limit: c.PrefixBlocks, lag: c.CacheEventLag, loss: c.CacheEventLoss,
 		random: rand.New(rand.NewPCG(c.Seed, 1)),
 		order:  list.New(),
-		blocks: make(map[upstream.Block]*list.Element),
+		blocks: make(map[upstream.BlockHash]*list.Element),
 	}
 }
 
@@ -52,11 +52,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cached, hit := 0, true
-	for _, b := range upstream.Blocks(input) {
+	for _, b := range upstream.BlockHashes(input) {
 		e, ok := c.blocks[b]
 		hit = hit && ok
 		if hit {
-			cached += upstream.BlockPositions
+			cached += upstream.BlockSize
 		}
 		if ok {
 			c.order.MoveToFront(e)
@@ -66,7 +66,7 @@
 		c.publish(b, false)
 	}
 	for c.order.Len() > c.limit {
-		b := c.order.Remove(c.order.Back()).(upstream.Block)
+		b := c.order.Remove(c.order.Back()).(upstream.BlockHash)
 		delete(c.blocks, b)
 		c.publish(b, true)
 	}
@@ -74,7 +74,7 @@
 }
 
 // publish appends an event, or loses it and leaves a gap in the numbers.
-func (c *prefixCache) publish(b upstream.Block, evicted bool) {
+func (c *prefixCache) publish(b upstream.BlockHash, evicted bool) {
 	c.sequence++
 	if c.random.Float64() < c.loss {
 		return
@@ -109,7 +109,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for e := c.order.Front(); e != nil; e = e.Next() {
-		c.publish(e.Value.(upstream.Block), true)
+		c.publish(e.Value.(upstream.BlockHash), true)
 	}
 	c.order.Init()
 	clear(c.blocks)
--- a/internal/upstream/standin/protocol.go
+++ b/internal/upstream/standin/protocol.go
@@ -56,7 +56,7 @@
 }
 
 func (e *engine) serveImport(w http.ResponseWriter, r *http.Request) {
-	var kv upstream.KV
+	var kv upstream.KVCache
 	if !readJSON(w, r, &kv) {
 		return
 	}
@@ -109,15 +109,15 @@
 }
 
 // export returns the cache of r: for each layer, 8 bytes a position.
-func (e *engine) export(r fleet.RequestID) (upstream.KV, error) {
+func (e *engine) export(r fleet.RequestID) (upstream.KVCache, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a := e.standin.Describe()
 	n, ok := e.sessions[r]
 	if !ok || len(n.states) == 0 {
-		return upstream.KV{}, refuse(http.StatusNotFound, "notFound", "request %q has no cache", r)
+		return upstream.KVCache{}, refuse(http.StatusNotFound, "notFound", "request %q has no cache", r)
 	}
-	kv := upstream.KV{Request: r, Model: a.Model, Version: a.Version, Adapter: a.Adapter}
+	kv := upstream.KVCache{Request: r, Model: a.Model, Version: a.Version, Adapter: a.Adapter}
 	kv.Layers, kv.Positions = n.extent()
 	for l := kv.Layers.From; l < kv.Layers.To; l++ {
 		for _, state := range n.states[l][:kv.Positions] {
@@ -145,7 +145,7 @@
 }
 
 // takeOver takes over an exported cache under a new epoch.
-func (e *engine) takeOver(epoch fleet.Epoch, kv upstream.KV) error {
+func (e *engine) takeOver(epoch fleet.Epoch, kv upstream.KVCache) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.settle()
--- a/internal/upstream/standin/record.go
+++ b/internal/upstream/standin/record.go
@@ -36,8 +36,8 @@
 	Once   bool   `json:"once,omitempty"`
 
 	// Command and Fence belong to a command.
-	Command string      `json:"command,omitempty"`
-	Fence   fleet.Fence `json:"fence,omitempty"`
+	Command string             `json:"command,omitempty"`
+	Fence   fleet.FencingToken `json:"fence,omitempty"`
 }
 
 // Recorder appends runs to a writer as JSON lines. It is safe for concurrent
--- a/internal/upstream/standin/standin.go
+++ b/internal/upstream/standin/standin.go
@@ -129,8 +129,8 @@
 // echoCall returns the id of a call in its answer.
 func echoCall(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if id := r.Header.Get(upstream.CallHeader); id != "" {
-			w.Header().Set(upstream.CallHeader, id)
+		if id := r.Header.Get(upstream.CallIDHeader); id != "" {
+			w.Header().Set(upstream.CallIDHeader, id)
 		}
 		next.ServeHTTP(w, r)
 	})
--- a/internal/upstream/standin/text.go
+++ b/internal/upstream/standin/text.go
@@ -48,13 +48,13 @@
 	for range maxTokens {
 		tokens = append(tokens, tokenText(value))
 		if isEnd(value) {
-			return tokens, pipeline.Stopped
+			return tokens, pipeline.FinishStop
 		}
 		if len(tokens) < maxTokens {
 			value = run(value)
 		}
 	}
-	return tokens, pipeline.LengthReached
+	return tokens, pipeline.FinishLength
 }
 
 // layerSeed makes the weights of a layer: another model, version, adapter or
