--- a/cmd/bilberryrock-platform/run.go
+++ b/cmd/bilberryrock-platform/run.go
@@ -79,7 +79,7 @@
 
 // runGateway serves clients until SIGTERM.
 func runGateway(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
-	clock := systemclock.NewSteady()
+	clock := systemclock.NewBootClock()
 	client := exchange.New(clock)
 	st := state.New(clock, s.DataCentre, platform.Configuration{}, state.Limits{
 		HeartbeatTimeout: aliveBeats * s.Heartbeat, KeyLease: s.Revoke - leaseMargin, ReadinessTimeout: freshLimit,
@@ -100,7 +100,7 @@
 	if _, err := servers.start("readiness", server(readiness(handler.Ready)), s.Ready); err != nil {
 		return err
 	}
-	clients, err := servers.start("clients", front, s.Clients, listener.Identify(requestID), listener.Limit(clientLimits(st)))
+	clients, err := servers.start("clients", front, s.Clients, listener.WithRequestName(requestID), listener.WithLimits(clientLimits(st)))
 	if err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 // runController serves the operator, the workers and the other daemons until
 // SIGTERM.
 func runController(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
-	clock := systemclock.NewSteady()
+	clock := systemclock.NewBootClock()
 	c, err := controller.New(controller.Settings{
 		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.Folder, Bootstrap: s.Found, Seeds: s.PeerSeeds,
 		HeartbeatTimeout: aliveBeats * s.Heartbeat, DialOptions: dialOptions(),
@@ -207,14 +207,14 @@
 	if err != nil {
 		return nil, err
 	}
-	options = append([]listener.Option{listener.Failed(func(err error) { s.failed <- err })}, options...)
+	options = append([]listener.Option{listener.WithFailureHandler(func(err error) { s.failed <- err })}, options...)
 	return listener.New(name, l, v, s.clock, s.log, options...), nil
 }
 
 // startMetrics serves the metrics, whose loss ends no request.
 func (s *servers) startMetrics(r *prometheus.Registry, address string) error {
 	_, err := s.start("metrics", server(promhttp.HandlerFor(r, promhttp.HandlerOpts{})), address,
-		listener.Failed(func(err error) { s.log.Error("The metrics are not served any more.", zap.Error(err)) }))
+		listener.WithFailureHandler(func(err error) { s.log.Error("The metrics are not served any more.", zap.Error(err)) }))
 	return err
 }
 
@@ -240,13 +240,13 @@
 
 // live returns the life of a daemon, which hands over the settings when the file has
 // changed.
-func live(s platform.Settings, signals lifecycle.Signals, log *zap.Logger, changed func(platform.Settings)) *lifecycle.Life {
-	return lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.Reload(reloadEvery, func() { s = reload(s, log, changed) }))
+func live(s platform.Settings, signals lifecycle.Signals, log *zap.Logger, changed func(platform.Settings)) *lifecycle.Manager {
+	return lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.WithReload(reloadEvery, func() { s = reload(s, log, changed) }))
 }
 
 // wait returns at the first request to stop, or with the error of a part that failed.
 // The daemon drains in both cases.
-func wait(l *lifecycle.Life, failed <-chan error, log *zap.Logger) error {
+func wait(l *lifecycle.Manager, failed <-chan error, log *zap.Logger) error {
 	select {
 	case <-l.Stopping():
 		return nil
--- a/internal/admission/gate/wait.go
+++ b/internal/admission/gate/wait.go
@@ -57,7 +57,7 @@
 	if !g.lane.Leave(w) && <-result == nil {
 		g.lane.Finish(w, 0, g.clock.Now())
 	}
-	return refusal.Because(refusal.Deadline, cause, "caller left the queue, not started")
+	return refusal.WithCause(refusal.Deadline, cause, "caller left the queue, not started")
 }
 
 func (g *lockedLane) wake() {
--- a/internal/admission/lane/lane.go
+++ b/internal/admission/lane/lane.go
@@ -118,7 +118,7 @@
 	}
 	if !l.waiting.Push(&w.item) {
 		l.counters.RefusedOverloaded++
-		return nil, refusal.New(refusal.Overloaded, "queue of pool %q has no room for account %q", l.pool, r.Account).After(l.retryAfter(l.estimatedWait(w)))
+		return nil, refusal.New(refusal.Overloaded, "queue of pool %q has no room for account %q", l.pool, r.Account).WithRetryAfter(l.retryAfter(l.estimatedWait(w)))
 	}
 	l.Wake(now)
 	return w, nil
@@ -217,7 +217,7 @@
 		return nil
 	}
 	l.counters.RefusedOverloaded++
-	return refusal.New(refusal.Overloaded, "pool %q has %v of work waiting, too much for the deadline", l.pool, wait).After(l.retryAfter(wait))
+	return refusal.New(refusal.Overloaded, "pool %q has %v of work waiting, too much for the deadline", l.pool, wait).WithRetryAfter(l.retryAfter(wait))
 }
 
 func (l *Lane) estimatedWait(w *Waiter) time.Duration {
@@ -245,12 +245,12 @@
 		return l.quietHoursError(l.quietLimit.RetryAfter(now))
 	}
 	l.counters.RefusedOverloaded++
-	return refusal.New(refusal.Overloaded, "pool %q had no free place before the deadline, not started", l.pool).After(l.retryAfter(0))
+	return refusal.New(refusal.Overloaded, "pool %q had no free place before the deadline, not started", l.pool).WithRetryAfter(l.retryAfter(0))
 }
 
 func (l *Lane) quietHoursError(wait time.Duration) error {
 	l.counters.RefusedQuietHours++
-	return refusal.New(refusal.QuietHours, "quiet hours bound the work in progress, not started").After(l.retryAfter(wait))
+	return refusal.New(refusal.QuietHours, "quiet hours bound the work in progress, not started").WithRetryAfter(l.retryAfter(wait))
 }
 
 // retryAfter returns the time after which a permit is likely to be free.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -246,7 +246,7 @@
 		select {
 		case <-newer:
 		case <-ctx.Done():
-			return nil, refusal.Because(refusal.NotReady, ctx.Err(), "release %d has not arrived here", newestVersion)
+			return nil, refusal.WithCause(refusal.NotReady, ctx.Err(), "release %d has not arrived here", newestVersion)
 		}
 	}
 }
--- a/internal/fleet/settings/keys.go
+++ b/internal/fleet/settings/keys.go
@@ -11,32 +11,33 @@
 	"github.com/bilberryrock/bilberryrock/internal/quorum"
 )
 
-// Key describes one key of the settings file, for documentation.
+// Key describes one key of the settings file and how its value is stored in Settings.
 type Key struct {
 	Section string
 	Name    string
-	// Unit says what the value is, such as "duration" or "address".
-	Unit string
-	// Default is the value in force if the key is missing. A required key has
-	// none.
+	// Type is the type of the value as it is documented, such as "duration" or
+	// "address".
+	Type string
+	// Default is the value that is used if the key is missing. It is empty if
+	// the key is required.
 	Default  string
 	Required bool
-	// Bounds says which values are allowed.
-	Bounds string
-	Help   string
-	set    func(s *Settings, value string) error
+	// Constraint describes the allowed values.
+	Constraint string
+	Help       string
+	set        func(s *Settings, value string) error
 }
 
-// Row returns the row of the table in docs/configuration.md.
+// Row returns the row for k of the table in docs/configuration.md.
 func (k Key) Row() string {
-	def := k.Default
+	defaultText := k.Default
 	if k.Required {
-		def = "required"
+		defaultText = "required"
 	}
-	return fmt.Sprintf("| `%s` | `%s` | %s | %s | %s | %s |", k.Section, k.Name, k.Unit, def, k.Bounds, k.Help)
+	return fmt.Sprintf("| `%s` | `%s` | %s | %s | %s | %s |", k.Section, k.Name, k.Type, defaultText, k.Constraint, k.Help)
 }
 
-// Keys returns all keys that a settings file may have, in the order of the
+// Keys returns all keys that a settings file may contain, in the order of the
 // documentation.
 func Keys() []Key {
 	var all []Key
@@ -61,7 +62,7 @@
 		text(section, "id", "name of the instance, unique in the fleet", func(s *Settings) *string { return (*string)(&s.Instance.ID) }).required(),
 		text(section, "dataCentre", "data centre of the instance", func(s *Settings) *string { return (*string)(&s.Instance.DataCentre) }).required(),
 		text(section, "dataFolder", "folder of the durable state; empty: the instance keeps none", func(s *Settings) *string { return &s.Instance.DataFolder }),
-		flag(section, "votes", "false", "whether the instance is a member of the replicated logs", func(s *Settings) *bool { return &s.Instance.Votes }),
+		boolean(section, "votes", "false", "whether the instance is a member of the replicated logs", func(s *Settings) *bool { return &s.Instance.Votes }),
 		number(section, "fleetSize", "16", 1, 1000, "greatest number of instances in the data centre", func(s *Settings) *int { return &s.Instance.FleetSize }),
 		duration(section, "drainDelay", "2s", 0, 5*time.Minute, "time between not ready and the first refusal in a graceful stop, for the balancer to notice", func(s *Settings) *time.Duration { return &s.Instance.DrainDelay }),
 		duration(section, "stopTimeout", "2m", time.Second, time.Hour, "greatest time of a graceful stop", func(s *Settings) *time.Duration { return &s.Instance.StopTimeout }),
@@ -83,7 +84,7 @@
 func membershipKeys() []Key {
 	const section = "membership"
 	return []Key{
-		list(section, "seeds", "gossip addresses of other instances, separated by commas", func(s *Settings) *[]string { return &s.Membership.Seeds }),
+		addressList(section, "seeds", "gossip addresses of other instances, separated by commas", func(s *Settings) *[]string { return &s.Membership.Seeds }),
 		secret(section, "secretFile", "file with the secret that authenticates gossip, at least 16 bytes", func(s *Settings) *[]byte { return &s.Membership.Secret }).required(),
 	}
 }
@@ -92,7 +93,7 @@
 	const section = "quorum"
 	return []Key{
 		custom(section, "voters", "list", "1@a@127.0.0.1:7004, ...", "first voter set: number@instance@address of the peers' listener, separated by commas", setVoters).required(),
-		duration(section, "tick", "50ms", 5*time.Millisecond, time.Second, "unit of election and heartbeat times", func(s *Settings) *time.Duration { return &s.Quorum.Tick }),
+		duration(section, "tick", "50ms", 5*time.Millisecond, time.Second, "unit of election and heartbeat times", func(s *Settings) *time.Duration { return &s.Quorum.TickInterval }),
 		number(section, "snapshotEntries", "1000", 10, 1000000, "log entries after which the log is compacted", func(s *Settings) *int { return &s.Quorum.SnapshotEntries }),
 		duration(section, "proposalTimeout", "5s", 100*time.Millisecond, time.Minute, "greatest wait for a commit", func(s *Settings) *time.Duration { return &s.Quorum.ProposalTimeout }),
 	}
@@ -120,7 +121,7 @@
 	const section = "upstreams"
 	return []Key{
 		secret(section, "tokenFile", "file with the token that authenticates announcements", func(s *Settings) *[]byte { return &s.Upstreams.Token }),
-		duration(section, "confirmationAge", "3s", 200*time.Millisecond, 3*time.Second, "greatest age of a confirmation for new work", func(s *Settings) *time.Duration { return &s.Upstreams.ConfirmationAge }),
+		duration(section, "confirmationAge", "3s", 200*time.Millisecond, 3*time.Second, "greatest age of a confirmation for new work", func(s *Settings) *time.Duration { return &s.Upstreams.HeartbeatTimeout }),
 		duration(section, "stepTimeout", "2s", 10*time.Millisecond, time.Minute, "greatest time of one step of an engine", func(s *Settings) *time.Duration { return &s.Upstreams.StepTimeout }),
 	}
 }
@@ -140,7 +141,7 @@
 func requestKeys() []Key {
 	const section = "requests"
 	return []Key{
-		duration(section, "deadline", "1m", 100*time.Millisecond, time.Hour, "time for an answer if the caller names none", func(s *Settings) *time.Duration { return &s.Requests.Deadline }),
+		duration(section, "deadline", "1m", 100*time.Millisecond, time.Hour, "time for an answer if the caller names none", func(s *Settings) *time.Duration { return &s.Requests.DefaultDeadline }),
 		duration(section, "maxDeadline", "10m", 100*time.Millisecond, 24*time.Hour, "greatest time that a caller may ask for", func(s *Settings) *time.Duration { return &s.Requests.MaxDeadline }),
 		number(section, "queueLength", "1000", 0, 1000000, "greatest number of waiting requests", func(s *Settings) *int { return &s.Requests.QueueLength }),
 	}
@@ -153,7 +154,7 @@
 		duration(section, "retention", "24h", 10*time.Minute, 10000*time.Hour, "time that the key of an order is kept", func(s *Settings) *time.Duration { return &s.Orders.Retention }),
 		number(section, "maxRecords", "50000", 1, 100000000, "greatest number of kept keys of a shard; at the bound new orders are refused", func(s *Settings) *int { return &s.Orders.MaxRecords }),
 		size(section, "maxBytes", "32MiB", 1<<20, 1<<40, "kept answers of a shard", func(s *Settings) *int64 { return &s.Orders.MaxBytes }),
-		size(section, "maxAnswer", "64KiB", 1<<10, 4<<20, "greatest answer of an order that is kept for replay", func(s *Settings) *int64 { return &s.Orders.MaxAnswer }),
+		size(section, "maxAnswer", "64KiB", 1<<10, 4<<20, "greatest answer of an order that is kept for replay", func(s *Settings) *int64 { return &s.Orders.MaxResponseBytes }),
 	}
 }
 
@@ -161,7 +162,7 @@
 	const section = "repair"
 	return []Key{
 		size(section, "layerBytes", "1GiB", 1, 1<<40, "size of the weights of one layer", func(s *Settings) *int64 { return &s.Repair.LayerBytes }),
-		size(section, "weightRate", "1GiB", 1, 1<<40, "what the engines of a data centre load from the weight store in a second", func(s *Settings) *int64 { return &s.Repair.WeightRate }),
+		size(section, "weightRate", "1GiB", 1, 1<<40, "what the engines of a data centre load from the weight store in a second", func(s *Settings) *int64 { return &s.Repair.WeightBytesPerSecond }),
 	}
 }
 
@@ -175,18 +176,18 @@
 
 func faultKeys() []Key {
 	return []Key{
-		flag("faults", "injection", "false", "whether the platform listener accepts POST /faults; for tests only", func(s *Settings) *bool { return &s.Faults.Injection }),
+		boolean("faults", "injection", "false", "whether the platform listener accepts POST /faults; for tests only", func(s *Settings) *bool { return &s.Faults.Injection }),
 	}
 }
 
 func setVoters(s *Settings, value string) error {
-	s.Quorum.Voters = nil
+	s.Quorum.InitialVoters = nil
 	for _, item := range splitList(value) {
 		v, err := parseVoter(item)
 		if err != nil {
 			return err
 		}
-		s.Quorum.Voters = append(s.Quorum.Voters, v)
+		s.Quorum.InitialVoters = append(s.Quorum.InitialVoters, v)
 	}
 	return nil
 }
@@ -194,11 +195,11 @@
 func parseVoter(item string) (Voter, error) {
 	fields := strings.Split(item, "@")
 	if len(fields) != 3 {
-		return Voter{}, fail("%q is not of the form number@instance@address", item)
+		return Voter{}, errorf("%q is not of the form number@instance@address", item)
 	}
 	id, err := strconv.ParseUint(fields[0], 10, 64)
 	if err != nil || id == 0 {
-		return Voter{}, fail("%q: the voter number is not a positive integer", item)
+		return Voter{}, errorf("%q: the voter number is not a positive integer", item)
 	}
 	if err := checkAddress(fields[2]); err != nil {
 		return Voter{}, err
@@ -211,10 +212,10 @@
 	for _, item := range splitList(value) {
 		team, digest, ok := strings.Cut(item, ":")
 		if !ok || team == "" || len(digest) != 64 || strings.Trim(digest, "0123456789abcdef") != "" {
-			return fail("an item is not of the form team:sha256 with 64 lower-case hexadecimal digits")
+			return errorf("an item is not of the form team:sha256 with 64 lower-case hexadecimal digits")
 		}
-		if _, taken := s.Operators.Tokens[digest]; taken {
-			return fail("two items have the same SHA-256")
+		if _, duplicate := s.Operators.Tokens[digest]; duplicate {
+			return errorf("two items have the same SHA-256")
 		}
 		s.Operators.Tokens[digest] = fleet.TeamID(team)
 	}
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -258,7 +258,7 @@
 		q.body, err = io.ReadAll(io.LimitReader(q.r.Body, limit+1))
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return refusal.Because(refusal.NoUpstream, err, "request body not received before the deadline")
+		return refusal.WithCause(refusal.NoUpstream, err, "request body not received before the deadline")
 	}
 	if err == nil && int64(len(q.body)) > limit {
 		// Keep the read deadline, because net/http goes on reading the body before it
@@ -269,7 +269,7 @@
 		err = control.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
-		return refusal.Because(refusal.BadRequest, err, "read request body")
+		return refusal.WithCause(refusal.BadRequest, err, "read request body")
 	}
 	return nil
 }
@@ -421,20 +421,20 @@
 	case q.r.Context().Err() != nil:
 		q.outcome = "clientGone"
 	case q.possibleRuns == 0 && ctx.Err() != nil:
-		q.refuse(refusal.Because(refusal.NoUpstream, q.lastErr, "no upstream accepted the request before the deadline"))
+		q.refuse(refusal.WithCause(refusal.NoUpstream, q.lastErr, "no upstream accepted the request before the deadline"))
 	case q.possibleRuns == 0:
-		q.refuse(refusal.Because(refusal.NoUpstream, q.lastErr, "no upstream accepted the request"))
+		q.refuse(refusal.WithCause(refusal.NoUpstream, q.lastErr, "no upstream accepted the request"))
 	case ctx.Err() != nil:
-		q.refuse(refusal.Because(refusal.Deadline, q.lastErr, "no response before the deadline"))
+		q.refuse(refusal.WithCause(refusal.Deadline, q.lastErr, "no response before the deadline"))
 	default:
-		q.refuse(refusal.Because(refusal.UpstreamFailed, q.lastErr, "no upstream returned a valid response"))
+		q.refuse(refusal.WithCause(refusal.UpstreamFailed, q.lastErr, "no upstream returned a valid response"))
 	}
 }
 
 // refuse sends an error response of the gateway itself.
 func (q *request) refuse(err error) {
 	kind := refusal.KindOf(err)
-	a := kind.Answer()
+	a := kind.Response()
 	q.lastErr = err
 	q.outcome = a.Code
 	q.status = a.Status
--- a/internal/gateway/forward/plain.go
+++ b/internal/gateway/forward/plain.go
@@ -116,7 +116,7 @@
 	defer x.Close()
 	reply := q.codec.DecodeResponse(x.Response.StatusCode, x.Response.Header)
 	if reply.NotRun {
-		return nil, notRun, refusal.Because(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request",
+		return nil, notRun, refusal.WithCause(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request",
 			t.ID, x.Response.StatusCode)
 	}
 	body, err := x.ReadBody(maxBufferedBytes)
--- a/internal/gateway/forward/stream.go
+++ b/internal/gateway/forward/stream.go
@@ -254,7 +254,7 @@
 	reply := s.codec.DecodeResponse(x.Response.StatusCode, x.Response.Header)
 	if reply.NotRun {
 		s.recordRefusal(reply, x.Response.StatusCode, s.clock.Now().Sub(sent))
-		return false, notRun, refusal.Because(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request, engine at fault: %.64q",
+		return false, notRun, refusal.WithCause(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request, engine at fault: %.64q",
 			t.target.ID, x.Response.StatusCode, reply.At)
 	}
 	if err := s.verifyResponse(reply, x.Response, t.target); err != nil {
--- a/internal/membership/packet/codec.go
+++ b/internal/membership/packet/codec.go
@@ -13,60 +13,62 @@
 	gossipv1 "github.com/bilberryrock/bilberryrock/api/gossip/v1"
 )
 
-// MaxPacket bounds a datagram in bytes.
+// MaxPacket is the maximum size of a datagram in bytes.
 const MaxPacket = 1400
 
-// MinSecret is the least length of the shared secret in bytes.
+// MinSecret is the minimum length of the shared secret in bytes.
 const MinSecret = 16
 
-// codeSize is the length of the authentication code: HMAC-SHA-256 cut to 128
-// bits, which RFC 2104, section 5, allows.
-const codeSize = sha256.Size / 2
+// macSize is the length of the message authentication code in bytes:
+// HMAC-SHA-256 truncated to 128 bits, which RFC 2104, section 5, allows.
+const macSize = sha256.Size / 2
 
-// windowSize is the number of datagrams of one sender by which one may be late.
+// windowSize is the number of datagrams of one sender by which a datagram may
+// be out of order and still be accepted.
 const windowSize = 64
 
-// bootRetention is the time after the last datagram of a process for which
-// datagrams of earlier processes of the same instance are refused.
+// bootRetention is the period after the last datagram of a process during which
+// datagrams from earlier processes of the same instance are rejected.
 const bootRetention = time.Minute
 
-// Errors of datagrams that are not accepted.
+// Errors for datagrams that are rejected.
 var (
-	errCode     = errors.New("the authentication code is wrong")
-	errRepeated = errors.New("the datagram was received before or is too old")
+	errBadMAC   = errors.New("message authentication code does not match")
+	errReplayed = errors.New("datagram is a replay or too old")
 )
 
-// Codec turns messages into authenticated datagrams and back. It refuses a
-// datagram that it has accepted before. It is safe for concurrent use.
+// Codec encodes messages as authenticated datagrams and decodes them. It rejects
+// replayed datagrams. It is safe for concurrent use.
 type Codec struct {
 	macs sync.Pool
 	boot uint64
 
-	mu      sync.Mutex
-	count   uint64
-	windows map[string]*window
+	mu            sync.Mutex
+	count         uint64
+	replayWindows map[string]*replayWindow
 }
 
-// window tells which datagrams of one process were received: highest, and one
-// bit for each of the 64 before it.
-type window struct {
-	boot    uint64
-	highest uint64
-	seen    uint64
-	last    time.Time
+// replayWindow records which datagrams of one process were received: the highest
+// counter and one bit for each of the 64 counters before it.
+type replayWindow struct {
+	boot         uint64
+	highest      uint64
+	seen         uint64
+	lastReceived time.Time
 }
 
-// NewCodec returns a Codec for a process that started with incarnation boot.
+// NewCodec returns a Codec for a process that started with incarnation boot. The
+// secret must have at least MinSecret bytes.
 func NewCodec(secret []byte, boot uint64) (*Codec, error) {
 	if len(secret) < MinSecret {
-		return nil, errors.Errorf("the gossip secret has %d bytes, fewer than %d", len(secret), MinSecret)
+		return nil, errors.Errorf("gossip secret has %d bytes, less than the minimum of %d", len(secret), MinSecret)
 	}
-	c := &Codec{boot: boot, windows: make(map[string]*window)}
+	c := &Codec{boot: boot, replayWindows: make(map[string]*replayWindow)}
 	c.macs.New = func() any { return hmac.New(sha256.New, secret) }
 	return c, nil
 }
 
-// Encode returns the datagram of m.
+// Encode returns m as an authenticated datagram.
 func (c *Codec) Encode(m *gossipv1.Message) ([]byte, error) {
 	c.mu.Lock()
 	c.count++
@@ -76,62 +78,63 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode gossip message")
 	}
-	packet, err := proto.Marshal(&gossipv1.Frame{Code: c.code(body), Body: body})
+	packet, err := proto.Marshal(&gossipv1.Frame{Code: c.computeMAC(body), Body: body})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode gossip frame")
 	}
 	if len(packet) > MaxPacket {
-		return nil, errors.Errorf("gossip datagram has %d bytes, more than %d", len(packet), MaxPacket)
+		return nil, errors.Errorf("gossip datagram has %d bytes, more than the maximum of %d", len(packet), MaxPacket)
 	}
 	return packet, nil
 }
 
-// Decode returns the message of a datagram that was received at now.
+// Decode authenticates a datagram that was received at now and returns its
+// message.
 func (c *Codec) Decode(packet []byte, now time.Time) (*gossipv1.Message, error) {
 	var frame gossipv1.Frame
 	if err := proto.Unmarshal(packet, &frame); err != nil {
-		return nil, errCode
+		return nil, errBadMAC
 	}
-	if !hmac.Equal(frame.Code, c.code(frame.Body)) {
-		return nil, errCode
+	if !hmac.Equal(frame.Code, c.computeMAC(frame.Body)) {
+		return nil, errBadMAC
 	}
 	var body gossipv1.Body
 	if err := proto.Unmarshal(frame.Body, &body); err != nil {
 		return nil, errors.Wrap(err, "decode gossip message")
 	}
 	if body.Message == nil {
-		return nil, errors.New("the datagram has no message")
+		return nil, errors.New("gossip datagram has no message")
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.admit(body.Message.From, body.Boot, body.Count, now) {
-		return nil, errRepeated
+	if !c.accept(body.Message.From, body.Boot, body.Count, now) {
+		return nil, errReplayed
 	}
 	return body.Message, nil
 }
 
-func (c *Codec) code(body []byte) []byte {
+func (c *Codec) computeMAC(body []byte) []byte {
 	mac := c.macs.Get().(hash.Hash)
 	defer c.macs.Put(mac)
 	mac.Reset()
 	mac.Write(body)
-	return mac.Sum(nil)[:codeSize]
+	return mac.Sum(nil)[:macSize]
 }
 
-func (c *Codec) admit(from string, boot, count uint64, now time.Time) bool {
-	w, ok := c.windows[from]
-	if !ok || boot > w.boot || (boot < w.boot && now.Sub(w.last) > bootRetention) {
-		c.windows[from] = &window{boot: boot, highest: count, last: now}
+func (c *Codec) accept(from string, boot, count uint64, now time.Time) bool {
+	w, ok := c.replayWindows[from]
+	if !ok || boot > w.boot || (boot < w.boot && now.Sub(w.lastReceived) > bootRetention) {
+		c.replayWindows[from] = &replayWindow{boot: boot, highest: count, lastReceived: now}
 		return true
 	}
-	if boot < w.boot || !w.admit(count) {
+	if boot < w.boot || !w.accept(count) {
 		return false
 	}
-	w.last = now
+	w.lastReceived = now
 	return true
 }
 
-func (w *window) admit(count uint64) bool {
+func (w *replayWindow) accept(count uint64) bool {
 	if count > w.highest {
 		w.advance(count - w.highest)
 		w.highest = count
@@ -149,8 +152,9 @@
 	return true
 }
 
-// advance moves the window by n. The former highest becomes one of the bits.
-func (w *window) advance(n uint64) {
+// advance shifts the window by n. The previous highest counter becomes one of
+// the bits.
+func (w *replayWindow) advance(n uint64) {
 	if n > windowSize {
 		w.seen = 0
 		return
@@ -158,14 +162,14 @@
 	w.seen = w.seen<<n | 1<<(n-1)
 }
 
-// Forget drops the state of senders that were silent for longer than d, so that
-// it stays bounded.
+// Forget deletes the replay windows of senders from which nothing was received
+// for longer than d, which bounds the memory used for them.
 func (c *Codec) Forget(d time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for from, w := range c.windows {
-		if now.Sub(w.last) > d {
-			delete(c.windows, from)
+	for from, w := range c.replayWindows {
+		if now.Sub(w.lastReceived) > d {
+			delete(c.replayWindows, from)
 		}
 	}
 }
--- a/internal/order/ledger/placement_test.go
+++ b/internal/order/ledger/placement_test.go
@@ -5,18 +5,19 @@
 	"testing"
 )
 
-// The model of the design page: three data centres, 0.25 ms one way between them.
-// The time for a sync and the latency inside a data centre are assumptions.
+// The latency model of the design page: three data centres with a one-way delay of
+// 0.25 ms between them. The sync time and the one-way delay inside a data centre are
+// assumptions.
 const (
-	between = 0.25 // ms
-	within  = 0.05 // ms
-	sync1   = 0.50 // ms
-	sites   = 3
+	interDelay  = 0.25 // ms
+	intraDelay  = 0.05 // ms
+	syncTime    = 0.50 // ms
+	dataCentres = 3
 )
 
-// placement is a set of groups, each with the data centres of its voters. The
-// first voter is the leader. Accounts are spread evenly over the groups, and
-// orders enter in every data centre.
+// placement is a set of groups, each given by the data centres of its voters. The
+// first voter is the leader. Accounts are distributed evenly over the groups, and
+// orders arrive in every data centre.
 type placement struct {
 	name   string
 	groups [][]int
@@ -30,61 +31,61 @@
 	{"group per data centre, 2 voters", [][]int{{0, 0}, {1, 1}, {2, 2}}},
 }
 
-// failure says what fails, by data centre: one that is cut off, or one whose
-// first voter lost its disk. None is -1.
-type failure struct{ cut, disk int }
+// failure names the data centre that is cut off, and the one where the first voter
+// of each group lost its disk. -1 means none.
+type failure struct{ cutOff, diskLost int }
 
-func delay(a, b int) float64 {
+func oneWayDelay(a, b int) float64 {
 	if a == b {
-		return within
+		return intraDelay
 	}
-	return between
+	return interDelay
 }
 
-// served returns the share of the orders that enter in a data centre whose group
+// available returns the fraction of the orders arriving in a data centre whose group
 // has a reachable majority.
-func (p placement) served(site int, f failure) float64 {
-	good := 0
+func (p placement) available(dataCentre int, f failure) float64 {
+	withMajority := 0
 	for _, voters := range p.groups {
-		reached, lost := 0, f.disk
+		reachable, lostDisk := 0, f.diskLost
 		for _, v := range voters {
 			switch {
-			case v == lost:
-				lost = -1
-			case (v == f.cut) == (site == f.cut):
-				reached++
+			case v == lostDisk:
+				lostDisk = -1
+			case (v == f.cutOff) == (dataCentre == f.cutOff):
+				reachable++
 			}
 		}
-		if reached > len(voters)/2 {
-			good++
+		if reachable > len(voters)/2 {
+			withMajority++
 		}
 	}
-	return float64(good) / float64(len(p.groups))
+	return float64(withMajority) / float64(len(p.groups))
 }
 
-// latency returns the mean time that claim and finish add to an order.
+// latency returns the mean time in ms that claim and finish add to an order.
 func (p placement) latency() float64 {
 	sum := 0.0
-	for site := range sites {
+	for dataCentre := range dataCentres {
 		for _, voters := range p.groups {
-			sum += 2 * (2*delay(site, voters[0]) + commit(voters))
+			sum += 2 * (2*oneWayDelay(dataCentre, voters[0]) + commitTime(voters))
 		}
 	}
-	return sum / float64(sites*len(p.groups))
+	return sum / float64(dataCentres*len(p.groups))
 }
 
-// commit returns the time until a majority has synced. The leader syncs while it
-// sends.
-func commit(voters []int) float64 {
-	times := []float64{sync1}
+// commitTime returns the time in ms until a majority of the voters has synced. The
+// leader sends to the others while it syncs.
+func commitTime(voters []int) float64 {
+	times := []float64{syncTime}
 	for _, v := range voters[1:] {
-		times = append(times, sync1+2*delay(voters[0], v))
+		times = append(times, syncTime+2*oneWayDelay(voters[0], v))
 	}
 	slices.Sort(times)
 	return times[len(times)/2]
 }
 
-// BenchmarkPlacement compares one set of groups over all voters with a group for
+// BenchmarkPlacement compares groups that span all data centres with one group for
 // each data centre.
 func BenchmarkPlacement(b *testing.B) {
 	for _, p := range placements {
@@ -93,9 +94,9 @@
 				_ = p.latency()
 			}
 			b.ReportMetric(p.latency(), "ms/order")
-			b.ReportMetric(100*p.served(0, failure{0, -1}), "%cutOff")
-			b.ReportMetric(100*p.served(1, failure{0, -1}), "%others")
-			b.ReportMetric(100*p.served(1, failure{-1, 0}), "%diskLost")
+			b.ReportMetric(100*p.available(0, failure{0, -1}), "%cutOff")
+			b.ReportMetric(100*p.available(1, failure{0, -1}), "%others")
+			b.ReportMetric(100*p.available(1, failure{-1, 0}), "%diskLost")
 		})
 	}
 }
--- a/internal/pipeline/speeds/speeds.go
+++ b/internal/pipeline/speeds/speeds.go
@@ -1,7 +1,8 @@
-// Package speeds learns the times of engines from the steps that ran on them.
+// Package speeds estimates the speed of engines from the measured times of the
+// steps that ran on them.
 //
 //	s := speeds.New(initial)
-//	s.Observe(id, 4, 1, elapsed) // a step of 4 layers and 1 position
+//	s.Observe(u, 4, 1, elapsed) // a step of 4 layers and 1 position
 //	speed := s.Speed(u)
 package speeds
 
@@ -14,105 +15,108 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// weight is the share of a new observation in the average.
-const weight = 0.2
+// ewmaWeight is the weight of a new observation in the moving average.
+const ewmaWeight = 0.2
 
-// Learned implements pipeline.Speeds. An engine that was never used has the
-// speed of its accelerator, or else the initial one.
-type Learned struct {
+// Estimator implements pipeline.SpeedEstimator. An engine without observations has
+// the speed of its kind of accelerator or else the initial speed.
+type Estimator struct {
 	initial      pipeline.Speed
 	accelerators map[string]pipeline.Speed
-	factors      board.Shards[fleet.UpstreamID, factors]
+	corrections  board.ShardedMap[fleet.UpstreamID, correction]
 }
 
-// factors are the ratios of observed to expected times of one engine: for steps
-// of one position, and for the further positions of longer ones.
-type factors struct {
-	token, prompt, rate float64
+// correction holds the observations of one engine: the ratios of observed to
+// expected times for steps of one position (decode) and for the additional
+// positions of longer steps (prefill), and the throughput of its link in bytes per
+// second, which is zero until it is observed.
+type correction struct {
+	decode, prefill, linkRate float64
 }
 
-// Option changes a Learned.
-type Option func(*Learned)
+// Option configures an Estimator.
+type Option func(*Estimator)
 
-// WithAccelerator sets the first speed of engines on a kind of accelerator.
+// WithAccelerator sets the initial speed of engines on a kind of accelerator.
 func WithAccelerator(name string, s pipeline.Speed) Option {
-	return func(l *Learned) { l.accelerators[name] = s }
+	return func(l *Estimator) { l.accelerators[name] = s }
 }
 
-// New returns a Learned with the speed of engines of which nothing is known.
-func New(initial pipeline.Speed, options ...Option) *Learned {
-	l := &Learned{initial: initial, accelerators: make(map[string]pipeline.Speed)}
+// New returns an Estimator. Initial is the speed of engines whose kind of
+// accelerator has no speed of its own.
+func New(initial pipeline.Speed, options ...Option) *Estimator {
+	l := &Estimator{initial: initial, accelerators: make(map[string]pipeline.Speed)}
 	for _, o := range options {
 		o(l)
 	}
 	return l
 }
 
-// Speed implements pipeline.Speeds.
-func (l *Learned) Speed(u upstream.Upstream) pipeline.Speed {
-	s := l.first(u.Accelerator)
-	f, ok := l.factors.Get(u.ID)
+// Speed implements pipeline.SpeedEstimator.
+func (l *Estimator) Speed(u upstream.Upstream) pipeline.Speed {
+	s := l.initialSpeed(u.Accelerator)
+	f, ok := l.corrections.Get(u.ID)
 	if !ok {
 		return s
 	}
-	s.Fixed = scale(s.Fixed, f.token)
-	s.Layer = scale(s.Layer, f.token)
-	s.Position = scale(s.Position, f.prompt)
-	if f.rate > 0 {
-		s.BytesPerSecond = f.rate
+	s.FixedTime = scale(s.FixedTime, f.decode)
+	s.LayerTime = scale(s.LayerTime, f.decode)
+	s.PositionTime = scale(s.PositionTime, f.prefill)
+	if f.linkRate > 0 {
+		s.BytesPerSecond = f.linkRate
 	}
 	return s
 }
 
-// Observe learns from a step of an engine.
-func (l *Learned) Observe(u upstream.Upstream, layers, positions int, elapsed time.Duration) {
-	s := l.first(u.Accelerator)
-	single := s.Fixed + time.Duration(layers)*s.Layer
-	further := time.Duration(layers*(positions-1)) * s.Position
-	l.factors.Update(u.ID, func(f factors, ok bool) (factors, bool) {
+// Observe records the time of a step on an engine.
+func (l *Estimator) Observe(u upstream.Upstream, layers, positions int, elapsed time.Duration) {
+	s := l.initialSpeed(u.Accelerator)
+	expectedDecode := s.FixedTime + time.Duration(layers)*s.LayerTime
+	expectedPrefill := time.Duration(layers*(positions-1)) * s.PositionTime
+	l.corrections.Update(u.ID, func(f correction, ok bool) (correction, bool) {
 		if !ok {
-			f = factors{token: 1, prompt: 1}
+			f = correction{decode: 1, prefill: 1}
 		}
-		if positions == 1 && single > 0 {
-			f.token = blend(f.token, float64(elapsed)/float64(single))
+		if positions == 1 && expectedDecode > 0 {
+			f.decode = ewma(f.decode, float64(elapsed)/float64(expectedDecode))
 		}
-		if positions > 1 && further > 0 {
-			rest := max(elapsed-scale(single, f.token), 0)
-			f.prompt = blend(f.prompt, float64(rest)/float64(further))
+		if positions > 1 && expectedPrefill > 0 {
+			observedPrefill := max(elapsed-scale(expectedDecode, f.decode), 0)
+			f.prefill = ewma(f.prefill, float64(observedPrefill)/float64(expectedPrefill))
 		}
 		return f, true
 	})
 }
 
-// ObserveTransfer learns the rate of a link from the transfer of bytes.
-func (l *Learned) ObserveTransfer(u upstream.Upstream, bytes int, elapsed time.Duration) {
+// ObserveTransfer records a transfer over the link of an engine.
+func (l *Estimator) ObserveTransfer(u upstream.Upstream, bytes int, elapsed time.Duration) {
 	if elapsed <= 0 || bytes <= 0 {
 		return
 	}
 	rate := float64(bytes) / elapsed.Seconds()
-	l.factors.Update(u.ID, func(f factors, ok bool) (factors, bool) {
+	l.corrections.Update(u.ID, func(f correction, ok bool) (correction, bool) {
 		if !ok {
-			f = factors{token: 1, prompt: 1}
+			f = correction{decode: 1, prefill: 1}
 		}
-		if f.rate == 0 {
-			f.rate = rate
+		if f.linkRate == 0 {
+			f.linkRate = rate
 		}
-		f.rate = blend(f.rate, rate)
+		f.linkRate = ewma(f.linkRate, rate)
 		return f, true
 	})
 }
 
-// Forget drops what was learned of an upstream that is gone.
-func (l *Learned) Forget(id fleet.UpstreamID) { l.factors.Delete(id) }
+// Forget deletes the observations of an upstream that has left.
+func (l *Estimator) Forget(id fleet.UpstreamID) { l.corrections.Delete(id) }
 
-func (l *Learned) first(accelerator string) pipeline.Speed {
+func (l *Estimator) initialSpeed(accelerator string) pipeline.Speed {
 	if s, ok := l.accelerators[accelerator]; ok {
 		return s
 	}
 	return l.initial
 }
 
-func blend(old, observed float64) float64 { return old + weight*(observed-old) }
+func ewma(old, observed float64) float64 { return old + ewmaWeight*(observed-old) }
 
 func scale(d time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(d) * factor)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -114,7 +114,7 @@
 	// ExpectedOrders is the precondition: the number of orders that the engine must have
 	// accepted so far.
 	ExpectedOrders uint64
-	Fence          fleet.Fence
+	Fence          fleet.FencingToken
 	// Valid reports whether the order may still be sent. It is called once the
 	// connection is open, right before the order is written.
 	Valid func() bool
--- a/internal/placement/placer/placer.go
+++ b/internal/placement/placer/placer.go
@@ -49,7 +49,7 @@
 
 // Leadership reports whether this instance is the leader now, and with which fence.
 type Leadership interface {
-	Leading() (fleet.Fence, bool)
+	Leading() (fleet.FencingToken, bool)
 }
 
 // Releases returns the active release, or nil.
@@ -80,7 +80,7 @@
 	mu            sync.Mutex
 	engines       map[engineKey]*engineState
 	failedAt      map[fleet.UpstreamID]time.Time // when gateways last reported a failure
-	fence         fleet.Fence
+	fence         fleet.FencingToken
 	settlingSince time.Time // start of the leadership, or when its first engine was seen
 }
 
@@ -280,13 +280,13 @@
 
 // stillLeads reports whether this instance is still the leader with a fence. The process
 // may have been paused since the order was planned, and another instance may lead now.
-func (p *Placer) stillLeads(fence fleet.Fence) bool {
+func (p *Placer) stillLeads(fence fleet.FencingToken) bool {
 	f, ok := p.leadership.Leading()
 	return ok && f == fence
 }
 
 // finishCall applies the result of a call, unless the fence has changed since.
-func (p *Placer) finishCall(k *engineState, fence fleet.Fence, apply func()) {
+func (p *Placer) finishCall(k *engineState, fence fleet.FencingToken, apply func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k.calling = false
--- a/internal/placement/placer/placer_test.go
+++ b/internal/placement/placer/placer_test.go
@@ -21,16 +21,16 @@
 // leadership is a Leadership whose fence a test can change. Fence 0 means not leading.
 type leadership struct {
 	mu    sync.Mutex
-	fence fleet.Fence
+	fence fleet.FencingToken
 }
 
-func (l *leadership) Leading() (fleet.Fence, bool) {
+func (l *leadership) Leading() (fleet.FencingToken, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fence, l.fence > 0
 }
 
-func (l *leadership) set(f fleet.Fence) {
+func (l *leadership) set(f fleet.FencingToken) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fence = f
@@ -72,7 +72,7 @@
 
 // orderValidAfterChange lets a placer plan its first order, changes the fence to next, and
 // returns whether the order is then still valid.
-func orderValidAfterChange(t *testing.T, next fleet.Fence) bool {
+func orderValidAfterChange(t *testing.T, next fleet.FencingToken) bool {
 	clock := fakeclock.New(fakeclock.Start)
 	registryCatalog := catalog.New(clock)
 	entry := registry.Entry{
--- a/internal/quorum/quorumtest/quorumtest.go
+++ b/internal/quorum/quorumtest/quorumtest.go
@@ -94,7 +94,7 @@
 
 func (p *Proposer) group(ctx context.Context, id quorum.GroupID) (*group, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, refusal.Because(refusal.NotReady, err, "group %q did not receive the request", id)
+		return nil, refusal.WithCause(refusal.NotReady, err, "group %q did not receive the request", id)
 	}
 	g, ok := p.groups[id]
 	if !ok {
--- a/internal/quorum/voter/client_test.go
+++ b/internal/quorum/voter/client_test.go
@@ -63,7 +63,7 @@
 	leaderPeer := serve(t, is, leader)
 	follower := &fakePeer{propose: func() (*peerv1.ProposeReply, error) {
 		return &peerv1.ProposeReply{Refusal: &peerv1.Refusal{
-			Code: refusal.NotReady.Answer().Code, Leader: leaderPeer.Address, LeaderInstance: string(leaderPeer.Instance),
+			Code: refusal.NotReady.Response().Code, Leader: leaderPeer.Address, LeaderInstance: string(leaderPeer.Instance),
 		}}, nil
 	}}
 	unreachable := Peer{Instance: "dead", Address: "127.0.0.1:1"}
--- a/internal/quorum/voter/group.go
+++ b/internal/quorum/voter/group.go
@@ -126,7 +126,7 @@
 	select {
 	case g.inbox <- func(m *member) { f(m, d) }:
 	case <-ctx.Done():
-		return nil, refusal.Because(refusal.NotReady, ctx.Err(), "group %q is busy", g.id)
+		return nil, refusal.WithCause(refusal.NotReady, ctx.Err(), "group %q is busy", g.id)
 	case <-g.stopped:
 		return nil, refusal.New(refusal.Stopping, "voter is stopping")
 	}
--- a/internal/quorum/voter/member.go
+++ b/internal/quorum/voter/member.go
@@ -550,7 +550,7 @@
 
 // notRunning returns the error of requests after the replica has failed.
 func (m *member) notRunning() error {
-	return refusal.Because(refusal.NotReady, m.failure, "group %q does not run here", m.group)
+	return refusal.WithCause(refusal.NotReady, m.failure, "group %q does not run here", m.group)
 }
 
 // rejected returns the error of a request that was certainly not run. It names the
@@ -560,7 +560,7 @@
 	if errors.Is(err, replica.ErrBusy) {
 		kind = refusal.Overloaded
 	}
-	e := refusal.Because(kind, err, "group %q", m.group)
+	e := refusal.WithCause(kind, err, "group %q", m.group)
 	if v, ok := m.replica.Voter(m.replica.Leader()); ok && v.ID != m.options.ID {
 		return &leaderHint{refusal: e, address: v.Address, instance: v.Instance}
 	}
--- a/internal/quorum/voter/world_test.go
+++ b/internal/quorum/voter/world_test.go
@@ -555,7 +555,7 @@
 	if err == nil {
 		return "done"
 	}
-	return refusal.KindOf(err).Answer().Code
+	return refusal.KindOf(err).Response().Code
 }
 
 func boolToInt(b bool) int {
--- a/internal/registry/catalog/catalog_test.go
+++ b/internal/registry/catalog/catalog_test.go
@@ -78,7 +78,7 @@
 	d.ScanArgs(t, "state", &state)
 	d.ScanArgs(t, "born", &incarnation)
 	d.ScanArgs(t, "sequence", &sequence)
-	s, err := fleet.ParseName[registry.State](state, 4)
+	s, err := fleet.ParseEnum[registry.State](state, 4)
 	if err != nil {
 		d.Fatalf(t, "%v", err)
 	}
--- a/internal/routing/dispatch/dispatch.go
+++ b/internal/routing/dispatch/dispatch.go
@@ -44,7 +44,7 @@
 	clock  fleet.Clock
 	budget Budget
 	trail  report.Trail
-	pools  board.Shards[fleet.PoolID, *pool.Pool]
+	pools  board.ShardedMap[fleet.PoolID, *pool.Pool]
 }
 
 // Option configures a Dispatcher.
@@ -153,8 +153,8 @@
 		return a
 	}
 	next.sent = next.sent || a.sent
-	if next.err != nil && refusal.KindOf(next.err).Answer().NotRun && next.sent {
-		next.err = refusal.Because(refusal.UpstreamFailed, next.err, "an earlier attempt may have run")
+	if next.err != nil && refusal.KindOf(next.err).Response().NotRun && next.sent {
+		next.err = refusal.WithCause(refusal.UpstreamFailed, next.err, "an earlier attempt may have run")
 	}
 	return next
 }
--- a/internal/routing/dispatch/dispatch_test.go
+++ b/internal/routing/dispatch/dispatch_test.go
@@ -56,7 +56,7 @@
 		return upstream.Response{Status: status}, nil
 	}
 	for _, k := range refusal.Kinds() {
-		if k.Answer().Code == next {
+		if k.Response().Code == next {
 			return upstream.Response{}, refusal.New(k, "%s", next)
 		}
 	}
@@ -88,7 +88,7 @@
 		}
 		result := fmt.Sprint(answer.Status)
 		if err != nil {
-			kind := refusal.KindOf(err).Answer()
+			kind := refusal.KindOf(err).Response()
 			result = fmt.Sprintf("%s notRun=%t", kind.Code, kind.NotRun)
 		}
 		return fmt.Sprintf("%s\ncalls=%d distinct=%d\n", result, len(s.calledIDs), len(distinct))
--- a/internal/upstream/fencing/fencing_test.go
+++ b/internal/upstream/fencing/fencing_test.go
@@ -404,7 +404,7 @@
 }
 
 func errorText(err error) string {
-	out := refusal.KindOf(err).Answer().Code
+	out := refusal.KindOf(err).Response().Code
 	if e, ok := err.(*refusal.Error); ok && e.RetryAfter > 0 {
 		out += fmt.Sprintf(" retry after %v", e.RetryAfter.Round(100*time.Millisecond))
 	}
--- a/internal/upstream/roster/roster.go
+++ b/internal/upstream/roster/roster.go
@@ -78,8 +78,8 @@
 	dataCentre       fleet.DataCentreID
 	heartbeatTimeout time.Duration
 	retention        time.Duration
-	entries          board.Shards[fleet.UpstreamID, *entry]
-	pools            board.Shards[fleet.PoolID, *pool]
+	entries          board.ShardedMap[fleet.UpstreamID, *entry]
+	pools            board.ShardedMap[fleet.PoolID, *pool]
 	revision         atomic.Uint64
 	conflicts        atomic.Uint64
 	lastResume       atomic.Pointer[time.Time]
--- a/internal/upstream/standin/command.go
+++ b/internal/upstream/standin/command.go
@@ -17,7 +17,7 @@
 
 // commands is the state of an engine that commands change.
 type commands struct {
-	fence fleet.Fence
+	fence fleet.FencingToken
 	// known holds the commands that were accepted, by id.
 	known map[string]upstream.Command
 	// local holds the roles whose weights are on the engine.
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -147,13 +147,13 @@
 
 // Command asks an engine to load a model or to change its role.
 type Command struct {
-	ID      string        `json:"id"`
-	Fence   fleet.Fence   `json:"fence"`
-	Kind    CommandKind   `json:"kind"`
-	Model   fleet.ModelID `json:"model"`
-	Version string        `json:"version"`
-	Adapter string        `json:"adapter,omitempty"`
-	Layers  LayerRange    `json:"layers"`
+	ID      string             `json:"id"`
+	Fence   fleet.FencingToken `json:"fence"`
+	Kind    CommandKind        `json:"kind"`
+	Model   fleet.ModelID      `json:"model"`
+	Version string             `json:"version"`
+	Adapter string             `json:"adapter,omitempty"`
+	Layers  LayerRange         `json:"layers"`
 }
 
 // CallIDHeader is the header with the id of a call to an upstream, which the
