--- a/cmd/bilberryrock-standin/main.go
+++ b/cmd/bilberryrock-standin/main.go
@@ -177,7 +177,7 @@
 		CacheEventLag: o.EventLag, CacheEventLoss: o.EventLoss, LoadLag: o.LoadLag,
 		SessionTimeout: o.Session, LeaveGrace: o.LeaveGrace,
 		Weights: &standin.WeightStore{BytesPerSecond: o.WeightRate}, LayerBytes: o.LayerBytes,
-		OncePaths: o.OncePaths, Faults: faults, Seed: o.Seed,
+		AtMostOncePaths: o.OncePaths, Faults: faults, Seed: o.Seed,
 		Exit: func() { os.Exit(diedStatus) },
 	}, nil
 }
--- a/internal/upstream/standin/announcer.go
+++ b/internal/upstream/standin/announcer.go
@@ -12,22 +12,22 @@
 	"go.uber.org/zap"
 )
 
-// AnnounceInterval is the time between two announcements.
+// AnnounceInterval is the time between successive announcements.
 const AnnounceInterval = time.Second
 
-// Announcer posts the announcements of a Standin to one of several instances,
-// and to the next one when that fails.
+// Announcer posts the announcements of a Standin to one of several instances.
+// After a failure it moves on to the next instance.
 type Announcer struct {
-	standin *Standin
-	targets []string
-	token   string
-	client  *http.Client
-	logger  *zap.Logger
-	next    int
+	standin    *Standin
+	targets    []string
+	token      string
+	client     *http.Client
+	logger     *zap.Logger
+	nextTarget int
 }
 
-// NewAnnouncer returns an Announcer. Targets are base URLs of instances; token
-// is sent as a bearer token.
+// NewAnnouncer returns an Announcer for s. Targets are the base URLs of
+// instances; token is sent as a bearer token.
 func NewAnnouncer(s *Standin, targets []string, token string, logger *zap.Logger) *Announcer {
 	return &Announcer{
 		standin: s,
@@ -38,7 +38,8 @@
 	}
 }
 
-// Run announces every second until ctx ends.
+// Run sends an announcement every AnnounceInterval until ctx is done. It sends
+// none while the stand-in is frozen by a fault.
 func (a *Announcer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !a.standin.faults.get().Frozen {
@@ -51,21 +52,22 @@
 	}
 }
 
-// Announce sends one announcement, to each target in turn until one accepts it.
+// Announce sends one announcement, trying each target in turn until one accepts
+// it.
 func (a *Announcer) Announce(ctx context.Context) {
-	body, err := json.Marshal(a.standin.Announce())
+	body, err := json.Marshal(a.standin.NextAnnouncement())
 	if err != nil {
-		a.logger.Error("The announcement could not be encoded.", zap.Error(err))
+		a.logger.Error("Failed to encode the announcement.", zap.Error(err))
 		return
 	}
 	for range a.targets {
-		target := a.targets[a.next%len(a.targets)]
+		target := a.targets[a.nextTarget%len(a.targets)]
 		err := a.post(ctx, target, body)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		a.logger.Info("The announcement failed.", zap.String("target", target), zap.Error(err))
-		a.next++
+		a.logger.Info("Failed to send the announcement to an instance.", zap.String("target", target), zap.Error(err))
+		a.nextTarget++
 	}
 }
 
@@ -81,10 +83,10 @@
 		return err
 	}
 	defer response.Body.Close()
-	// Reading to the end lets the connection be used again.
+	// The connection is reused only if the body was read to the end.
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, 1<<16))
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return errors.Errorf("instance answered %s", response.Status)
+		return errors.Errorf("instance responded with status %s", response.Status)
 	}
 	return nil
 }
--- a/internal/upstream/standin/check.go
+++ b/internal/upstream/standin/check.go
@@ -9,8 +9,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// ReadRuns reads the lines that a Recorder wrote. A last line that is cut off,
-// as after a killed process, is left out.
+// ReadRuns reads the lines that a Recorder wrote. A truncated last line, as a
+// killed process leaves it, is ignored.
 func ReadRuns(r io.Reader) ([]Run, error) {
 	var runs []Run
 	decoder := json.NewDecoder(r)
@@ -21,43 +21,43 @@
 			return runs, nil
 		}
 		if err != nil {
-			return nil, errors.Wrap(err, "record file")
+			return nil, errors.Wrap(err, "decode record file")
 		}
 		runs = append(runs, run)
 	}
 }
 
-type execution struct {
+type executionKey struct {
 	request  fleet.RequestID
 	epoch    fleet.Epoch
 	position fleet.Position
 	layer    fleet.Layer
 }
 
-type layerOf struct {
+type layerKey struct {
 	request fleet.RequestID
 	layer   fleet.Layer
 }
 
-// CheckSteps checks the runs of all engines together: no layer ran twice for a
-// position of an epoch, and the positions that a layer ran, over all epochs,
-// have no gap.
+// CheckSteps verifies the runs of all engines together: no layer ran twice for the
+// same position and epoch, and the positions that a layer ran, over all
+// epochs, start at 0 and have no gap.
 func CheckSteps(runs []Run) error {
-	seen := make(map[execution]fleet.UpstreamID)
-	positions := make(map[layerOf]map[fleet.Position]bool)
+	seen := make(map[executionKey]fleet.UpstreamID)
+	positions := make(map[layerKey]map[fleet.Position]bool)
 	for _, r := range runs {
 		if r.What != "step" {
 			continue
 		}
 		for l := r.Layers.From; l < r.Layers.To; l++ {
 			for p := r.Position; p < r.Position+fleet.Position(r.Count); p++ {
-				x := execution{r.Request, r.Epoch, p, l}
-				if first, ok := seen[x]; ok {
-					return errors.Errorf("request %s epoch %d position %d layer %d ran on %q and on %q",
-						x.request, x.epoch, x.position, x.layer, first, r.Upstream)
+				key := executionKey{r.Request, r.Epoch, p, l}
+				if first, ok := seen[key]; ok {
+					return errors.Errorf("request %s: epoch %d position %d layer %d ran on %q and on %q",
+						key.request, key.epoch, key.position, key.layer, first, r.Upstream)
 				}
-				seen[x] = r.Upstream
-				k := layerOf{r.Request, l}
+				seen[key] = r.Upstream
+				k := layerKey{r.Request, l}
 				if positions[k] == nil {
 					positions[k] = make(map[fleet.Position]bool)
 				}
@@ -68,20 +68,21 @@
 	for k, covered := range positions {
 		for p := range fleet.Position(len(covered)) {
 			if !covered[p] {
-				return errors.Errorf("request %s layer %d never ran position %d", k.request, k.layer, p)
+				return errors.Errorf("request %s: layer %d never ran position %d", k.request, k.layer, p)
 			}
 		}
 	}
 	return nil
 }
 
-// CheckOnce checks that no idempotency key was run twice on paths that may not
-// be repeated. A call on such a path without a key counts by its body.
-func CheckOnce(runs []Run) error {
+// CheckAtMostOnce verifies that no idempotency key was run twice on at-most-once
+// paths. Calls on such a path without a key are identified by the digest of their
+// body.
+func CheckAtMostOnce(runs []Run) error {
 	type call struct{ method, path, key string }
 	seen := make(map[call]fleet.UpstreamID)
 	for _, r := range runs {
-		if r.What != "call" || !r.Once {
+		if r.What != "call" || !r.AtMostOnce {
 			continue
 		}
 		c := call{r.Method, r.Path, r.Key}
--- a/internal/upstream/standin/command.go
+++ b/internal/upstream/standin/command.go
@@ -8,28 +8,29 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// role is what an engine runs.
+// role is the model and the layer range that an engine serves.
 type role struct {
 	model            fleet.ModelID
 	version, adapter string
 	layers           upstream.LayerRange
 }
 
-// commands is the state of an engine that commands change.
-type commands struct {
-	fence fleet.Fence
-	// known holds the commands that were accepted, by id.
-	known map[string]upstream.Command
-	// local holds the roles whose weights are on the engine.
-	local map[role]bool
-	// loads are the loads in progress, the earliest first.
-	loads []load
+// commandState is the part of an engine's state that commands change.
+type commandState struct {
+	// fencingToken is the highest token of the accepted commands.
+	fencingToken fleet.Fence
+	// accepted holds the accepted commands by id.
+	accepted map[string]upstream.Command
+	// loaded holds the roles whose weights are loaded.
+	loaded map[role]bool
+	// loads holds the loads in progress, earliest completion first.
+	loads []weightLoad
 }
 
-// load is a role and the time at which its weights are there.
-type load struct {
-	role role
-	due  time.Time
+// weightLoad is the load of the weights of a role, complete at doneAt.
+type weightLoad struct {
+	role   role
+	doneAt time.Time
 }
 
 func (e *engine) serveCommand(w http.ResponseWriter, r *http.Request) {
@@ -37,80 +38,82 @@
 	if !readJSON(w, r, &c) {
 		return
 	}
-	respond(w, struct{}{}, e.command(c))
+	respond(w, struct{}{}, e.acceptCommand(c))
 }
 
-// command accepts c and starts what it asks for. The announcement changes when
-// that is done.
-func (e *engine) command(c upstream.Command) error {
+// acceptCommand validates c and starts its execution. The announcement changes
+// when the execution is complete. A repeated command has no further effect.
+func (e *engine) acceptCommand(c upstream.Command) error {
 	if c.ID == "" || c.Layers.Len() <= 0 || c.Layers.From < 0 || c.Layers.To > e.standin.config.TotalLayers {
-		return refuse(http.StatusBadRequest, "badRequest", "command without id or with layers %d:%d", c.Layers.From, c.Layers.To)
+		return protocolErrorf(http.StatusBadRequest, "badRequest", "command without id or with layers %d:%d", c.Layers.From, c.Layers.To)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	fenced := e.standin.config.Announcement.Fencing == upstream.RefusesOld
-	if fenced && c.Fence < e.commands.fence {
-		return refuse(http.StatusConflict, "staleFence", "fencing token %d is older than %d", c.Fence, e.commands.fence)
+	rejectsStale := e.standin.config.Announcement.Fencing == upstream.RefusesOld
+	if rejectsStale && c.Fence < e.commands.fencingToken {
+		return protocolErrorf(http.StatusConflict, "staleFence", "fencing token %d is older than %d", c.Fence, e.commands.fencingToken)
 	}
-	known, repeated := e.commands.known[c.ID]
-	if repeated && known != c {
-		return refuse(http.StatusConflict, "idReused", "command %q was used with another content", c.ID)
+	previous, repeated := e.commands.accepted[c.ID]
+	if repeated && previous != c {
+		return protocolErrorf(http.StatusConflict, "idReused", "command %q was used with another content", c.ID)
 	}
 	if repeated {
 		return nil
 	}
-	next := role{c.Model, c.Version, c.Adapter, c.Layers}
-	if c.Kind == upstream.ChangeRole && !e.commands.local[next] {
-		return refuse(http.StatusConflict, "notLoaded", "weights of layers %d:%d are not on the engine", c.Layers.From, c.Layers.To)
+	newRole := role{c.Model, c.Version, c.Adapter, c.Layers}
+	if c.Kind == upstream.ChangeRole && !e.commands.loaded[newRole] {
+		return protocolErrorf(http.StatusConflict, "notLoaded", "weights of layers %d:%d are not on the engine", c.Layers.From, c.Layers.To)
 	}
-	e.commands.fence = max(e.commands.fence, c.Fence)
-	e.commands.known[c.ID] = c
+	e.commands.fencingToken = max(e.commands.fencingToken, c.Fence)
+	e.commands.accepted[c.ID] = c
 	e.standin.config.Recorder.add(Run{
 		What: "command", Upstream: e.standin.config.Announcement.ID,
-		Command: c.ID, Fence: c.Fence, Layers: c.Layers,
+		Command: c.ID, FencingToken: c.Fence, Layers: c.Layers,
 	})
-	e.begin(c, next)
+	e.startLoad(c, newRole)
 	return nil
 }
 
-// begin starts to load the weights that are missing.
-func (e *engine) begin(c upstream.Command, next role) {
+// startLoad starts the load of the weights for newRole. It takes no time if they
+// are already loaded.
+func (e *engine) startLoad(c upstream.Command, newRole role) {
 	config := e.standin.config
-	missing := int64(c.Layers.Len()) * config.LayerBytes
-	if e.commands.local[next] {
-		missing = 0
+	loadBytes := int64(c.Layers.Len()) * config.LayerBytes
+	if e.commands.loaded[newRole] {
+		loadBytes = 0
 	}
-	due := config.Clock.Now().Add(config.Weights.Begin(config.Clock, missing))
-	e.commands.loads = append(e.commands.loads, load{next, due})
-	e.settle()
+	doneAt := config.Clock.Now().Add(config.Weights.StartLoad(config.Clock, loadBytes))
+	e.commands.loads = append(e.commands.loads, weightLoad{newRole, doneAt})
+	e.applyFinishedLoads()
 }
 
-// settle takes the roles whose loads are done.
-func (e *engine) settle() {
+// applyFinishedLoads switches to the roles whose loads are complete, in order.
+func (e *engine) applyFinishedLoads() {
 	now := e.standin.clock.Now()
-	for len(e.commands.loads) > 0 && !e.commands.loads[0].due.After(now) {
-		e.assume(e.commands.loads[0].role)
+	for len(e.commands.loads) > 0 && !e.commands.loads[0].doneAt.After(now) {
+		e.switchRole(e.commands.loads[0].role)
 		e.commands.loads = e.commands.loads[1:]
 	}
 }
 
-// assume takes a role. The caches of another role are lost.
-func (e *engine) assume(next role) {
-	e.commands.local[next] = true
-	if e.standin.assume(next) {
+// switchRole makes newRole the role of the engine. A change of the role drops all
+// KV caches and the prefix cache.
+func (e *engine) switchRole(newRole role) {
+	e.commands.loaded[newRole] = true
+	if e.standin.announceRole(newRole) {
 		clear(e.sessions)
-		e.prefix.clear()
+		e.prefixCache.clear()
 	}
 }
 
-// assume changes the announcement to a role and returns whether it differs.
-func (s *Standin) assume(next role) bool {
+// announceRole sets the role in the announcement and returns whether it changed.
+func (s *Standin) announceRole(newRole role) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := &s.announcement
-	if next == (role{a.Model, a.Version, a.Adapter, a.Layers}) {
+	if newRole == (role{a.Model, a.Version, a.Adapter, a.Layers}) {
 		return false
 	}
-	a.Model, a.Version, a.Adapter, a.Layers = next.model, next.version, next.adapter, next.layers
+	a.Model, a.Version, a.Adapter, a.Layers = newRole.model, newRole.version, newRole.adapter, newRole.layers
 	return true
 }
--- a/internal/upstream/standin/engine.go
+++ b/internal/upstream/standin/engine.go
@@ -12,7 +12,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// protocolError is an answer other than 200 of the engine protocol.
+// protocolError is an error response of the engine protocol.
 type protocolError struct {
 	status  int
 	code    string
@@ -21,27 +21,27 @@
 
 func (e *protocolError) Error() string { return e.code + ": " + e.message }
 
-func refuse(status int, code, format string, args ...any) *protocolError {
+func protocolErrorf(status int, code, format string, args ...any) *protocolError {
 	return &protocolError{status, code, fmt.Sprintf(format, args...)}
 }
 
-// engine runs steps in batches.
+// engine executes steps in batches.
 type engine struct {
 	standin *Standin
-	wake    chan struct{}
-	done    chan struct{}
-	ended   chan struct{}
+	wake    chan struct{} // signals that a step was queued
+	done    chan struct{} // closed by close
+	stopped chan struct{} // closed when the batch goroutine has returned
 
-	mu       sync.Mutex
-	sessions map[fleet.RequestID]*session
-	swept    time.Time
-	queue    []*job
-	running  int
-	arrivals uint64
-	seeds    map[seedKey]uint64
-	commands commands
+	mu          sync.Mutex
+	sessions    map[fleet.RequestID]*session
+	lastSweep   time.Time
+	queue       []*job
+	running     int
+	lastArrival uint64
+	seeds       map[seedKey]uint64
+	commands    commandState
 
-	prefix *prefixCache
+	prefixCache *prefixCache
 }
 
 type seedKey struct {
@@ -50,47 +50,47 @@
 	layer            fleet.Layer
 }
 
-// session is the KV cache of one request.
+// session is the KV cache of one request and the epoch that uses it.
 type session struct {
 	epoch fleet.Epoch
-	// ended tells that epoch was cancelled. A newer epoch opens the session again.
-	ended bool
-	// states holds, for each layer, the state after each position.
+	// cancelled tells that epoch was cancelled. A newer epoch reopens the session.
+	cancelled bool
+	// states holds the state after each position, by layer.
 	states map[fleet.Layer][]uint64
-	// last holds the newest result for each layer range of the current epoch.
-	last map[upstream.LayerRange]upstream.StepResult
-	used time.Time
+	// lastResults holds the latest result of the current epoch, by layer range.
+	lastResults map[upstream.LayerRange]upstream.StepResult
+	lastUsed    time.Time
 }
 
-// job is a step that waits for a batch.
+// job is a step that is queued for a batch.
 type job struct {
-	ctx     context.Context
-	step    upstream.Step
-	arrival uint64
-	cached  int // positions that came out of the prefix cache
-	result  upstream.StepResult
-	err     error
-	ready   chan struct{}
+	ctx             context.Context
+	step            upstream.Step
+	arrival         uint64
+	cachedPositions int // positions found in the prefix cache
+	result          upstream.StepResult
+	err             error
+	ready           chan struct{}
 }
 
 func newEngine(s *Standin) *engine {
 	e := &engine{
-		standin:  s,
-		wake:     make(chan struct{}, 1),
-		done:     make(chan struct{}),
-		ended:    make(chan struct{}),
-		sessions: make(map[fleet.RequestID]*session),
-		seeds:    make(map[seedKey]uint64),
-		prefix:   newPrefixCache(s.config),
-		commands: commands{
-			known: make(map[string]upstream.Command),
-			local: make(map[role]bool),
+		standin:     s,
+		wake:        make(chan struct{}, 1),
+		done:        make(chan struct{}),
+		stopped:     make(chan struct{}),
+		sessions:    make(map[fleet.RequestID]*session),
+		seeds:       make(map[seedKey]uint64),
+		prefixCache: newPrefixCache(s.config),
+		commands: commandState{
+			accepted: make(map[string]upstream.Command),
+			loaded:   make(map[role]bool),
 		},
 	}
 	a := s.config.Announcement
-	e.commands.local[role{a.Model, a.Version, a.Adapter, a.Layers}] = true
+	e.commands.loaded[role{a.Model, a.Version, a.Adapter, a.Layers}] = true
 	go func() {
-		defer close(e.ended)
+		defer close(e.stopped)
 		for {
 			select {
 			case <-e.done:
@@ -106,15 +106,15 @@
 
 func (e *engine) close() {
 	close(e.done)
-	<-e.ended
+	<-e.stopped
 }
 
-// step queues s and waits until a batch has run it.
+// step queues s and waits until a batch has executed it.
 func (e *engine) step(ctx context.Context, s upstream.Step) (upstream.StepResult, error) {
 	j := &job{ctx: ctx, step: s, ready: make(chan struct{})}
 	e.mu.Lock()
-	e.arrivals++
-	j.arrival = e.arrivals
+	e.lastArrival++
+	j.arrival = e.lastArrival
 	e.queue = append(e.queue, j)
 	e.mu.Unlock()
 	select {
@@ -127,18 +127,18 @@
 	case <-ctx.Done():
 		return upstream.StepResult{}, ctx.Err()
 	case <-e.done:
-		return upstream.StepResult{}, refuse(http.StatusServiceUnavailable, "stopping", "engine ended")
+		return upstream.StepResult{}, protocolErrorf(http.StatusServiceUnavailable, "stopping", "engine ended")
 	}
 }
 
-// runBatch runs the waiting steps of the highest priority, up to the batch
-// limit. It returns whether there was any.
+// runBatch executes the queued steps of the highest priority, up to the batch
+// limit. It returns false if the queue was empty or the engine was closed.
 func (e *engine) runBatch() bool {
-	batch := e.take()
+	batch := e.nextBatch()
 	if len(batch) == 0 {
 		return false
 	}
-	if !e.pause(e.batchTime(batch)) || !e.standin.faults.wait() {
+	if !e.sleep(e.batchTime(batch)) || !e.standin.faults.waitUntilResumed() {
 		return false
 	}
 	for _, j := range batch {
@@ -148,14 +148,17 @@
 	e.running = 0
 	e.sweep()
 	e.mu.Unlock()
-	// The answers come last, since they tell callers that the steps do not run any more.
+	// Callers are notified last: a response implies that the step is no longer
+	// counted as running.
 	for _, j := range batch {
 		close(j.ready)
 	}
 	return true
 }
 
-func (e *engine) take() []*job {
+// nextBatch removes the next batch from the queue: by priority, then in the order
+// of arrival.
+func (e *engine) nextBatch() []*job {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	sort.SliceStable(e.queue, func(i, k int) bool {
@@ -172,21 +175,23 @@
 	return batch
 }
 
+// batchTime returns the execution time of batch. Positions found in the prefix
+// cache add nothing to it.
 func (e *engine) batchTime(batch []*job) time.Duration {
 	config := e.standin.config
 	total := config.StepTime
 	for _, j := range batch {
 		if j.step.Position == 0 {
-			j.cached = e.prefix.touch(j.step.Input)
+			j.cachedPositions = e.prefixCache.insert(j.step.Input)
 		}
-		fresh := max(len(j.step.Input)-1-j.cached, 0)
-		total += time.Duration(fresh) * config.PositionTime
+		uncached := max(len(j.step.Input)-1-j.cachedPositions, 0)
+		total += time.Duration(uncached) * config.PositionTime
 	}
 	return total
 }
 
-// pause waits for d and returns false when the engine ends meanwhile.
-func (e *engine) pause(d time.Duration) bool {
+// sleep waits for d. It returns false if the engine is closed before that.
+func (e *engine) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -205,119 +210,123 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := j.step
-	if err := e.check(s); err != nil {
+	if err := e.validate(s); err != nil {
 		return upstream.StepResult{}, err
 	}
-	n, err := e.session(s.Request, s.Epoch)
+	sess, err := e.sessionFor(s.Request, s.Epoch)
 	if err != nil {
 		return upstream.StepResult{}, err
 	}
-	n.used = e.standin.clock.Now()
-	n.open(s.Epoch)
-	last, begun := n.last[s.Layers]
-	if begun && last.Position == s.Position && len(last.Output) == len(s.Input) {
-		return last, nil
+	sess.lastUsed = e.standin.clock.Now()
+	sess.startEpoch(s.Epoch)
+	lastResult, started := sess.lastResults[s.Layers]
+	if started && lastResult.Position == s.Position && len(lastResult.Output) == len(s.Input) {
+		return lastResult, nil
 	}
-	if err := n.seek(s, begun); err != nil {
-		if len(n.states) == 0 {
+	if err := sess.prepareCache(s, started); err != nil {
+		if len(sess.states) == 0 {
 			delete(e.sessions, s.Request)
 		}
 		return upstream.StepResult{}, err
 	}
-	result := e.run(n, s)
-	n.last[s.Layers] = result
+	result := e.runLayers(sess, s)
+	sess.lastResults[s.Layers] = result
 	e.standin.config.Recorder.add(Run{
 		What: "step", Upstream: e.standin.config.Announcement.ID, Request: s.Request,
-		Epoch: s.Epoch, Position: s.Position, Count: len(s.Input), Cached: j.cached, Layers: s.Layers,
+		Epoch: s.Epoch, Position: s.Position, Count: len(s.Input), Cached: j.cachedPositions, Layers: s.Layers,
 	})
 	return result, nil
 }
 
-// check refuses a step that does not fit what the engine holds.
-func (e *engine) check(s upstream.Step) error {
-	e.settle()
+// validate rejects a step that does not match the role of the engine or that does
+// not fit into the KV-cache memory.
+func (e *engine) validate(s upstream.Step) error {
+	e.applyFinishedLoads()
 	a := e.standin.Describe()
 	if len(s.Input) == 0 || s.Position < 0 || s.Epoch == 0 {
-		return refuse(http.StatusBadRequest, "badRequest", "step without input, position or epoch")
+		return protocolErrorf(http.StatusBadRequest, "badRequest", "step without input, position or epoch")
 	}
 	if s.Model != a.Model || s.Version != a.Version || s.Adapter != a.Adapter {
-		return refuse(http.StatusConflict, "wrongModel", "engine holds %s/%s/%s", a.Model, a.Version, a.Adapter)
+		return protocolErrorf(http.StatusConflict, "wrongModel", "engine holds %s/%s/%s", a.Model, a.Version, a.Adapter)
 	}
 	limit := e.standin.config.KVTokens
-	if limit > 0 && e.kvTokens()+len(s.Input) > limit {
-		return refuse(http.StatusServiceUnavailable, "overloaded", "KV-cache memory of %d positions is full", limit)
+	if limit > 0 && e.usedKVTokens()+len(s.Input) > limit {
+		return protocolErrorf(http.StatusServiceUnavailable, "overloaded", "KV-cache memory of %d positions is full", limit)
 	}
 	if !contains(a.Layers, s.Layers) {
-		return refuse(http.StatusConflict, "wrongLayers", "engine holds layers %d:%d", a.Layers.From, a.Layers.To)
+		return protocolErrorf(http.StatusConflict, "wrongLayers", "engine holds layers %d:%d", a.Layers.From, a.Layers.To)
 	}
 	return nil
 }
 
-// session returns the session of r for an epoch, or a new one.
-func (e *engine) session(r fleet.RequestID, epoch fleet.Epoch) (*session, error) {
-	n, ok := e.sessions[r]
+// sessionFor returns the session of r, which it creates if there is none. It
+// returns an error if the epoch is stale or cancelled, or if the request is new
+// and the engine is leaving.
+func (e *engine) sessionFor(r fleet.RequestID, epoch fleet.Epoch) (*session, error) {
+	sess, ok := e.sessions[r]
 	if !ok {
-		if e.standin.refusesNew() {
-			e.standin.config.Recorder.late(e.standin.config.Announcement.ID)
-			return nil, refuse(http.StatusServiceUnavailable, "stopping", "engine is leaving")
+		if e.standin.refusesNewRequests() {
+			e.standin.config.Recorder.recordLate(e.standin.config.Announcement.ID)
+			return nil, protocolErrorf(http.StatusServiceUnavailable, "stopping", "engine is leaving")
 		}
-		n = &session{states: make(map[fleet.Layer][]uint64)}
-		e.sessions[r] = n
+		sess = &session{states: make(map[fleet.Layer][]uint64)}
+		e.sessions[r] = sess
 	}
-	if epoch < n.epoch {
-		return nil, refuse(http.StatusConflict, "staleEpoch", "epoch %d is older than %d", epoch, n.epoch)
+	if epoch < sess.epoch {
+		return nil, protocolErrorf(http.StatusConflict, "staleEpoch", "epoch %d is older than %d", epoch, sess.epoch)
 	}
-	if n.ended && epoch == n.epoch {
-		return nil, refuse(http.StatusConflict, "cancelled", "epoch %d was cancelled", epoch)
+	if sess.cancelled && epoch == sess.epoch {
+		return nil, protocolErrorf(http.StatusConflict, "cancelled", "epoch %d was cancelled", epoch)
 	}
-	return n, nil
+	return sess, nil
 }
 
-// open moves the session to an epoch.
-func (n *session) open(epoch fleet.Epoch) {
-	if epoch == n.epoch {
+// startEpoch moves the session to epoch. It does nothing if epoch is current.
+func (sess *session) startEpoch(epoch fleet.Epoch) {
+	if epoch == sess.epoch {
 		return
 	}
-	n.epoch = epoch
-	n.ended = false
-	n.last = make(map[upstream.LayerRange]upstream.StepResult)
+	sess.epoch = epoch
+	sess.cancelled = false
+	sess.lastResults = make(map[upstream.LayerRange]upstream.StepResult)
 }
 
-// seek prepares the cache for a step: the first step of a layer range in an
-// epoch may start anywhere within the cache, which drops what follows. Further
-// steps have to continue at its end.
-func (n *session) seek(s upstream.Step, begun bool) error {
+// prepareCache prepares the cache for a step. The first step of a layer range in
+// an epoch may start anywhere within the cache, which is truncated there. Further
+// steps have to start at its end.
+func (sess *session) prepareCache(s upstream.Step, started bool) error {
 	for l := s.Layers.From; l < s.Layers.To; l++ {
-		have := fleet.Position(len(n.states[l]))
-		if s.Position > have || (begun && s.Position != have) {
-			return refuse(http.StatusConflict, "wrongPosition", "cache of layer %d ends at position %d, step starts at %d", l, have, s.Position)
+		cached := fleet.Position(len(sess.states[l]))
+		if s.Position > cached || (started && s.Position != cached) {
+			return protocolErrorf(http.StatusConflict, "wrongPosition", "cache of layer %d ends at position %d, step starts at %d", l, cached, s.Position)
 		}
 	}
 	for l := s.Layers.From; l < s.Layers.To; l++ {
-		n.states[l] = n.states[l][:s.Position]
+		sess.states[l] = sess.states[l][:s.Position]
 	}
 	return nil
 }
 
-func (e *engine) run(n *session, s upstream.Step) upstream.StepResult {
+// runLayers computes the result of s and appends its positions to the cache.
+func (e *engine) runLayers(sess *session, s upstream.Step) upstream.StepResult {
 	result := upstream.StepResult{Request: s.Request, Epoch: s.Epoch, Position: s.Position}
 	result.Output = make([]uint64, len(s.Input))
 	for i, value := range s.Input {
 		for l := s.Layers.From; l < s.Layers.To; l++ {
-			states := n.states[l]
+			states := sess.states[l]
 			var state uint64
 			if len(states) > 0 {
 				state = states[len(states)-1]
 			}
 			value = mix(e.seed(s, l), state, value)
-			n.states[l] = append(states, value)
+			sess.states[l] = append(states, value)
 		}
 		result.Output[i] = value
 	}
 	if s.Layers.To == e.standin.config.TotalLayers {
-		last := result.Output[len(result.Output)-1]
-		result.Token = tokenText(last)
-		result.End = isEnd(last)
+		lastOutput := result.Output[len(result.Output)-1]
+		result.Token = tokenText(lastOutput)
+		result.End = isEndToken(lastOutput)
 	}
 	return result
 }
@@ -332,44 +341,45 @@
 	return seed
 }
 
-// cancel ends the current epoch of r unless it is newer than the given one. Its
-// cache stays when keep is set, so that a newer epoch can go on with it.
+// cancel cancels the current epoch of r unless it is newer than the given one. The
+// cache is kept if keep is set, so that a newer epoch can continue with it.
 func (e *engine) cancel(r fleet.RequestID, epoch fleet.Epoch, keep bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n, ok := e.sessions[r]
-	if !ok || n.epoch > epoch {
+	sess, ok := e.sessions[r]
+	if !ok || sess.epoch > epoch {
 		return
 	}
-	n.ended = true
-	n.used = e.standin.clock.Now()
+	sess.cancelled = true
+	sess.lastUsed = e.standin.clock.Now()
 	if !keep {
-		clear(n.states)
+		clear(sess.states)
 	}
 }
 
-// sweep drops the sessions that were not used for the session timeout.
+// sweep deletes the sessions that were not used for the session timeout.
 func (e *engine) sweep() {
 	now, timeout := e.standin.clock.Now(), e.standin.config.SessionTimeout
-	if now.Sub(e.swept) < timeout/4 {
+	if now.Sub(e.lastSweep) < timeout/4 {
 		return
 	}
-	e.swept = now
-	for r, n := range e.sessions {
-		if now.Sub(n.used) >= timeout {
+	e.lastSweep = now
+	for r, sess := range e.sessions {
+		if now.Sub(sess.lastUsed) >= timeout {
 			delete(e.sessions, r)
 		}
 	}
 }
 
-// busy counts the requests in progress.
-func (e *engine) busy() int {
+// activeRequests returns the number of queued and running steps plus the number of
+// open sessions, so a request whose step is in progress may count twice.
+func (e *engine) activeRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sweep()
 	count := len(e.queue) + e.running
-	for _, n := range e.sessions {
-		if !n.ended {
+	for _, sess := range e.sessions {
+		if !sess.cancelled {
 			count++
 		}
 	}
@@ -379,26 +389,27 @@
 func (e *engine) load() upstream.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settle()
+	e.applyFinishedLoads()
 	return upstream.Load{
 		At: e.standin.clock.Now(), Running: e.running, Waiting: len(e.queue),
-		FreeKV: max(e.standin.config.KVTokens-e.kvTokens(), 0),
+		FreeKV: max(e.standin.config.KVTokens-e.usedKVTokens(), 0),
 	}
 }
 
-// kvTokens counts the positions in KV-cache memory.
-func (e *engine) kvTokens() int {
+// usedKVTokens returns the number of positions in KV-cache memory.
+func (e *engine) usedKVTokens() int {
 	total := 0
-	for _, n := range e.sessions {
-		total += n.positions()
+	for _, sess := range e.sessions {
+		total += sess.cachedPositions()
 	}
 	return total
 }
 
-// positions returns the number of positions of the longest layer.
-func (n *session) positions() int {
+// cachedPositions returns the number of positions in the cache of the layer that
+// has the most.
+func (sess *session) cachedPositions() int {
 	longest := 0
-	for _, states := range n.states {
+	for _, states := range sess.states {
 		longest = max(longest, len(states))
 	}
 	return longest
--- a/internal/upstream/standin/faults.go
+++ b/internal/upstream/standin/faults.go
@@ -11,90 +11,94 @@
 	"time"
 )
 
-// Faults are the faults of a stand-in. POST /faults replaces them all; the zero
-// value is a sound stand-in.
+// Faults are the faults that a stand-in injects. POST /faults replaces all of
+// them; the zero value injects none.
 type Faults struct {
-	// Die ends the process at once.
-	Die bool `json:"die,omitempty"`
-	// Frozen holds all requests, running steps and announcements until it is
-	// set to false again; then they go on.
+	// Exit ends the process immediately, without a shutdown.
+	Exit bool `json:"die,omitempty"`
+	// Frozen suspends all requests, running steps and announcements. They
+	// continue when it is set to false.
 	Frozen bool `json:"frozen,omitempty"`
-	// DelayMs delays each answer, and BytesPerSecond bounds the speed of the
-	// bodies of requests and answers.
+	// DelayMs delays each response by this number of milliseconds.
+	// BytesPerSecond limits the transfer rate of the bodies of requests and
+	// responses.
 	DelayMs        int `json:"delayMs,omitempty"`
 	BytesPerSecond int `json:"bytesPerSecond,omitempty"`
-	// LoseAnswers is the number of steps, imports and calls that run without
-	// getting an answer.
+	// DropResponses is the number of following steps, imports, commands and
+	// calls that run but whose connection is closed without a response.
 	LoseAnswers int `json:"loseAnswers,omitempty"`
-	// StaleAnswers is the number of steps and calls that run and get the
-	// answer before theirs once more.
+	// StaleResponses is the number of following steps, imports, commands and
+	// calls that run but get the previous response again.
 	StaleAnswers int `json:"staleAnswers,omitempty"`
-	// Refuse answers everything with 503 overloaded.
+	// Refuse rejects every request with status 503 and code overloaded.
 	Refuse bool `json:"refuse,omitempty"`
-	// ErrorRate is the share of requests that fail with 500 without running.
+	// ErrorRate is the fraction of requests that fail with status 500 without
+	// running.
 	ErrorRate float64 `json:"errorRate,omitempty"`
 }
 
-// injector applies faults to HTTP requests.
-type injector struct {
+// faultInjector injects Faults into the handling of HTTP requests.
+type faultInjector struct {
 	standin *Standin
 	done    chan struct{}
 
-	mu     sync.Mutex
-	faults Faults
-	thawed chan struct{} // closed unless frozen
-	random *rand.Rand
-	last   *answer
+	mu           sync.Mutex
+	faults       Faults
+	resumed      chan struct{} // closed unless frozen
+	random       *rand.Rand
+	lastResponse *bufferedResponse
 }
 
-func newInjector(s *Standin) *injector {
-	i := &injector{
+func newFaultInjector(s *Standin) *faultInjector {
+	i := &faultInjector{
 		standin: s,
 		done:    make(chan struct{}),
-		thawed:  make(chan struct{}),
+		resumed: make(chan struct{}),
 		random:  rand.New(rand.NewPCG(s.config.Seed, 2)),
 	}
-	close(i.thawed)
+	close(i.resumed)
 	i.set(s.config.Faults)
 	return i
 }
 
-func (i *injector) set(f Faults) {
-	if f.Die && i.standin.config.Exit != nil {
+func (i *faultInjector) set(f Faults) {
+	if f.Exit && i.standin.config.Exit != nil {
 		i.standin.config.Exit()
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if f.Frozen && !i.faults.Frozen {
-		i.thawed = make(chan struct{})
+		i.resumed = make(chan struct{})
 	}
 	if !f.Frozen && i.faults.Frozen {
-		close(i.thawed)
+		close(i.resumed)
 	}
 	i.faults = f
 }
 
-func (i *injector) get() Faults {
+func (i *faultInjector) get() Faults {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.faults
 }
 
-// wait returns once the stand-in is not frozen, or false when it ends.
-func (i *injector) wait() bool {
+// waitUntilResumed blocks while the stand-in is frozen. It returns false if the
+// stand-in is closed meanwhile.
+func (i *faultInjector) waitUntilResumed() bool {
 	i.mu.Lock()
-	thawed := i.thawed
+	resumed := i.resumed
 	i.mu.Unlock()
 	select {
-	case <-thawed:
+	case <-resumed:
 		return true
 	case <-i.done:
 		return false
 	}
 }
 
-// serveFaults replaces the faults. Only loopback may ask for it.
-func (i *injector) serveFaults(w http.ResponseWriter, r *http.Request) {
+// serveFaults handles POST /faults, which is accepted from loopback addresses
+// only.
+func (i *faultInjector) serveFaults(w http.ResponseWriter, r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
 		writeError(w, http.StatusForbidden, "forbidden", "faults are set on loopback only")
@@ -108,15 +112,15 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// wrap returns next with the faults.
-func (i *injector) wrap(next http.Handler) http.Handler {
+// middleware returns a handler that calls next and injects the faults.
+func (i *faultInjector) middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if i.get().Frozen {
-			// A frozen process that goes on runs what is in its socket buffers,
-			// even if the sender has given up.
+			// A suspended process that is resumed also handles the requests in its
+			// socket buffers whose clients have given up in the meantime.
 			r = r.WithContext(context.WithoutCancel(r.Context()))
 		}
-		if !i.wait() {
+		if !i.waitUntilResumed() {
 			panic(http.ErrAbortHandler)
 		}
 		f := i.get()
@@ -124,44 +128,44 @@
 			writeError(w, http.StatusServiceUnavailable, "overloaded", "refused by a fault")
 			return
 		}
-		if i.draw() < f.ErrorRate {
+		if i.randomFloat() < f.ErrorRate {
 			writeError(w, http.StatusInternalServerError, "internal", "failed by a fault")
 			return
 		}
-		i.slow(f, int(r.ContentLength))
-		a := &answer{header: make(http.Header), status: http.StatusOK}
-		next.ServeHTTP(a, r)
-		if !i.wait() {
+		i.throttle(f, int(r.ContentLength))
+		response := &bufferedResponse{header: make(http.Header), status: http.StatusOK}
+		next.ServeHTTP(response, r)
+		if !i.waitUntilResumed() {
 			panic(http.ErrAbortHandler)
 		}
-		i.deliver(w, r, f, a)
+		i.sendResponse(w, r, f, response)
 	})
 }
 
-// deliver sends a, loses it, or sends the answer before it.
-func (i *injector) deliver(w http.ResponseWriter, r *http.Request, f Faults, a *answer) {
-	counted := r.Method != http.MethodGet && !strings.HasSuffix(r.URL.Path, "/cancel")
-	if counted && i.spend(&i.faults.LoseAnswers) {
+// sendResponse sends response, drops it, or sends the previous response instead.
+func (i *faultInjector) sendResponse(w http.ResponseWriter, r *http.Request, f Faults, response *bufferedResponse) {
+	affected := r.Method != http.MethodGet && !strings.HasSuffix(r.URL.Path, "/cancel")
+	if affected && i.consume(&i.faults.LoseAnswers) {
 		panic(http.ErrAbortHandler)
 	}
-	if counted && a.status == http.StatusOK {
+	if affected && response.status == http.StatusOK {
 		i.mu.Lock()
-		last := i.last
-		i.last = a
+		previous := i.lastResponse
+		i.lastResponse = response
 		i.mu.Unlock()
-		if last != nil && i.spend(&i.faults.StaleAnswers) {
-			a = last
+		if previous != nil && i.consume(&i.faults.StaleAnswers) {
+			response = previous
 		}
 	}
-	i.slow(f, a.body.Len())
+	i.throttle(f, response.body.Len())
 	if f.DelayMs > 0 {
 		<-i.standin.clock.After(time.Duration(f.DelayMs) * time.Millisecond)
 	}
-	a.copyTo(w)
+	response.copyTo(w)
 }
 
-// spend counts n down and returns whether it was above zero.
-func (i *injector) spend(n *int) bool {
+// consume decrements n and returns true if n was above zero.
+func (i *faultInjector) consume(n *int) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if *n <= 0 {
@@ -171,38 +175,40 @@
 	return true
 }
 
-func (i *injector) draw() float64 {
+func (i *faultInjector) randomFloat() float64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.random.Float64()
 }
 
-// slow waits for the time that n bytes take on a slow link.
-func (i *injector) slow(f Faults, n int) {
+// throttle waits for the time that n bytes take at BytesPerSecond.
+func (i *faultInjector) throttle(f Faults, n int) {
 	if f.BytesPerSecond <= 0 || n <= 0 {
 		return
 	}
 	<-i.standin.clock.After(time.Duration(n) * time.Second / time.Duration(f.BytesPerSecond))
 }
 
-// answer keeps an answer until it is sent.
-type answer struct {
+// bufferedResponse is an http.ResponseWriter that holds a response until it is
+// sent.
+type bufferedResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (a *answer) Header() http.Header { return a.header }
+func (r *bufferedResponse) Header() http.Header { return r.header }
 
-func (a *answer) WriteHeader(status int) { a.status = status }
+func (r *bufferedResponse) WriteHeader(status int) { r.status = status }
 
-func (a *answer) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (r *bufferedResponse) Write(b []byte) (int, error) { return r.body.Write(b) }
 
-func (a *answer) copyTo(w http.ResponseWriter) {
-	for k, v := range a.header {
+func (r *bufferedResponse) copyTo(w http.ResponseWriter) {
+	for k, v := range r.header {
 		w.Header()[k] = v
 	}
-	w.WriteHeader(a.status)
-	// The connection is gone when the write fails; nobody is left to tell.
-	_, _ = w.Write(a.body.Bytes())
+	w.WriteHeader(r.status)
+	// A failed write means that the client is gone, so there is nobody to report
+	// the error to.
+	_, _ = w.Write(r.body.Bytes())
 }
--- a/internal/upstream/standin/prefix.go
+++ b/internal/upstream/standin/prefix.go
@@ -10,43 +10,44 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// maxEvents bounds the cache events that wait to be asked for.
-const maxEvents = 4096
+// maxStoredEvents is the number of cache events that are kept for queries.
+const maxStoredEvents = 4096
 
-// prefixCache is the prefix cache of an engine: the least recently used blocks
-// are evicted.
+// prefixCache is the prefix cache of an engine. It evicts the least recently used
+// blocks.
 type prefixCache struct {
-	clock fleet.Clock
-	limit int
-	lag   time.Duration
-	loss  float64
+	clock         fleet.Clock
+	maxBlocks     int
+	eventLag      time.Duration
+	eventLossRate float64
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	order    *list.List // of upstream.Block, the most recently used first
+	lru      *list.List // of upstream.BlockHash, most recently used first
 	blocks   map[upstream.Block]*list.Element
 	sequence uint64
-	events   []datedEvent
+	events   []delayedEvent
 }
 
-// datedEvent is an event and the time from which on it can be seen.
-type datedEvent struct {
+// delayedEvent is a cache event that queries return from visibleAt on.
+type delayedEvent struct {
 	upstream.CacheEvent
-	visible time.Time
+	visibleAt time.Time
 }
 
 func newPrefixCache(c Config) *prefixCache {
 	return &prefixCache{
-		clock: c.Clock, limit: c.PrefixBlocks, lag: c.CacheEventLag, loss: c.CacheEventLoss,
+		clock: c.Clock, maxBlocks: c.PrefixBlocks, eventLag: c.CacheEventLag, eventLossRate: c.CacheEventLoss,
 		random: rand.New(rand.NewPCG(c.Seed, 1)),
-		order:  list.New(),
+		lru:    list.New(),
 		blocks: make(map[upstream.Block]*list.Element),
 	}
 }
 
-// touch returns how many positions of input are cached, and caches its blocks.
-func (c *prefixCache) touch(input []uint64) int {
-	if c.limit <= 0 {
+// insert caches the blocks of input. It returns the number of positions at the
+// start of input that were already cached.
+func (c *prefixCache) insert(input []uint64) int {
+	if c.maxBlocks <= 0 {
 		return 0
 	}
 	c.mu.Lock()
@@ -59,58 +60,58 @@
 			cached += upstream.BlockPositions
 		}
 		if ok {
-			c.order.MoveToFront(e)
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.blocks[b] = c.order.PushFront(b)
+		c.blocks[b] = c.lru.PushFront(b)
 		c.publish(b, false)
 	}
-	for c.order.Len() > c.limit {
-		b := c.order.Remove(c.order.Back()).(upstream.Block)
+	for c.lru.Len() > c.maxBlocks {
+		b := c.lru.Remove(c.lru.Back()).(upstream.Block)
 		delete(c.blocks, b)
 		c.publish(b, true)
 	}
 	return cached
 }
 
-// publish appends an event, or loses it and leaves a gap in the numbers.
+// publish appends an event. A lost event leaves a gap in the sequence numbers.
 func (c *prefixCache) publish(b upstream.Block, evicted bool) {
 	c.sequence++
-	if c.random.Float64() < c.loss {
+	if c.random.Float64() < c.eventLossRate {
 		return
 	}
-	c.events = append(c.events, datedEvent{
+	c.events = append(c.events, delayedEvent{
 		CacheEvent: upstream.CacheEvent{Sequence: c.sequence, Block: b, Evicted: evicted},
-		visible:    c.clock.Now().Add(c.lag),
+		visibleAt:  c.clock.Now().Add(c.eventLag),
 	})
-	if len(c.events) > maxEvents {
-		c.events = c.events[len(c.events)-maxEvents:]
+	if len(c.events) > maxStoredEvents {
+		c.events = c.events[len(c.events)-maxStoredEvents:]
 	}
 }
 
-// since returns the visible events after a sequence number.
-func (c *prefixCache) since(after uint64) upstream.CacheEvents {
+// eventsAfter returns the visible events with sequence numbers above after.
+func (c *prefixCache) eventsAfter(after uint64) upstream.CacheEvents {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	answer := upstream.CacheEvents{Next: after, Events: []upstream.CacheEvent{}}
+	result := upstream.CacheEvents{Next: after, Events: []upstream.CacheEvent{}}
 	now := c.clock.Now()
 	for _, e := range c.events {
-		if e.Sequence <= after || e.visible.After(now) {
+		if e.Sequence <= after || e.visibleAt.After(now) {
 			continue
 		}
-		answer.Events = append(answer.Events, e.CacheEvent)
-		answer.Next = e.Sequence
+		result.Events = append(result.Events, e.CacheEvent)
+		result.Next = e.Sequence
 	}
-	return answer
+	return result
 }
 
-// clear forgets all blocks, as after the load of another model.
+// clear evicts all blocks, as after a change to another model.
 func (c *prefixCache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for e := c.order.Front(); e != nil; e = e.Next() {
+	for e := c.lru.Front(); e != nil; e = e.Next() {
 		c.publish(e.Value.(upstream.Block), true)
 	}
-	c.order.Init()
+	c.lru.Init()
 	clear(c.blocks)
 }
--- a/internal/upstream/standin/protocol.go
+++ b/internal/upstream/standin/protocol.go
@@ -14,9 +14,10 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-const maxEngineBody = 64 << 20
+// maxEngineBodyBytes is the maximum size of the body of an engine request.
+const maxEngineBodyBytes = 64 << 20
 
-func (e *engine) routes(r chi.Router) {
+func (e *engine) registerRoutes(r chi.Router) {
 	r.Post("/v1/steps", e.serveStep)
 	r.Post("/v1/requests/{id}/cancel", e.serveCancel)
 	r.Get("/v1/requests/{id}/kv", e.serveExport)
@@ -51,7 +52,7 @@
 }
 
 func (e *engine) serveExport(w http.ResponseWriter, r *http.Request) {
-	kv, err := e.export(fleet.RequestID(chi.URLParam(r, "id")))
+	kv, err := e.exportKVCache(fleet.RequestID(chi.URLParam(r, "id")))
 	respond(w, kv, err)
 }
 
@@ -65,12 +66,12 @@
 		writeError(w, http.StatusBadRequest, "badRequest", "epoch or request id does not fit")
 		return
 	}
-	respond(w, struct{}{}, e.takeOver(fleet.Epoch(epoch), kv))
+	respond(w, struct{}{}, e.importKVCache(fleet.Epoch(epoch), kv))
 }
 
 func (e *engine) serveDescription(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	e.settle()
+	e.applyFinishedLoads()
 	e.mu.Unlock()
 	respond(w, e.standin.Describe(), nil)
 }
@@ -81,13 +82,15 @@
 		writeError(w, http.StatusBadRequest, "badRequest", "after is not a number")
 		return
 	}
-	events := e.prefix.since(after)
+	events := e.prefixCache.eventsAfter(after)
 	events.Incarnation = e.standin.config.Announcement.Incarnation
 	respond(w, events, nil)
 }
 
+// readJSON decodes the body of r into v. It returns false after it has sent an
+// error response.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxEngineBody)).Decode(v)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxEngineBodyBytes)).Decode(v)
 	if err != nil {
 		writeError(w, http.StatusBadRequest, "badRequest", err.Error())
 		return false
@@ -95,6 +98,7 @@
 	return true
 }
 
+// respond sends v, or an error response if err is not nil.
 func respond(w http.ResponseWriter, v any, err error) {
 	if err == nil {
 		writeJSON(w, http.StatusOK, v)
@@ -108,61 +112,62 @@
 	writeError(w, http.StatusInternalServerError, "internal", err.Error())
 }
 
-// export returns the cache of r: for each layer, 8 bytes a position.
-func (e *engine) export(r fleet.RequestID) (upstream.KV, error) {
+// exportKVCache returns the KV cache of r. Its data has 8 bytes for each position,
+// layer by layer.
+func (e *engine) exportKVCache(r fleet.RequestID) (upstream.KV, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a := e.standin.Describe()
-	n, ok := e.sessions[r]
-	if !ok || len(n.states) == 0 {
-		return upstream.KV{}, refuse(http.StatusNotFound, "notFound", "request %q has no cache", r)
+	sess, ok := e.sessions[r]
+	if !ok || len(sess.states) == 0 {
+		return upstream.KV{}, protocolErrorf(http.StatusNotFound, "notFound", "request %q has no cache", r)
 	}
 	kv := upstream.KV{Request: r, Model: a.Model, Version: a.Version, Adapter: a.Adapter}
-	kv.Layers, kv.Positions = n.extent()
+	kv.Layers, kv.Positions = sess.extent()
 	for l := kv.Layers.From; l < kv.Layers.To; l++ {
-		for _, state := range n.states[l][:kv.Positions] {
+		for _, state := range sess.states[l][:kv.Positions] {
 			kv.Data = binary.LittleEndian.AppendUint64(kv.Data, state)
 		}
 	}
 	return kv, nil
 }
 
-// extent returns the first run of consecutive layers with a cache and the
-// number of positions that all of them have.
-func (n *session) extent() (upstream.LayerRange, fleet.Position) {
+// extent returns the first range of consecutive layers with a cache and the
+// number of positions that all of these layers have.
+func (sess *session) extent() (upstream.LayerRange, fleet.Position) {
 	var r upstream.LayerRange
 	first := true
-	for l := range n.states {
+	for l := range sess.states {
 		if first || l < r.From {
 			r.From, first = l, false
 		}
 	}
-	positions := len(n.states[r.From])
-	for r.To = r.From; len(n.states[r.To]) > 0; r.To++ {
-		positions = min(positions, len(n.states[r.To]))
+	positions := len(sess.states[r.From])
+	for r.To = r.From; len(sess.states[r.To]) > 0; r.To++ {
+		positions = min(positions, len(sess.states[r.To]))
 	}
 	return r, fleet.Position(positions)
 }
 
-// takeOver takes over an exported cache under a new epoch.
-func (e *engine) takeOver(epoch fleet.Epoch, kv upstream.KV) error {
+// importKVCache stores an exported KV cache for use by epoch.
+func (e *engine) importKVCache(epoch fleet.Epoch, kv upstream.KV) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settle()
+	e.applyFinishedLoads()
 	a := e.standin.Describe()
 	if kv.Model != a.Model || kv.Version != a.Version || kv.Adapter != a.Adapter {
-		return refuse(http.StatusConflict, "wrongModel", "engine holds %s/%s/%s", a.Model, a.Version, a.Adapter)
+		return protocolErrorf(http.StatusConflict, "wrongModel", "engine holds %s/%s/%s", a.Model, a.Version, a.Adapter)
 	}
 	if len(kv.Data) != 8*kv.Layers.Len()*int(kv.Positions) {
-		return refuse(http.StatusBadRequest, "badRequest", "cache of %d bytes does not fit its layers and positions", len(kv.Data))
+		return protocolErrorf(http.StatusBadRequest, "badRequest", "cache of %d bytes does not fit its layers and positions", len(kv.Data))
 	}
-	n, err := e.session(kv.Request, epoch)
+	sess, err := e.sessionFor(kv.Request, epoch)
 	if err != nil {
 		return err
 	}
-	n.open(epoch)
-	n.used = e.standin.clock.Now()
-	n.last = make(map[upstream.LayerRange]upstream.StepResult)
+	sess.startEpoch(epoch)
+	sess.lastUsed = e.standin.clock.Now()
+	sess.lastResults = make(map[upstream.LayerRange]upstream.StepResult)
 	data := kv.Data
 	for l := kv.Layers.From; l < kv.Layers.To; l++ {
 		states := make([]uint64, kv.Positions)
@@ -170,7 +175,7 @@
 			states[i] = binary.LittleEndian.Uint64(data)
 			data = data[8:]
 		}
-		n.states[l] = states
+		sess.states[l] = states
 	}
 	e.standin.config.Recorder.add(Run{
 		What: "import", Upstream: a.ID, Request: kv.Request, Epoch: epoch,
--- a/internal/upstream/standin/record.go
+++ b/internal/upstream/standin/record.go
@@ -9,16 +9,16 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// Run is one line of the record file: something that a stand-in ran.
+// Run is one line of the record file: work that a stand-in ran.
 type Run struct {
-	// What is "step", "import", "call" or "command", or "late" for new work that
-	// came after the leave grace and was refused.
+	// Kind is "step", "import", "call" or "command", or "late" for new work that
+	// was rejected because it arrived after the leave grace period.
 	What     string           `json:"what"`
 	Upstream fleet.UpstreamID `json:"upstream"`
 
-	// Request, Epoch, Position and Layers belong to a step or an import. A step
-	// covers Count positions from Position on, of which Cached came out of the
-	// prefix cache.
+	// Request, Epoch, Position and Layers describe a step or an import. A step
+	// covers Count positions starting at Position, of which Cached were found in
+	// the prefix cache.
 	Request  fleet.RequestID     `json:"request,omitempty"`
 	Epoch    fleet.Epoch         `json:"epoch,omitempty"`
 	Position fleet.Position      `json:"position"`
@@ -26,22 +26,22 @@
 	Cached   int                 `json:"cached,omitempty"`
 	Layers   upstream.LayerRange `json:"layers"`
 
-	// Method, Path, Key and Digest belong to a call. Key is the value of the
+	// Method, Path, Key and Digest describe a call. Key is the value of the
 	// Idempotency-Key header, Digest the SHA-256 of the body in hexadecimal.
-	// Once marks a path that may not be repeated.
-	Method string `json:"method,omitempty"`
-	Path   string `json:"path,omitempty"`
-	Key    string `json:"key,omitempty"`
-	Digest string `json:"digest,omitempty"`
-	Once   bool   `json:"once,omitempty"`
+	// AtMostOnce marks a call on an at-most-once path, which must not be repeated.
+	Method     string `json:"method,omitempty"`
+	Path       string `json:"path,omitempty"`
+	Key        string `json:"key,omitempty"`
+	Digest     string `json:"digest,omitempty"`
+	AtMostOnce bool   `json:"once,omitempty"`
 
-	// Command and Fence belong to a command.
-	Command string      `json:"command,omitempty"`
-	Fence   fleet.Fence `json:"fence,omitempty"`
+	// Command and FencingToken describe a command.
+	Command      string      `json:"command,omitempty"`
+	FencingToken fleet.Fence `json:"fence,omitempty"`
 }
 
 // Recorder appends runs to a writer as JSON lines. It is safe for concurrent
-// use. A nil Recorder drops them.
+// use. A nil Recorder discards them.
 type Recorder struct {
 	mu      sync.Mutex
 	encoder *json.Encoder
@@ -52,8 +52,9 @@
 	return &Recorder{encoder: json.NewEncoder(w)}
 }
 
-// late records new work that was refused because it came too late.
-func (r *Recorder) late(id fleet.UpstreamID) {
+// recordLate records that new work was rejected because it arrived after the
+// leave grace period.
+func (r *Recorder) recordLate(id fleet.UpstreamID) {
 	r.add(Run{What: "late", Upstream: id})
 }
 
@@ -63,6 +64,6 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// A failed write loses the line: tests that count lines notice it.
+	// A failed write loses the line, which tests that count the lines detect.
 	_ = r.encoder.Encode(run)
 }
--- a/internal/upstream/standin/service.go
+++ b/internal/upstream/standin/service.go
@@ -12,10 +12,10 @@
 	"github.com/pkg/errors"
 )
 
-// maxCallBody bounds the body of a call in bytes.
-const maxCallBody = 16 << 20
+// maxCallBodyBytes is the maximum size of the body of a call.
+const maxCallBodyBytes = 16 << 20
 
-// service answers every call and counts it.
+// service responds to every call and counts the calls.
 type service struct {
 	standin *Standin
 
@@ -24,22 +24,23 @@
 	executed int
 }
 
-// callAnswer is the body of the answer to a call.
-type callAnswer struct {
+// callResponse is the body of the response to a call.
+type callResponse struct {
 	Upstream string `json:"upstream"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
 	Digest   string `json:"digest"`
-	// Execution counts the calls that this stand-in ran, starting at 1.
+	// Execution is the number of this call among those that the stand-in ran,
+	// starting at 1.
 	Execution int `json:"execution"`
 }
 
 func (s *service) serve(w http.ResponseWriter, r *http.Request) {
-	s.enter(1)
-	defer s.enter(-1)
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBody))
-	var long *http.MaxBytesError
-	if errors.As(err, &long) {
+	s.addInFlight(1)
+	defer s.addInFlight(-1)
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBodyBytes))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		writeError(w, http.StatusRequestEntityTooLarge, "tooLarge", err.Error())
 		return
 	}
@@ -48,8 +49,8 @@
 		return
 	}
 	config := s.standin.config
-	if s.standin.refusesNew() {
-		config.Recorder.late(config.Announcement.ID)
+	if s.standin.refusesNewRequests() {
+		config.Recorder.recordLate(config.Announcement.ID)
 		writeError(w, http.StatusServiceUnavailable, "stopping", "service is leaving")
 		return
 	}
@@ -62,16 +63,16 @@
 	config.Recorder.add(Run{
 		What: "call", Upstream: id, Method: r.Method, Path: r.URL.Path,
 		Key: r.Header.Get("Idempotency-Key"), Digest: digest,
-		Once: s.once(r.URL.Path),
+		AtMostOnce: s.isAtMostOnce(r.URL.Path),
 	})
-	writeJSON(w, http.StatusOK, callAnswer{
+	writeJSON(w, http.StatusOK, callResponse{
 		Upstream: string(id), Method: r.Method, Path: r.URL.Path,
-		Digest: digest, Execution: s.count(),
+		Digest: digest, Execution: s.nextExecution(),
 	})
 }
 
-func (s *service) once(path string) bool {
-	for _, prefix := range s.standin.config.OncePaths {
+func (s *service) isAtMostOnce(path string) bool {
+	for _, prefix := range s.standin.config.AtMostOncePaths {
 		if strings.HasPrefix(path, prefix) {
 			return true
 		}
@@ -79,20 +80,20 @@
 	return false
 }
 
-func (s *service) enter(n int) {
+func (s *service) addInFlight(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight += n
 }
 
-func (s *service) count() int {
+func (s *service) nextExecution() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.executed++
 	return s.executed
 }
 
-func (s *service) busy() int {
+func (s *service) activeRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inFlight
@@ -101,7 +102,8 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The connection is gone when the write fails; nobody is left to tell.
+	// A failed write means that the client is gone, so there is nobody to report
+	// the error to.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
--- a/internal/upstream/standin/standin_test.go
+++ b/internal/upstream/standin/standin_test.go
@@ -18,7 +18,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/standin"
 )
 
-// TestScripts runs the requests of testdata against one stand-in each. It guards
+// TestScripts runs each script of testdata against a stand-in of its own. It guards
 // against a step that runs twice, a stale epoch or fencing token that is
 // accepted, and events, loads and roles that are visible too early.
 func TestScripts(t *testing.T) {
@@ -44,7 +44,7 @@
 				s.Leave()
 				return ""
 			case "announce":
-				a := s.Announce()
+				a := s.NextAnnouncement()
 				return fmt.Sprintf("seq %d %s %s/%s %d:%d running %d age %s\n", a.Sequence, a.State,
 					a.Model, a.Version, a.Layers.From, a.Layers.To, a.Load.Running, age(clock, a))
 			case "record":
@@ -52,7 +52,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				text := record.String() + fmt.Sprintf("steps %v, once %v\n", standin.CheckSteps(runs), standin.CheckOnce(runs))
+				text := record.String() + fmt.Sprintf("steps %v, once %v\n", standin.CheckSteps(runs), standin.CheckAtMostOnce(runs))
 				return text
 			default:
 				return request(s, d)
@@ -76,7 +76,9 @@
 	return clock.Now().Sub(a.Load.At).String()
 }
 
-// request sends the input to the path of the command's only argument.
+// request sends the input to the path in the first argument of the command. The
+// second argument, if any, is the idempotency key. A panic of the handler is
+// reported as a closed connection.
 func request(s *standin.Standin, d *datadriven.TestData) (text string) {
 	defer func() {
 		if recover() != nil {
@@ -93,8 +95,9 @@
 	return fmt.Sprintf("%d %s", w.Code, w.Body)
 }
 
-// TestLongCall guards against a call that runs with a part of its body.
-func TestLongCall(t *testing.T) {
+// TestCallBodyLimit guards against a call that runs with a truncated body when the
+// body exceeds the limit.
+func TestCallBodyLimit(t *testing.T) {
 	is := is.New(t)
 	var record bytes.Buffer
 	s := standin.New(standin.Config{
@@ -111,8 +114,8 @@
 	}
 }
 
-// TestBatches guards against a batch that grows beyond its limit and against a
-// low priority that goes before a high one.
+// TestBatches guards against a batch that exceeds its limit and against a step of
+// low priority that runs before one of high priority.
 func TestBatches(t *testing.T) {
 	is := is.New(t)
 	clock := fakeclock.New(fakeclock.Start)
@@ -152,21 +155,21 @@
 	is.Equal(order, []string{"first", "high1", "high2", "low1", "low2"})
 }
 
-// waitFor polls for a state that another goroutine is about to reach. It gives
-// up only when the test would hang for ever.
-func waitFor(t *testing.T, reached func() bool) {
+// waitFor polls a condition that another goroutine is about to make true. It fails
+// the test after 10000 polls, when the test would otherwise hang.
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	for range 10_000 {
-		if reached() {
+		if condition() {
 			return
 		}
 		time.Sleep(100 * time.Microsecond)
 	}
-	t.Fatal("state was never reached")
+	t.Fatal("condition not met after 10000 polls")
 }
 
-// TestChecks guards against checks that overlook a repeated position, a missing
-// one, or an order that ran twice.
+// TestChecks guards against checks that miss a repeated position, a missing
+// position, or a call on an at-most-once path that ran twice.
 func TestChecks(t *testing.T) {
 	is := is.New(t)
 	step := func(epoch, position, count int) standin.Run {
@@ -178,7 +181,7 @@
 	is.NoErr(standin.CheckSteps([]standin.Run{step(1, 0, 3), step(2, 0, 4), step(1, 3, 1)}))
 	is.True(standin.CheckSteps([]standin.Run{step(1, 0, 3), step(1, 2, 1)}) != nil) // repeated
 	is.True(standin.CheckSteps([]standin.Run{step(1, 0, 3), step(1, 4, 1)}) != nil) // gap
-	call := standin.Run{What: "call", Method: "POST", Path: "/orders", Key: "k", Once: true}
-	is.NoErr(standin.CheckOnce([]standin.Run{call}))
-	is.True(standin.CheckOnce([]standin.Run{call, call}) != nil)
+	call := standin.Run{What: "call", Method: "POST", Path: "/orders", Key: "k", AtMostOnce: true}
+	is.NoErr(standin.CheckAtMostOnce([]standin.Run{call}))
+	is.True(standin.CheckAtMostOnce([]standin.Run{call, call}) != nil)
 }
--- a/internal/upstream/standin/text.go
+++ b/internal/upstream/standin/text.go
@@ -11,22 +11,23 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// endOdds makes one token in endOdds the end of an answer.
-const endOdds = 96
+// endTokenOdds is the odds against the end of the text: one token in endTokenOdds
+// ends it.
+const endTokenOdds = 96
 
 var syllables = [16]string{
 	"ba", "do", "fen", "gil", "hu", "ja", "kor", "lim",
 	"mo", "nes", "pa", "rit", "so", "tul", "ve", "zan",
 }
 
-// Generate returns the text that a chain of sound engines generates for a
-// prompt, and why it ends. Layers is the number of layers of the model.
+// Generate returns the text that a chain of healthy engines generates for a
+// prompt, and the finish reason. Layers is the number of layers of the model.
 func Generate(model fleet.ModelID, version, adapter string, layers int, prompt []uint64, maxTokens int) (string, pipeline.FinishReason) {
 	tokens, reason := GenerateTokens(model, version, adapter, layers, prompt, maxTokens)
 	return strings.Join(tokens, ""), reason
 }
 
-// GenerateTokens is like Generate and returns the text of each token.
+// GenerateTokens is like Generate but returns the text of each token.
 func GenerateTokens(model fleet.ModelID, version, adapter string, layers int, prompt []uint64, maxTokens int) ([]string, pipeline.FinishReason) {
 	states := make([]uint64, layers)
 	seeds := make([]uint64, layers)
@@ -47,7 +48,7 @@
 	var tokens []string
 	for range maxTokens {
 		tokens = append(tokens, tokenText(value))
-		if isEnd(value) {
+		if isEndToken(value) {
 			return tokens, pipeline.Stopped
 		}
 		if len(tokens) < maxTokens {
@@ -57,8 +58,8 @@
 	return tokens, pipeline.LengthReached
 }
 
-// layerSeed makes the weights of a layer: another model, version, adapter or
-// layer index gives another text.
+// layerSeed returns the seed that represents the weights of a layer. It depends on
+// the model, version, adapter and layer index, so the generated text does too.
 func layerSeed(model fleet.ModelID, version, adapter string, layer fleet.Layer) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{string(model), version, adapter} {
@@ -72,7 +73,7 @@
 }
 
 // mix returns the state of a layer after one more position. The state depends
-// on all inputs of the layer in order.
+// on all inputs of the layer and on their order.
 func mix(seed, state, input uint64) uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[0:], seed)
@@ -85,7 +86,7 @@
 	return " " + syllables[value&15] + syllables[value>>4&15] + syllables[value>>8&15]
 }
 
-func isEnd(value uint64) bool { return value>>16%endOdds == 0 }
+func isEndToken(value uint64) bool { return value>>16%endTokenOdds == 0 }
 
 func contains(r, part upstream.LayerRange) bool {
 	return part.From >= r.From && part.To <= r.To && part.Len() > 0
--- a/internal/upstream/standin/weights.go
+++ b/internal/upstream/standin/weights.go
@@ -7,27 +7,27 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// WeightStore is a weight store with a limited rate. Loads take turns in the
-// order in which they began. The zero value has no limit.
+// WeightStore simulates a weight store with a limited transfer rate. It serves
+// one load at a time, in the order of StartLoad. The zero value has no limit.
 type WeightStore struct {
-	// BytesPerSecond is the rate over all loads.
+	// BytesPerSecond is the total rate of all loads; zero means no limit.
 	BytesPerSecond int64
 
-	mu   sync.Mutex
-	free time.Time // when all loads so far are done
+	mu        sync.Mutex
+	busyUntil time.Time // when all started loads are complete
 }
 
-// Begin starts a load of n bytes and returns the time until it is done.
-func (w *WeightStore) Begin(clock fleet.Clock, n int64) time.Duration {
+// StartLoad starts a load of n bytes and returns the time until it is complete.
+func (w *WeightStore) StartLoad(clock fleet.Clock, n int64) time.Duration {
 	if w == nil || w.BytesPerSecond <= 0 {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := clock.Now()
-	if w.free.Before(now) {
-		w.free = now
+	if w.busyUntil.Before(now) {
+		w.busyUntil = now
 	}
-	w.free = w.free.Add(time.Duration(float64(n) / float64(w.BytesPerSecond) * float64(time.Second)))
-	return w.free.Sub(now)
+	w.busyUntil = w.busyUntil.Add(time.Duration(float64(n) / float64(w.BytesPerSecond) * float64(time.Second)))
+	return w.busyUntil.Sub(now)
 }
