--- a/cmd/bilberryrock-standin/main_test.go
+++ b/cmd/bilberryrock-standin/main_test.go
@@ -21,8 +21,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/standin"
 )
 
-// TestLeave guards against a stand-in that gives up when its first instance is
-// gone, that ends without saying so, or that drops work in progress on SIGTERM.
+// TestLeave guards against a stand-in that stops announcing when its first
+// instance is unreachable, that does not announce that it is leaving, or that
+// aborts work in progress on SIGTERM.
 func TestLeave(t *testing.T) {
 	is := is.New(t)
 	announced := make(chan upstream.Announcement, 100)
@@ -33,13 +34,13 @@
 		}
 	}))
 	defer instance.Close()
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	unreachable := httptest.NewServer(nil)
+	unreachable.Close()
 	record := filepath.Join(t.TempDir(), "record")
 	var o options
 	_, err := flags.ParseArgs(&o, []string{
 		"--id", "e1", "--pool", "p", "--model", "m", "--version", "1", "--layers", "0:4", "--totalLayers", "4",
-		"--announce", gone.URL + "/, " + instance.URL, "--token", "secret", "--record", record, "--leaveGrace", "0s",
+		"--announce", unreachable.URL + "/, " + instance.URL, "--token", "secret", "--record", record, "--leaveGrace", "0s",
 	})
 	is.NoErr(err)
 	done := make(chan error)
@@ -61,8 +62,8 @@
 	for a.State != upstream.Leaving {
 		a = <-announced
 	}
-	is.NoErr(step("r1", 1))       // the request in progress goes on
-	is.True(step("r2", 0) != nil) // a new one is refused
+	is.NoErr(step("r1", 1))       // the request in progress continues
+	is.True(step("r2", 0) != nil) // a new one is rejected
 	is.NoErr(e.Cancel(context.Background(), "r1"))
 	is.NoErr(<-done)
 
@@ -72,6 +73,6 @@
 	runs, err := standin.ReadRuns(file)
 	is.NoErr(err)
 	is.Equal(len(runs), 3)
-	is.Equal(runs[2].What, "late") // the refused request is recorded
+	is.Equal(runs[2].What, "late") // the rejected request is recorded
 	is.NoErr(standin.CheckSteps(runs))
 }
