--- a/internal/trial/demo/main.go
+++ b/internal/trial/demo/main.go
@@ -19,11 +19,11 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/standin"
 )
 
-// patience bounds each wait of the demo. It is generous, because a busy machine
+// waitTimeout bounds each wait of the demo. It is generous, because a busy machine
 // must not make it fail.
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-const section = `[dataCentre "dc1"]
+const sectionTemplate = `[dataCentre "dc1"]
 region = midlands
 
 [dataCentre "dc2"]
@@ -70,7 +70,7 @@
 	defer f.Close()
 	d := &demo{fleet: f}
 	for _, step := range []func() error{
-		d.start, d.submit, d.lookup, d.completion, d.order, d.status, d.explain, d.stop, d.ran,
+		d.start, d.submit, d.lookup, d.completion, d.order, d.status, d.explain, d.stop, d.checkRuns,
 	} {
 		if err := step(); err != nil {
 			fmt.Fprintln(os.Stderr, f.Logs(2000))
@@ -84,18 +84,18 @@
 	fleet    *processes.Fleet
 	daemons  []*processes.Daemon
 	standins []*processes.Standin
-	// requests are the ids of the lookup, the completion and the repeated order.
-	requests []string
+	// requestIDs are the ids of the lookup, the completion and the repeated order.
+	requestIDs []string
 }
 
-func say(format string, args ...any) { fmt.Printf(format+"\n", args...) }
+func printLine(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 
 func (d *demo) start() error {
 	var err error
-	d.daemons, err = d.fleet.PlanDaemons(
-		processes.DaemonPlan{ID: "a", DataCentre: "dc1", Voter: 1},
-		processes.DaemonPlan{ID: "b", DataCentre: "dc1", Voter: 2},
-		processes.DaemonPlan{ID: "c", DataCentre: "dc2", Voter: 3},
+	d.daemons, err = d.fleet.ConfigureDaemons(
+		processes.DaemonSpec{ID: "a", DataCentre: "dc1", Voter: 1},
+		processes.DaemonSpec{ID: "b", DataCentre: "dc1", Voter: 2},
+		processes.DaemonSpec{ID: "c", DataCentre: "dc2", Voter: 3},
 	)
 	if err != nil {
 		return err
@@ -106,11 +106,11 @@
 		}
 	}
 	for _, daemon := range d.daemons {
-		if err := daemon.AwaitLive(patience); err != nil {
+		if err := daemon.AwaitLive(waitTimeout); err != nil {
 			return err
 		}
 	}
-	say("started daemons a and b in dc1, c in dc2")
+	printLine("started daemons a and b in dc1, c in dc2")
 	return d.startStandins()
 }
 
@@ -119,12 +119,12 @@
 		id, dataCentre string
 		args           []string
 	}{
-		{"engine-1", "dc1", engine("0:4")},
-		{"engine-2", "dc1", engine("4:8")},
-		{"engine-3", "dc2", engine("0:4")},
-		{"engine-4", "dc2", engine("4:8")},
-		{"desk-1", "dc1", service()},
-		{"desk-2", "dc2", service()},
+		{"engine-1", "dc1", engineArgs("0:4")},
+		{"engine-2", "dc1", engineArgs("4:8")},
+		{"engine-3", "dc2", engineArgs("0:4")},
+		{"engine-4", "dc2", engineArgs("4:8")},
+		{"desk-1", "dc1", serviceArgs()},
+		{"desk-2", "dc2", serviceArgs()},
 	} {
 		standin, err := d.fleet.StartStandin(s.id, s.dataCentre, s.args...)
 		if err != nil {
@@ -132,163 +132,163 @@
 		}
 		d.standins = append(d.standins, standin)
 	}
-	say("started 4 engines that hold half of the layers each, and 2 services")
+	printLine("started 4 engines that hold half of the layers each, and 2 services")
 	return nil
 }
 
-func engine(layers string) []string {
+func engineArgs(layers string) []string {
 	return []string{"--kind", "engine", "--pool", "engines", "--model", "transcriber", "--version", "v1", "--layers", layers, "--totalLayers", "8", "--stepTime", "1ms"}
 }
 
-func service() []string { return []string{"--kind", "service", "--pool", "plots", "--slots", "4"} }
+func serviceArgs() []string { return []string{"--kind", "service", "--pool", "plots", "--slots", "4"} }
 
 func (d *demo) submit() error {
 	path := d.fleet.Path("alpha.section")
-	if err := os.WriteFile(path, fmt.Appendf(nil, section, processes.Digest(processes.APIKey)), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, sectionTemplate, processes.Digest(processes.APIKey)), 0o600); err != nil {
 		return errors.Wrap(err, "write section")
 	}
-	end := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
-		output, status, err := d.daemons[1].Operator("submit", "--team", processes.Team, "--change", "demo-1", "--operator", "demo", path)
+		output, exitStatus, err := d.daemons[1].RunOperatorCommand("submit", "--team", processes.Team, "--change", "demo-1", "--operator", "demo", path)
 		if err != nil {
 			return err
 		}
-		if status == 0 {
-			say("submitted through b: %s", strings.TrimSpace(output))
+		if exitStatus == 0 {
+			printLine("submitted through b: %s", strings.TrimSpace(output))
 			break
 		}
-		if time.Now().After(end) {
-			return errors.Errorf("submit ended with status %d: %s", status, output)
+		if time.Now().After(deadline) {
+			return errors.Errorf("submit ended with status %d: %s", exitStatus, output)
 		}
 		time.Sleep(200 * time.Millisecond) // the voters have not elected a leader yet
 	}
 	for _, daemon := range d.daemons {
-		if err := daemon.AwaitReady(patience); err != nil {
+		if err := daemon.AwaitReady(waitTimeout); err != nil {
 			return err
 		}
 	}
-	say("the configuration is in force on a, b and c")
+	printLine("the configuration is in force on a, b and c")
 	return nil
 }
 
-// call sends a request until it is answered with 200, because the stand-ins may
+// callUntilOK sends a request until it is answered with 200, because the stand-ins may
 // not have announced themselves yet. Refusals that say "not run" are safe to
 // repeat.
-func call(daemon *processes.Daemon, method, path string, header map[string]string, body string) (processes.Reply, error) {
-	end := time.Now().Add(patience)
+func callUntilOK(daemon *processes.Daemon, method, path string, header map[string]string, body string) (processes.Response, error) {
+	deadline := time.Now().Add(waitTimeout)
 	for {
-		reply, err := daemon.Call(method, path, header, body, patience)
-		if err != nil || reply.Broken != nil {
-			return reply, errors.Errorf("%s %s: %v %v", method, path, err, reply.Broken)
+		response, err := daemon.Call(method, path, header, body, waitTimeout)
+		if err != nil || response.ReadErr != nil {
+			return response, errors.Errorf("%s %s: %v %v", method, path, err, response.ReadErr)
 		}
-		if reply.Status == http.StatusOK {
-			return reply, nil
+		if response.Status == http.StatusOK {
+			return response, nil
 		}
-		if time.Now().After(end) || !bytes.Contains(reply.Body, []byte(`"notRun":true`)) {
-			return reply, errors.Errorf("%s %s: status %d: %s", method, path, reply.Status, reply.Body)
+		if time.Now().After(deadline) || !bytes.Contains(response.Body, []byte(`"notRun":true`)) {
+			return response, errors.Errorf("%s %s: status %d: %s", method, path, response.Status, response.Body)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
 func (d *demo) lookup() error {
-	reply, err := call(d.daemons[0], http.MethodGet, "/services/plots/lookups/row-7", nil, "")
+	response, err := callUntilOK(d.daemons[0], http.MethodGet, "/services/plots/lookups/row-7", nil, "")
 	if err != nil {
 		return err
 	}
-	d.keep(reply)
-	say("lookup through a: %s", bytes.TrimSpace(reply.Body))
+	d.keepRequestID(response)
+	printLine("lookup through a: %s", bytes.TrimSpace(response.Body))
 	return nil
 }
 
 func (d *demo) completion() error {
 	const prompt, tokens = "Plot 12, row 7:", 24
 	body := fmt.Sprintf(`{"model":"transcriber","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
-	reply, err := call(d.daemons[2], http.MethodPost, "/v1/completions", nil, body)
+	response, err := callUntilOK(d.daemons[2], http.MethodPost, "/v1/completions", nil, body)
 	if err != nil {
 		return err
 	}
-	text, done := processes.JoinEvents(reply.Body)
+	text, done := processes.JoinCompletionEvents(response.Body)
 	ids := make([]uint64, len(prompt))
 	for i := range len(prompt) {
 		ids[i] = uint64(prompt[i])
 	}
 	want, _ := standin.Generate("transcriber", "v1", "", 8, ids, tokens)
-	say("streamed completion through c over a chain of two engines: %q", text)
+	printLine("streamed completion through c over a chain of two engines: %q", text)
 	if text != want || !done {
 		return errors.Errorf("completion: got %q (end seen: %t), want %q", text, done, want)
 	}
-	d.keep(reply)
+	d.keepRequestID(response)
 	return nil
 }
 
 func (d *demo) order() error {
 	header := map[string]string{"Idempotency-Key": "reprint-1"}
-	first, err := call(d.daemons[0], http.MethodPost, "/services/plots/reprints", header, `{"sheet":7}`)
+	first, err := callUntilOK(d.daemons[0], http.MethodPost, "/services/plots/reprints", header, `{"sheet":7}`)
 	if err != nil {
 		return err
 	}
-	say("order through a: %s", bytes.TrimSpace(first.Body))
-	again, err := call(d.daemons[2], http.MethodPost, "/services/plots/reprints", header, `{"sheet":7}`)
+	printLine("order through a: %s", bytes.TrimSpace(first.Body))
+	repeated, err := callUntilOK(d.daemons[2], http.MethodPost, "/services/plots/reprints", header, `{"sheet":7}`)
 	if err != nil {
 		return err
 	}
-	d.keep(again)
-	say("same order through c: %s", bytes.TrimSpace(again.Body))
-	if !bytes.Equal(first.Body, again.Body) {
+	d.keepRequestID(repeated)
+	printLine("same order through c: %s", bytes.TrimSpace(repeated.Body))
+	if !bytes.Equal(first.Body, repeated.Body) {
 		return errors.New("the repeated order got another answer")
 	}
 	return nil
 }
 
-func (d *demo) status() error { return d.print("status") }
+func (d *demo) status() error { return d.printCommand("status") }
 
-func (d *demo) keep(r processes.Reply) {
-	d.requests = append(d.requests, r.Header.Get("X-Request-Id"))
+func (d *demo) keepRequestID(r processes.Response) {
+	d.requestIDs = append(d.requestIDs, r.Header.Get("X-Request-Id"))
 }
 
 func (d *demo) explain() error {
-	for _, id := range d.requests {
-		if err := d.print("explain", id); err != nil {
+	for _, id := range d.requestIDs {
+		if err := d.printCommand("explain", id); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *demo) print(args ...string) error {
-	output, status, err := d.daemons[0].Operator(args...)
+func (d *demo) printCommand(args ...string) error {
+	output, exitStatus, err := d.daemons[0].RunOperatorCommand(args...)
 	if err != nil {
 		return err
 	}
-	if status != 0 {
-		return errors.Errorf("%s ended with status %d: %s", args[0], status, output)
+	if exitStatus != 0 {
+		return errors.Errorf("%s ended with status %d: %s", args[0], exitStatus, output)
 	}
-	say("bilberryrock %s:\n%s", strings.Join(args, " "), output)
+	printLine("bilberryrock %s:\n%s", strings.Join(args, " "), output)
 	return nil
 }
 
 func (d *demo) stop() error {
 	var stops errgroup.Group
 	for _, s := range d.standins {
-		stops.Go(func() error { return s.Stop(patience) })
+		stops.Go(func() error { return s.Stop(waitTimeout) })
 	}
 	if err := stops.Wait(); err != nil {
 		return err
 	}
 	for _, daemon := range d.daemons {
 		started := time.Now()
-		if err := daemon.Stop(patience); err != nil {
+		if err := daemon.Stop(waitTimeout); err != nil {
 			return err
 		}
-		say("stopped daemon %s in %s", daemon.Name, time.Since(started).Round(time.Millisecond))
+		printLine("stopped daemon %s in %s", daemon.Name, time.Since(started).Round(time.Millisecond))
 	}
-	say("stopped all processes")
+	printLine("stopped all processes")
 	return nil
 }
 
-// ran prints what the stand-ins ran and checks that the order ran once.
-func (d *demo) ran() error {
+// checkRuns prints what the stand-ins ran and checks that the order ran once.
+func (d *demo) checkRuns() error {
 	orders := 0
 	for _, s := range d.standins {
 		runs, err := s.Runs()
@@ -302,7 +302,7 @@
 				orders++
 			}
 		}
-		say("%s ran %v", s.ID, counts)
+		printLine("%s ran %v", s.ID, counts)
 	}
 	if orders != 1 {
 		return errors.Errorf("the order ran %d times", orders)
--- a/internal/trial/failure/failure.go
+++ b/internal/trial/failure/failure.go
@@ -41,9 +41,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/traffic"
 )
 
-// patience bounds each wait. It is generous, because a busy machine must not
+// waitTimeout bounds each wait. It is generous, because a busy machine must not
 // change the verdict.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 // Size holds the number of data centres, and of the daemons and stand-ins that
 // are spread over them.
@@ -59,26 +59,26 @@
 	fleet    *processes.Fleet
 	daemons  map[string]*processes.Daemon
 	standins map[string]*processes.Standin
-	names    []string
-	traffic  *traffic.Traffic
-	busy     sync.WaitGroup
+	daemonNames    []string
+	traffic  *traffic.Generator
+	trafficWG     sync.WaitGroup
 
 	mu     sync.Mutex
-	cuts   map[string]map[string]bool // from, to
-	faults []string
-	// base is the revision of the accepted section, changes the number of
+	droppedLinks   map[string]map[string]bool // from, to
+	violations []string
+	// baseRevision is the revision of the accepted section, changes the number of
 	// submissions.
-	base    fleet.Revision
-	changes int
+	baseRevision    fleet.Revision
+	submissionCount int
 
-	watch    sync.Once
-	watching sync.WaitGroup
-	ended    chan struct{}
-	// killed tells that a process was ended or frozen without notice, so that
+	watchOnce    sync.Once
+	watchersWG sync.WaitGroup
+	closed    chan struct{}
+	// disrupted tells that a process was ended or frozen without notice, so that
 	// calls may be cut off.
-	killed    bool
-	window    *window
-	load      load
+	disrupted    bool
+	window    *quietWindow
+	peakLoad      peakLoad
 	revisions map[string]fleet.Revision
 }
 
@@ -95,11 +95,11 @@
 		fleet:     f,
 		daemons:   make(map[string]*processes.Daemon),
 		standins:  make(map[string]*processes.Standin),
-		cuts:      make(map[string]map[string]bool),
-		ended:     make(chan struct{}),
+		droppedLinks:      make(map[string]map[string]bool),
+		closed:     make(chan struct{}),
 		revisions: make(map[string]fleet.Revision),
 	}
-	for _, step := range []func(Size) error{r.startDaemons, r.startStandins, r.configure} {
+	for _, step := range []func(Size) error{r.startDaemons, r.startStandins, r.submitFirstSection} {
 		if err := step(size); err != nil {
 			r.Close()
 			return nil, errors.Wrap(err, f.Logs(1500))
@@ -112,18 +112,18 @@
 // Close ends all processes.
 func (r *Run) Close() {
 	select {
-	case <-r.ended:
+	case <-r.closed:
 	default:
-		close(r.ended)
+		close(r.closed)
 	}
-	r.watching.Wait()
+	r.watchersWG.Wait()
 	r.fleet.Close()
 }
 
 // Daemons returns the daemons in the order of their names.
 func (r *Run) Daemons() []*processes.Daemon {
 	var list []*processes.Daemon
-	for _, name := range r.names {
+	for _, name := range r.daemonNames {
 		list = append(list, r.daemons[name])
 	}
 	return list
@@ -135,43 +135,43 @@
 // Execute runs one line of a script. From the first one on, the revisions of all
 // daemons are watched.
 func (r *Run) Execute(line string) error {
-	words := strings.Fields(line)
-	if len(words) == 0 || strings.HasPrefix(line, "#") {
+	fields := strings.Fields(line)
+	if len(fields) == 0 || strings.HasPrefix(line, "#") {
 		return nil
 	}
-	r.watch.Do(func() { r.watching.Go(r.watchRevisions) })
-	command, args := words[0], words[1:]
+	r.watchOnce.Do(func() { r.watchersWG.Go(r.watchRevisions) })
+	command, args := fields[0], fields[1:]
 	switch command {
 	case "traffic", "calm":
-		return r.send(command == "calm", args)
+		return r.startTraffic(command == "calm", args)
 	case "await":
-		r.busy.Wait()
+		r.trafficWG.Wait()
 		return nil
 	case "sleep":
 		d, err := time.ParseDuration(args[0])
 		time.Sleep(d)
 		return err
 	case "cut":
-		return r.cut(strings.Split(args[0], ","), strings.Split(args[1], ","))
+		return r.dropMessages(strings.Split(args[0], ","), strings.Split(args[1], ","))
 	case "heal":
-		return r.heal()
+		return r.restoreLinks()
 	case "submit":
-		return r.submitUntil(args[0], patience)
+		return r.submitUntil(args[0], waitTimeout)
 	case "race":
-		return r.race(args[0], args[1])
+		return r.raceSubmissions(args[0], args[1])
 	case "window":
-		return r.plan(args[0], args[1], args[2])
+		return r.startQuietWindow(args[0], args[1], args[2])
 	case "fault":
-		return r.setFaults(args[0], strings.Join(args[1:], " "))
+		return r.setStandinFaults(args[0], strings.Join(args[1:], " "))
 	case "repaired":
-		return r.awaitRepair(args[0])
+		return r.awaitReplacement(args[0])
 	case "wipe":
 		return os.RemoveAll(r.daemons[args[0]].DataFolder())
 	}
 	return r.signal(command, args[0])
 }
 
-func (r *Run) send(wait bool, args []string) error {
+func (r *Run) startTraffic(wait bool, args []string) error {
 	count, err := strconv.Atoi(args[0])
 	if err != nil {
 		return errors.Wrap(err, "number of calls")
@@ -180,9 +180,9 @@
 	if err != nil {
 		return errors.Wrap(err, "calls at once")
 	}
-	r.busy.Go(func() { r.traffic.Send(count, parallel) })
+	r.trafficWG.Go(func() { r.traffic.Send(count, parallel) })
 	if wait {
-		r.busy.Wait()
+		r.trafficWG.Wait()
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 		return d.Process, d.Start, nil
 	}
 	if s := r.standins[name]; s != nil {
-		return s.Process, s.Restart, nil
+		return s.Process, s.Start, nil
 	}
 	return nil, nil, errors.Errorf("no process is named %q", name)
 }
@@ -204,13 +204,13 @@
 	}
 	switch command {
 	case "kill":
-		r.killed = true
+		r.disrupted = true
 		p.Kill()
 		return nil
 	case "start":
 		return start()
 	case "freeze":
-		r.killed = true
+		r.disrupted = true
 		return p.Signal(syscall.SIGSTOP)
 	case "thaw":
 		return p.Signal(syscall.SIGCONT)
@@ -219,32 +219,32 @@
 	case "terminate": // without waiting, unlike stop
 		return p.Signal(syscall.SIGTERM)
 	case "leave", "stop":
-		return p.Stop(patience)
+		return p.Stop(waitTimeout)
 	}
 	return errors.Errorf("unknown command %q", command)
 }
 
-// Faults checks the invariants once the traffic has ended.
-func (r *Run) Faults() ([]string, error) {
-	r.busy.Wait()
+// Violations checks the invariants once the traffic has ended.
+func (r *Run) Violations() ([]string, error) {
+	r.trafficWG.Wait()
 	runs, err := r.fleet.Runs()
 	if err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	faults := append([]string(nil), r.faults...)
-	for _, name := range r.names {
-		found, err := r.checkLog(name)
+	violations := append([]string(nil), r.violations...)
+	for _, name := range r.daemonNames {
+		found, err := r.checkReadyRevisions(name)
 		if err != nil {
 			return nil, err
 		}
-		faults = append(faults, found...)
+		violations = append(violations, found...)
 	}
-	if !r.killed {
-		faults = append(faults, traffic.CheckCutOff(r.traffic.Calls())...)
+	if !r.disrupted {
+		violations = append(violations, traffic.CheckAborted(r.traffic.Calls())...)
 	}
-	return append(faults, traffic.Check(r.traffic.Calls(), runs)...), nil
+	return append(violations, traffic.Check(r.traffic.Calls(), runs)...), nil
 }
 
 // Summary counts the calls by kind and answer.
--- a/internal/trial/failure/failure_test.go
+++ b/internal/trial/failure/failure_test.go
@@ -43,17 +43,17 @@
 	defer r.Close()
 	for line := range strings.SplitSeq(d.Input, "\n") {
 		if err := r.Execute(line); err != nil {
-			t.Fatalf("%s: %q: %v\n%s%s", d.Pos, line, err, r.States(), r.Logs())
+			t.Fatalf("%s: %q: %v\n%s%s", d.Pos, line, err, r.VoterStates(), r.Logs())
 		}
 	}
-	faults, err := r.Faults()
+	violations, err := r.Violations()
 	if err != nil {
 		t.Fatalf("%s: %v", d.Pos, err)
 	}
-	t.Logf("%s:\n%s%s", d.Pos, r.Summary(), r.Load())
-	if len(faults) > 0 {
+	t.Logf("%s:\n%s%s", d.Pos, r.Summary(), r.PeakLoad())
+	if len(violations) > 0 {
 		t.Logf("%s: seed %d\n%s", d.Pos, *seed, r.Logs())
-		return strings.Join(faults, "\n") + "\n"
+		return strings.Join(violations, "\n") + "\n"
 	}
 	return "no fault\n"
 }
--- a/internal/trial/failure/logs.go
+++ b/internal/trial/failure/logs.go
@@ -17,16 +17,16 @@
 	Revision fleet.Revision `json:"revision"`
 }
 
-// checkLog finds a daemon that got ready with an older revision than it had in
+// checkReadyRevisions finds a daemon that got ready with an older revision than it had in
 // force before, over all its starts. The status, which is asked several times a
 // second, can miss a revision that is in force for a shorter time.
-func (r *Run) checkLog(name string) ([]string, error) {
+func (r *Run) checkReadyRevisions(name string) ([]string, error) {
 	file, err := os.Open(r.fleet.Path(name + ".log"))
 	if err != nil {
 		return nil, errors.Wrap(err, "open log")
 	}
 	defer file.Close()
-	var faults []string
+	var violations []string
 	var highest fleet.Revision
 	ready := false
 	lines := bufio.NewScanner(file)
@@ -42,7 +42,7 @@
 		case "Daemon ready.":
 			ready = true
 			if l.Revision < highest {
-				faults = append(faults, fmt.Sprintf("daemon %s got ready with revision %d after %d", name, l.Revision, highest))
+				violations = append(violations, fmt.Sprintf("daemon %s got ready with revision %d after %d", name, l.Revision, highest))
 			}
 		default:
 			continue
@@ -51,5 +51,5 @@
 			highest = max(highest, l.Revision)
 		}
 	}
-	return faults, errors.Wrap(lines.Err(), "read log")
+	return violations, errors.Wrap(lines.Err(), "read log")
 }
--- a/internal/trial/failure/start.go
+++ b/internal/trial/failure/start.go
@@ -12,30 +12,30 @@
 )
 
 func (r *Run) startDaemons(size Size) error {
-	var plans []processes.DaemonPlan
+	var specs []processes.DaemonSpec
 	for i := range size.Daemons {
-		plan := processes.DaemonPlan{
+		spec := processes.DaemonSpec{
 			ID:         string(rune('a' + i)),
 			DataCentre: fmt.Sprintf("dc%d", i%size.DataCentres+1),
 		}
 		if i < Voters {
-			plan.Voter = i + 1
+			spec.Voter = i + 1
 		}
-		plans = append(plans, plan)
+		specs = append(specs, spec)
 	}
-	daemons, err := r.fleet.PlanDaemons(plans...)
+	daemons, err := r.fleet.ConfigureDaemons(specs...)
 	if err != nil {
 		return err
 	}
 	for _, d := range daemons {
-		r.daemons[d.Plan.ID] = d
-		r.names = append(r.names, d.Plan.ID)
+		r.daemons[d.Spec.ID] = d
+		r.daemonNames = append(r.daemonNames, d.Spec.ID)
 		if err := d.Start(); err != nil {
 			return err
 		}
 	}
 	for _, d := range daemons {
-		if err := d.AwaitLive(patience); err != nil {
+		if err := d.AwaitLive(waitTimeout); err != nil {
 			return err
 		}
 	}
@@ -60,16 +60,16 @@
 	return nil
 }
 
-// linger is the time in which a leaving stand-in records new work as late.
-const linger = 2 * time.Second
+// lingerPeriod is the time in which a leaving stand-in records new work as late.
+const lingerPeriod = 2 * time.Second
 
 func (r *Run) startStandin(id string, i int, size Size, args ...string) error {
-	s, err := r.fleet.StartStandin(id, fmt.Sprintf("dc%d", i%size.DataCentres+1), append(args, "--linger", linger.String())...)
+	s, err := r.fleet.StartStandin(id, fmt.Sprintf("dc%d", i%size.DataCentres+1), append(args, "--linger", lingerPeriod.String())...)
 	r.standins[id] = s
 	return err
 }
 
-const section = `# change %d
+const sectionTemplate = `# change %d
 [dataCentre "dc1"]
 region = r1
 [dataCentre "dc2"]
@@ -93,12 +93,12 @@
 weight = 10
 `
 
-func (r *Run) configure(Size) error {
-	if err := r.submitUntil(r.names[0], patience); err != nil {
+func (r *Run) submitFirstSection(Size) error {
+	if err := r.submitUntil(r.daemonNames[0], waitTimeout); err != nil {
 		return err
 	}
 	for _, d := range r.daemons {
-		if err := d.AwaitReady(patience); err != nil {
+		if err := d.AwaitReady(waitTimeout); err != nil {
 			return err
 		}
 	}
@@ -107,14 +107,14 @@
 
 // awaitUpstreams waits until every daemon knows a usable upstream of each pool.
 func (r *Run) awaitUpstreams() error {
-	end := time.Now().Add(patience)
-	for _, name := range r.names {
+	deadline := time.Now().Add(waitTimeout)
+	for _, name := range r.daemonNames {
 		for {
 			s, err := r.status(r.daemons[name])
 			if err == nil && len(s.Upstreams) == 2 {
 				break
 			}
-			if time.Now().After(end) {
+			if time.Now().After(deadline) {
 				return errors.Errorf("%s does not know the upstreams: %+v %v", name, s.Upstreams, err)
 			}
 			time.Sleep(pollInterval)
--- a/internal/trial/failure/watch.go
+++ b/internal/trial/failure/watch.go
@@ -18,67 +18,67 @@
 
 func (r *Run) status(d *processes.Daemon) (operator.Status, error) {
 	var s operator.Status
-	request, err := http.NewRequest(http.MethodGet, "http://"+d.Operators+"/v1/status", nil)
+	request, err := http.NewRequest(http.MethodGet, "http://"+d.OperatorsAddr+"/v1/status", nil)
 	if err != nil {
 		return s, err
 	}
 	request.Header.Set("Authorization", "Bearer "+processes.Token)
 	client := &http.Client{Timeout: 2 * time.Second}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return s, err
 	}
-	defer answer.Body.Close()
-	return s, json.NewDecoder(answer.Body).Decode(&s)
+	defer response.Body.Close()
+	return s, json.NewDecoder(response.Body).Decode(&s)
 }
 
 // watchRevisions checks all the time that no ready daemon goes back to a lower revision,
 // also over restarts.
 func (r *Run) watchRevisions() {
 	for {
-		for _, name := range r.names {
+		for _, name := range r.daemonNames {
 			if s, err := r.status(r.daemons[name]); err == nil && s.Revision > 0 {
-				r.noteRevision(name, s.Revision)
+				r.recordRevision(name, s.Revision)
 			}
 		}
 		select {
-		case <-r.ended:
+		case <-r.closed:
 			return
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (r *Run) noteRevision(name string, revision fleet.Revision) {
+func (r *Run) recordRevision(name string, revision fleet.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision < r.revisions[name] {
-		r.faults = append(r.faults, fmt.Sprintf("daemon %s went back from revision %d to %d", name, r.revisions[name], revision))
+		r.violations = append(r.violations, fmt.Sprintf("daemon %s went back from revision %d to %d", name, r.revisions[name], revision))
 	}
 	r.revisions[name] = revision
 }
 
-// awaitRepair waits until a voter with a wiped folder has been replaced by its
+// awaitReplacement waits until a voter with a wiped folder has been replaced by its
 // successor, as every running voter sees it.
-func (r *Run) awaitRepair(name string) error {
-	end := time.Now().Add(patience)
+func (r *Run) awaitReplacement(name string) error {
+	deadline := time.Now().Add(waitTimeout)
 	for {
-		repaired := true
-		for _, voter := range r.names[:Voters] {
+		replaced := true
+		for _, voter := range r.daemonNames[:Voters] {
 			s, err := r.status(r.daemons[voter])
-			repaired = repaired && err == nil && isRepaired(s, name)
+			replaced = replaced && err == nil && isReplaced(s, name)
 		}
-		if repaired {
+		if replaced {
 			return nil
 		}
-		if time.Now().After(end) {
-			return errors.Errorf("the voter on %s was not replaced within %s", name, patience)
+		if time.Now().After(deadline) {
+			return errors.Errorf("the voter on %s was not replaced within %s", name, waitTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-func isRepaired(s operator.Status, name string) bool {
+func isReplaced(s operator.Status, name string) bool {
 	for _, g := range s.Groups {
 		if len(g.Voters) != Voters {
 			return false
@@ -92,34 +92,34 @@
 	return len(s.Groups) > 0
 }
 
-// inForcePoll is the time between two looks at all daemons.
-const inForcePoll = 2 * time.Millisecond
+// activationPollInterval is the time between two looks at all daemons.
+const activationPollInterval = 2 * time.Millisecond
 
-// AwaitInForce waits until all daemons have the last accepted revision in force.
-func (r *Run) AwaitInForce(wait time.Duration) error {
+// AwaitActiveRevision waits until all daemons have the last accepted revision in force.
+func (r *Run) AwaitActiveRevision(timeout time.Duration) error {
 	r.mu.Lock()
-	revision := r.base
+	revision := r.baseRevision
 	r.mu.Unlock()
-	end := time.Now().Add(wait)
+	deadline := time.Now().Add(timeout)
 	for _, d := range r.Daemons() {
 		for {
 			s, err := r.status(d)
 			if err == nil && s.Revision >= revision {
 				break
 			}
-			if time.Now().After(end) {
-				return errors.Errorf("%s did not reach revision %d within %s: %d %v", d.Plan.ID, revision, wait, s.Revision, err)
+			if time.Now().After(deadline) {
+				return errors.Errorf("%s did not reach revision %d within %s: %d %v", d.Spec.ID, revision, timeout, s.Revision, err)
 			}
-			time.Sleep(inForcePoll)
+			time.Sleep(activationPollInterval)
 		}
 	}
 	return nil
 }
 
-// States returns the replicated logs as each voter sees them, for a failed test.
-func (r *Run) States() string {
+// VoterStates returns the replicated logs as each voter sees them, for a failed test.
+func (r *Run) VoterStates() string {
 	var b strings.Builder
-	for _, name := range r.names[:Voters] {
+	for _, name := range r.daemonNames[:Voters] {
 		s, err := r.status(r.daemons[name])
 		raw, _ := json.Marshal(s.Groups)
 		fmt.Fprintf(&b, "%s: revision %d, %s %v\n", name, s.Revision, raw, err)
--- a/internal/trial/failure/window.go
+++ b/internal/trial/failure/window.go
@@ -8,46 +8,46 @@
 	"github.com/pkg/errors"
 )
 
-// window is a quiet-hours window of one minute.
-type window struct {
+// quietWindow is a quiet-hours window of one minute.
+type quietWindow struct {
 	dataCentre string
 	start      time.Time
-	bound      int
+	maxInFlight      int
 }
 
 const windowLength = time.Minute
 
-// notice is the time before a window by which it must be accepted, with some
+// noticePeriod is the time before a window by which it must be accepted, with some
 // time for the submission itself.
-const notice = 65 * time.Second
+const noticePeriod = 65 * time.Second
 
-func (w *window) text() string {
+func (w *quietWindow) section() string {
 	if w == nil {
 		return ""
 	}
 	end := w.start.Add(windowLength)
 	return fmt.Sprintf("[window \"trial\"]\ndataCentre = %s\nfrom = %s\nto = %s\ntimeZone = UTC\nmaxInFlight = %d\n",
-		w.dataCentre, w.start.Format("15:04"), end.Format("15:04"), w.bound)
+		w.dataCentre, w.start.Format("15:04"), end.Format("15:04"), w.maxInFlight)
 }
 
-// plan submits a window that begins with the first minute that the notice allows,
+// startQuietWindow submits a window that begins with the first minute that the notice allows,
 // and starts the traffic that runs until after its end.
-func (r *Run) plan(dataCentre, bound, parallel string) error {
-	limit, err := strconv.Atoi(bound)
+func (r *Run) startQuietWindow(dataCentre, limitArg, parallelArg string) error {
+	limit, err := strconv.Atoi(limitArg)
 	if err != nil {
 		return errors.Wrap(err, "bound of the window")
 	}
-	calls, err := strconv.Atoi(parallel)
+	parallel, err := strconv.Atoi(parallelArg)
 	if err != nil {
 		return errors.Wrap(err, "calls at once")
 	}
-	start := time.Now().UTC().Add(notice + windowLength).Truncate(windowLength)
-	r.window = &window{dataCentre: dataCentre, start: start, bound: limit}
-	if err := r.submitUntil(r.names[0], patience); err != nil {
+	start := time.Now().UTC().Add(noticePeriod + windowLength).Truncate(windowLength)
+	r.window = &quietWindow{dataCentre: dataCentre, start: start, maxInFlight: limit}
+	if err := r.submitUntil(r.daemonNames[0], waitTimeout); err != nil {
 		return err
 	}
-	r.watching.Go(r.watchWindow)
-	r.busy.Go(func() { r.traffic.SendFor(time.Until(start.Add(2*windowLength)), calls) })
+	r.watchersWG.Go(r.watchWindow)
+	r.trafficWG.Go(func() { r.traffic.SendFor(time.Until(start.Add(2*windowLength)), parallel) })
 	return nil
 }
 
@@ -59,53 +59,53 @@
 	end := w.start.Add(windowLength)
 	for {
 		now := time.Now()
-		running := r.running(w.dataCentre)
+		running := r.runningRequests(w.dataCentre)
 		r.mu.Lock()
 		switch {
 		case now.Before(w.start):
-			r.load.before = max(r.load.before, running)
+			r.peakLoad.before = max(r.peakLoad.before, running)
 		case now.Before(end):
-			r.load.during = max(r.load.during, running)
+			r.peakLoad.during = max(r.peakLoad.during, running)
 		default:
-			r.load.after = max(r.load.after, running)
+			r.peakLoad.after = max(r.peakLoad.after, running)
 		}
-		if !now.Before(w.start) && now.Before(end) && running > w.bound {
-			r.faults = append(r.faults, fmt.Sprintf("%d requests ran in %s in the window, more than %d", running, w.dataCentre, w.bound))
+		if !now.Before(w.start) && now.Before(end) && running > w.maxInFlight {
+			r.violations = append(r.violations, fmt.Sprintf("%d requests ran in %s in the window, more than %d", running, w.dataCentre, w.maxInFlight))
 		}
 		r.mu.Unlock()
 		select {
-		case <-r.ended:
+		case <-r.closed:
 			return
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// load holds the most requests that ran at once around a window.
-type load struct{ before, during, after int }
+// peakLoad holds the most requests that ran at once around a window.
+type peakLoad struct{ before, during, after int }
 
-// running sums the requests in progress in a data centre.
-func (r *Run) running(dataCentre string) int {
-	sum := 0.0
+// runningRequests sums the requests in progress in a data centre.
+func (r *Run) runningRequests(dataCentre string) int {
+	total := 0.0
 	for _, d := range r.daemons {
-		if d.Plan.DataCentre != dataCentre {
+		if d.Spec.DataCentre != dataCentre {
 			continue
 		}
 		// A daemon that does not answer is down and runs nothing.
 		if n, err := d.Metric("bilberryrock_admission_running"); err == nil {
-			sum += n
+			total += n
 		}
 	}
-	return int(sum)
+	return int(total)
 }
 
-// Load describes the load around the window of the script, or is empty.
-func (r *Run) Load() string {
+// PeakLoad describes the load around the window of the script, or is empty.
+func (r *Run) PeakLoad() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.window == nil {
 		return ""
 	}
 	return fmt.Sprintf("most requests at once in %s: %d before the window, %d in it (bound %d), %d after it",
-		r.window.dataCentre, r.load.before, r.load.during, r.window.bound, r.load.after)
+		r.window.dataCentre, r.peakLoad.before, r.peakLoad.during, r.window.maxInFlight, r.peakLoad.after)
 }
--- a/internal/trial/footprint/idle_test.go
+++ b/internal/trial/footprint/idle_test.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	settle   = 5 * time.Second
-	measured = 10 * time.Second
-	// ticksPerSecond is the unit of processor times in /proc on Linux.
-	ticksPerSecond = 100
+	settleTime   = 5 * time.Second
+	measurePeriod = 10 * time.Second
+	// clockTicksPerSecond is the unit of processor times in /proc on Linux.
+	clockTicksPerSecond = 100
 )
 
-// sample is the state of the counters of one daemon.
-type sample struct{ cpu, sent, received float64 }
+// counters is the state of the counters of one daemon.
+type counters struct{ cpu, sent, received float64 }
 
-// cost sums what the daemons of one role used.
-type cost struct{ daemons, cpu, memory, sent, received float64 }
+// resourceUsage sums what the daemons of one role used.
+type resourceUsage struct{ daemons, cpu, memory, sent, received float64 }
 
 // BenchmarkIdle reports for voters and for other daemons the processor time in
 // percent of a core, the resident memory in MB and the bytes of gossip a second.
 func BenchmarkIdle(b *testing.B) {
-	bin := build(b)
+	bin := buildPrograms(b)
 	for _, size := range []failure.Size{
 		{DataCentres: 3, Daemons: 3, Engines: 6, Services: 3},
 		{DataCentres: 3, Daemons: 6, Engines: 6, Services: 3},
@@ -42,14 +42,14 @@
 	} {
 		b.Run(fmt.Sprintf("daemons=%d/upstreams=%d", size.Daemons, size.Engines+size.Services), func(b *testing.B) {
 			for range b.N {
-				measure(b, bin, size)
+				measureIdle(b, bin, size)
 			}
 		})
 	}
 }
 
-// build builds the programs into a folder of the benchmark.
-func build(b *testing.B) string {
+// buildPrograms builds the programs into a folder of the benchmark.
+func buildPrograms(b *testing.B) string {
 	b.Helper()
 	bin := b.TempDir()
 	cmd := exec.Command("go", "build", "-o", bin+string(filepath.Separator), "./cmd/...")
@@ -60,28 +60,28 @@
 	return bin
 }
 
-func measure(b *testing.B, bin string, size failure.Size) {
+func measureIdle(b *testing.B, bin string, size failure.Size) {
 	b.Helper()
 	r, err := failure.Start(bin, b.TempDir(), size, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer r.Close()
-	time.Sleep(settle)
-	before := make(map[string]sample)
+	time.Sleep(settleTime)
+	before := make(map[string]counters)
 	for _, d := range r.Daemons() {
-		before[d.Plan.ID] = take(b, d)
+		before[d.Spec.ID] = readCounters(b, d)
 	}
-	time.Sleep(measured)
-	costs := map[string]*cost{"voter": {}, "other": {}}
+	time.Sleep(measurePeriod)
+	usage := map[string]*resourceUsage{"voter": {}, "other": {}}
 	for _, d := range r.Daemons() {
 		role := "other"
-		if d.Plan.Voter != 0 {
+		if d.Spec.Voter != 0 {
 			role = "voter"
 		}
-		costs[role].add(before[d.Plan.ID], take(b, d), memory(b, d))
+		usage[role].add(before[d.Spec.ID], readCounters(b, d), residentMemory(b, d))
 	}
-	for role, c := range costs {
+	for role, c := range usage {
 		if c.daemons > 0 {
 			b.ReportMetric(c.cpu/c.daemons, role+"-%core")
 			b.ReportMetric(c.memory/c.daemons, role+"-MB")
@@ -91,15 +91,15 @@
 	}
 }
 
-func (c *cost) add(before, after sample, memory float64) {
+func (c *resourceUsage) add(before, after counters, residentMB float64) {
 	c.daemons++
-	c.cpu += (after.cpu - before.cpu) / measured.Seconds() * 100
-	c.sent += (after.sent - before.sent) / measured.Seconds()
-	c.received += (after.received - before.received) / measured.Seconds()
-	c.memory += memory
+	c.cpu += (after.cpu - before.cpu) / measurePeriod.Seconds() * 100
+	c.sent += (after.sent - before.sent) / measurePeriod.Seconds()
+	c.received += (after.received - before.received) / measurePeriod.Seconds()
+	c.memory += residentMB
 }
 
-func take(b *testing.B, d *processes.Daemon) sample {
+func readCounters(b *testing.B, d *processes.Daemon) counters {
 	b.Helper()
 	sent, err := d.Metric("bilberryrock_gossip_sent_bytes_total")
 	if err != nil {
@@ -109,11 +109,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	return sample{cpu: processorTime(b, d), sent: sent, received: received}
+	return counters{cpu: cpuTime(b, d), sent: sent, received: received}
 }
 
-// processorTime returns the user and system time of the process in seconds.
-func processorTime(b *testing.B, d *processes.Daemon) float64 {
+// cpuTime returns the user and system time of the process in seconds.
+func cpuTime(b *testing.B, d *processes.Daemon) float64 {
 	b.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
 	if err != nil {
@@ -130,11 +130,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	return (user + system) / ticksPerSecond
+	return (user + system) / clockTicksPerSecond
 }
 
-// memory returns the resident memory in MB.
-func memory(b *testing.B, d *processes.Daemon) float64 {
+// residentMemory returns the resident memory in MB.
+func residentMemory(b *testing.B, d *processes.Daemon) float64 {
 	b.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", d.PID()))
 	if err != nil {
--- a/internal/trial/footprint/inforce_test.go
+++ b/internal/trial/footprint/inforce_test.go
@@ -14,7 +14,7 @@
 // asking all of them for their status.
 func BenchmarkInForce(b *testing.B) {
 	size := failure.Size{DataCentres: 3, Daemons: 12, Engines: 6, Services: 3}
-	r, err := failure.Start(build(b), b.TempDir(), size, 1)
+	r, err := failure.Start(buildPrograms(b), b.TempDir(), size, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 			b.Fatal(err)
 		}
 		accepted := time.Now()
-		if err := r.AwaitInForce(time.Minute); err != nil {
+		if err := r.AwaitActiveRevision(time.Minute); err != nil {
 			b.Fatal(err)
 		}
 		if err := histogram.RecordValue(time.Since(accepted).Microseconds()); err != nil {
--- a/internal/trial/overhead/overhead.go
+++ b/internal/trial/overhead/overhead.go
@@ -34,8 +34,8 @@
 // slow phase of the machine affects both.
 const rounds = 3
 
-// perStream is the number of requests of one stream in a round.
-func (k Kind) perStream() int {
+// requestsPerStream is the number of requests of one stream in a round.
+func (k Kind) requestsPerStream() int {
 	switch k {
 	case Completions:
 		return 4
@@ -49,81 +49,81 @@
 	// minTime and maxTime bound the recorded times in nanoseconds.
 	minTime = int64(time.Microsecond)
 	maxTime = int64(time.Minute)
-	// digits is the precision of the histograms in significant digits.
-	digits = 3
+	// significantDigits is the precision of the histograms in significant digits.
+	significantDigits = 3
 )
 
-// Times collects what one side of a comparison took.
-type Times struct {
-	// Request holds the time of whole requests and Token the time between two
+// Measurements collects what one side of a comparison took.
+type Measurements struct {
+	// RequestTimes holds the time of whole requests and Token the time between two
 	// tokens, both in nanoseconds.
-	Request, Token *hdrhistogram.Histogram
-	// Units is the number of tokens, or of lookups, in Took.
-	Units int
-	Took  time.Duration
+	RequestTimes, TokenIntervals *hdrhistogram.Histogram
+	// Count is the number of tokens, or of lookups, in Took.
+	Count int
+	Elapsed  time.Duration
 }
 
-func newTimes() *Times {
-	return &Times{Request: hdrhistogram.New(minTime, maxTime, digits), Token: hdrhistogram.New(minTime, maxTime, digits)}
+func newMeasurements() *Measurements {
+	return &Measurements{RequestTimes: hdrhistogram.New(minTime, maxTime, significantDigits), TokenIntervals: hdrhistogram.New(minTime, maxTime, significantDigits)}
 }
 
 // Throughput returns tokens or lookups per second.
-func (t *Times) Throughput() float64 { return float64(t.Units) / t.Took.Seconds() }
+func (t *Measurements) Throughput() float64 { return float64(t.Count) / t.Elapsed.Seconds() }
 
-func (t *Times) add(o *Times) {
-	t.Request.Merge(o.Request)
-	t.Token.Merge(o.Token)
-	t.Units += o.Units
+func (t *Measurements) add(o *Measurements) {
+	t.RequestTimes.Merge(o.RequestTimes)
+	t.TokenIntervals.Merge(o.TokenIntervals)
+	t.Count += o.Count
 }
 
 // Comparison holds both sides of a comparison.
-type Comparison struct{ Direct, Daemon *Times }
+type Comparison struct{ Direct, Daemon *Measurements }
 
-// Lost returns the share of the direct throughput that the daemon costs.
-func (c Comparison) Lost() float64 { return 1 - c.Daemon.Throughput()/c.Direct.Throughput() }
+// ThroughputLoss returns the share of the direct throughput that the daemon costs.
+func (c Comparison) ThroughputLoss() float64 { return 1 - c.Daemon.Throughput()/c.Direct.Throughput() }
 
-// Added returns the difference of the request times at a percentile.
-func (c Comparison) Added(percentile float64) time.Duration {
-	return time.Duration(c.Daemon.Request.ValueAtPercentile(percentile) - c.Direct.Request.ValueAtPercentile(percentile))
+// AddedLatency returns the difference of the request times at a percentile.
+func (c Comparison) AddedLatency(percentile float64) time.Duration {
+	return time.Duration(c.Daemon.RequestTimes.ValueAtPercentile(percentile) - c.Direct.RequestTimes.ValueAtPercentile(percentile))
 }
 
-// AddedPerToken returns the difference of the times between tokens at a
+// AddedTokenInterval returns the difference of the times between tokens at a
 // percentile.
-func (c Comparison) AddedPerToken(percentile float64) time.Duration {
-	return time.Duration(c.Daemon.Token.ValueAtPercentile(percentile) - c.Direct.Token.ValueAtPercentile(percentile))
+func (c Comparison) AddedTokenInterval(percentile float64) time.Duration {
+	return time.Duration(c.Daemon.TokenIntervals.ValueAtPercentile(percentile) - c.Direct.TokenIntervals.ValueAtPercentile(percentile))
 }
 
-// task runs request number i and records its times.
-type task func(ctx context.Context, i int, t *Times) error
+// workFunc runs request number i and records its times.
+type workFunc func(ctx context.Context, i int, t *Measurements) error
 
 // Compare runs the same work on both sides with a number of concurrent streams.
-func (r *Rig) Compare(ctx context.Context, k Kind, streams int) (Comparison, error) {
+func (r *Testbed) Compare(ctx context.Context, k Kind, streams int) (Comparison, error) {
 	direct, daemon := r.directCompletion, r.daemonCompletion
 	if k != Completions {
 		direct, daemon = r.lookups(k)
 	}
-	c := Comparison{Direct: newTimes(), Daemon: newTimes()}
+	c := Comparison{Direct: newMeasurements(), Daemon: newMeasurements()}
 	for range rounds {
-		if err := run(ctx, c.Direct, direct, streams, k.perStream()); err != nil {
+		if err := runStreams(ctx, c.Direct, direct, streams, k.requestsPerStream()); err != nil {
 			return c, errors.Wrap(err, "direct")
 		}
-		if err := run(ctx, c.Daemon, daemon, streams, k.perStream()); err != nil {
+		if err := runStreams(ctx, c.Daemon, daemon, streams, k.requestsPerStream()); err != nil {
 			return c, errors.Wrap(err, "through the daemon")
 		}
 	}
 	return c, nil
 }
 
-// run executes each in a closed loop of the given number of streams.
-func run(ctx context.Context, total *Times, each task, streams, perStream int) error {
-	parts := make([]*Times, streams)
+// runStreams executes each in a closed loop of the given number of streams.
+func runStreams(ctx context.Context, total *Measurements, work workFunc, streams, perStream int) error {
+	results := make([]*Measurements, streams)
 	group, ctx := errgroup.WithContext(ctx)
 	started := time.Now()
 	for s := range streams {
-		parts[s] = newTimes()
+		results[s] = newMeasurements()
 		group.Go(func() error {
 			for i := range perStream {
-				if err := each(ctx, s*perStream+i, parts[s]); err != nil {
+				if err := work(ctx, s*perStream+i, results[s]); err != nil {
 					return err
 				}
 			}
@@ -131,8 +131,8 @@
 		})
 	}
 	err := group.Wait()
-	total.Took += time.Since(started)
-	for _, p := range parts {
+	total.Elapsed += time.Since(started)
+	for _, p := range results {
 		total.add(p)
 	}
 	return err
--- a/internal/trial/overhead/overhead_test.go
+++ b/internal/trial/overhead/overhead_test.go
@@ -46,11 +46,11 @@
 func report(b *testing.B, kind overhead.Kind, c overhead.Comparison) {
 	b.ReportMetric(c.Direct.Throughput(), "direct/s")
 	b.ReportMetric(c.Daemon.Throughput(), "daemon/s")
-	b.ReportMetric(100*c.Lost(), "lost%")
+	b.ReportMetric(100*c.ThroughputLoss(), "lost%")
 	for _, p := range []float64{50, 95, 99} {
-		b.ReportMetric(milliseconds(c.Added(p)), fmt.Sprintf("add-p%v-ms", p))
+		b.ReportMetric(milliseconds(c.AddedLatency(p)), fmt.Sprintf("add-p%v-ms", p))
 		if kind == overhead.Completions {
-			b.ReportMetric(milliseconds(c.AddedPerToken(p)), fmt.Sprintf("token-add-p%v-ms", p))
+			b.ReportMetric(milliseconds(c.AddedTokenInterval(p)), fmt.Sprintf("token-add-p%v-ms", p))
 		}
 	}
 }
--- a/internal/trial/overhead/rig.go
+++ b/internal/trial/overhead/rig.go
@@ -26,8 +26,8 @@
 	slots = 128
 	// maxTokens bounds one completion.
 	maxTokens = 32
-	// patience bounds each wait of the start.
-	patience = 30 * time.Second
+	// startTimeout bounds each wait of the start.
+	startTimeout = 30 * time.Second
 )
 
 // services are the pools of plain services with the time of one call.
@@ -39,7 +39,7 @@
 	SlowLookups: {"archive", 20 * time.Millisecond},
 }
 
-const section = `[dataCentre "dc1"]
+const sectionTemplate = `[dataCentre "dc1"]
 region = midlands
 
 [pool "engines"]
@@ -66,8 +66,8 @@
 weight = 10
 `
 
-// Rig is a daemon with stand-ins of both kinds.
-type Rig struct {
+// Testbed is a daemon with stand-ins of both kinds.
+type Testbed struct {
 	fleet    *processes.Fleet
 	daemon   *processes.Daemon
 	client   *http.Client
@@ -78,18 +78,18 @@
 
 // Start starts the programs in bin with files in dir, and waits until the daemon
 // answers completions and lookups.
-func Start(bin, dir string) (*Rig, error) {
+func Start(bin, dir string) (*Testbed, error) {
 	f, err := processes.New(bin, dir)
 	if err != nil {
 		return nil, err
 	}
-	r := &Rig{
+	r := &Testbed{
 		fleet:    f,
 		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: slots}},
 		dialer:   engine.NewDialer(),
 		services: make(map[Kind][]upstream.ServiceClient),
 	}
-	for _, step := range []func() error{r.startDaemon, r.startStandins, r.submit, r.warm} {
+	for _, step := range []func() error{r.startDaemon, r.startStandins, r.submit, r.warmUp} {
 		if err := step(); err != nil {
 			r.Close()
 			return nil, errors.Wrap(err, f.Logs(1000))
@@ -99,14 +99,14 @@
 }
 
 // Close ends all processes.
-func (r *Rig) Close() {
+func (r *Testbed) Close() {
 	r.fleet.Close()
 	r.client.CloseIdleConnections()
 	r.dialer.Close()
 }
 
-func (r *Rig) startDaemon() error {
-	list, err := r.fleet.PlanDaemons(processes.DaemonPlan{ID: "a", DataCentre: "dc1", Voter: 1, Extra: "[log]\nlevel = warn"})
+func (r *Testbed) startDaemon() error {
+	list, err := r.fleet.ConfigureDaemons(processes.DaemonSpec{ID: "a", DataCentre: "dc1", Voter: 1, ExtraSettings: "[log]\nlevel = warn"})
 	if err != nil {
 		return err
 	}
@@ -114,10 +114,10 @@
 	if err := r.daemon.Start(); err != nil {
 		return err
 	}
-	return r.daemon.AwaitLive(patience)
+	return r.daemon.AwaitLive(startTimeout)
 }
 
-func (r *Rig) startStandins() error {
+func (r *Testbed) startStandins() error {
 	for half := range 2 {
 		for i := range replicas {
 			s, err := r.fleet.StartStandin(fmt.Sprintf("engine-%d-%d", half, i), "dc1",
@@ -127,7 +127,7 @@
 			if err != nil {
 				return err
 			}
-			r.engines[half] = append(r.engines[half], r.dialer.Engine(at(s)))
+			r.engines[half] = append(r.engines[half], r.dialer.Engine(upstreamOf(s)))
 		}
 	}
 	for kind, service := range services {
@@ -137,63 +137,63 @@
 			if err != nil {
 				return err
 			}
-			r.services[kind] = append(r.services[kind], r.dialer.Service(at(s)))
+			r.services[kind] = append(r.services[kind], r.dialer.Service(upstreamOf(s)))
 		}
 	}
 	return nil
 }
 
-func at(s *processes.Standin) upstream.Upstream {
+func upstreamOf(s *processes.Standin) upstream.Upstream {
 	return upstream.Upstream{Announcement: upstream.Announcement{ID: fleet.UpstreamID(s.ID), Address: s.Address}}
 }
 
-func (r *Rig) submit() error {
+func (r *Testbed) submit() error {
 	path := r.fleet.Path("alpha.section")
-	if err := os.WriteFile(path, fmt.Appendf(nil, section, processes.Digest(processes.APIKey)), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, sectionTemplate, processes.Digest(processes.APIKey)), 0o600); err != nil {
 		return errors.Wrap(err, "write section")
 	}
 	err := retry(func() error {
-		output, status, err := r.daemon.Operator("submit", "--team", processes.Team, "--change", "overhead-1", "--operator", "trial", path)
-		if err == nil && status != 0 {
-			err = errors.Errorf("submit ended with status %d: %s", status, output)
+		output, exitStatus, err := r.daemon.RunOperatorCommand("submit", "--team", processes.Team, "--change", "overhead-1", "--operator", "trial", path)
+		if err == nil && exitStatus != 0 {
+			err = errors.Errorf("submit ended with status %d: %s", exitStatus, output)
 		}
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	return r.daemon.AwaitReady(patience)
+	return r.daemon.AwaitReady(startTimeout)
 }
 
-// warm waits until all upstreams are in use: one request of each kind must pass
+// warmUp waits until all upstreams are in use: one request of each kind must pass
 // through the daemon after the stand-ins have announced themselves.
-func (r *Rig) warm() error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (r *Testbed) warmUp() error {
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	return retry(func() error {
 		for kind := range services {
 			_, lookup := r.lookups(kind)
-			if err := lookup(ctx, 0, newTimes()); err != nil {
+			if err := lookup(ctx, 0, newMeasurements()); err != nil {
 				return err
 			}
 		}
-		return r.daemonCompletion(ctx, 0, newTimes())
+		return r.daemonCompletion(ctx, 0, newMeasurements())
 	})
 }
 
 func retry(do func() error) error {
-	end := time.Now().Add(patience)
+	deadline := time.Now().Add(startTimeout)
 	for {
 		err := do()
-		if err == nil || time.Now().After(end) {
+		if err == nil || time.Now().After(deadline) {
 			return err
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-func (r *Rig) request(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+r.daemon.Callers+path, bytes.NewReader(body))
+func (r *Testbed) sendRequest(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+r.daemon.CallersAddr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
--- a/internal/trial/overhead/work.go
+++ b/internal/trial/overhead/work.go
@@ -20,29 +20,29 @@
 func prompt(i int) string { return fmt.Sprintf("row %d of the ledger", i) }
 
 // daemonCompletion streams a completion through the daemon.
-func (r *Rig) daemonCompletion(ctx context.Context, i int, t *Times) error {
+func (r *Testbed) daemonCompletion(ctx context.Context, i int, t *Measurements) error {
 	started := time.Now()
 	body := fmt.Appendf(nil, `{"model":"transcriber","prompt":%q,"max_tokens":%d,"stream":true}`, prompt(i), maxTokens)
-	answer, err := r.request(ctx, http.MethodPost, "/v1/completions", body)
+	response, err := r.sendRequest(ctx, http.MethodPost, "/v1/completions", body)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return errors.Errorf("status %d", answer.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return errors.Errorf("status %d", response.StatusCode)
 	}
 	last := started
-	lines := bufio.NewScanner(answer.Body)
+	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		event, found := bytes.CutPrefix(lines.Bytes(), []byte("data: "))
 		if !found {
 			continue
 		}
 		if string(event) == "[DONE]" {
-			return errors.Wrap(t.Request.RecordValue(int64(time.Since(started))), "record request")
+			return errors.Wrap(t.RequestTimes.RecordValue(int64(time.Since(started))), "record request")
 		}
 		if bytes.Contains(event, []byte(`"finish_reason":null`)) {
-			if last, err = t.token(last); err != nil {
+			if last, err = t.recordToken(last); err != nil {
 				return err
 			}
 		}
@@ -50,15 +50,15 @@
 	return errors.New("stream without [DONE]")
 }
 
-// token records one token that arrived now.
-func (t *Times) token(last time.Time) (time.Time, error) {
+// recordToken records one token that arrived now.
+func (t *Measurements) recordToken(last time.Time) (time.Time, error) {
 	now := time.Now()
-	t.Units++
-	return now, errors.Wrap(t.Token.RecordValue(int64(now.Sub(last))), "record token")
+	t.Count++
+	return now, errors.Wrap(t.TokenIntervals.RecordValue(int64(now.Sub(last))), "record token")
 }
 
 // directCompletion runs the steps of a completion as the daemon does.
-func (r *Rig) directCompletion(ctx context.Context, i int, t *Times) error {
+func (r *Testbed) directCompletion(ctx context.Context, i int, t *Measurements) error {
 	started := time.Now()
 	id := fleet.InstanceID("direct").NewRequestID()
 	first, second := r.engines[0][i%replicas], r.engines[1][i%replicas]
@@ -69,11 +69,11 @@
 	}
 	last, position := started, 0
 	for range maxTokens {
-		result, err := pass(ctx, first, second, id, fleet.Position(position), input)
+		result, err := runStages(ctx, first, second, id, fleet.Position(position), input)
 		if err != nil {
 			return err
 		}
-		if last, err = t.token(last); err != nil {
+		if last, err = t.recordToken(last); err != nil {
 			return err
 		}
 		if result.End {
@@ -82,7 +82,7 @@
 		position += len(input)
 		input = result.Output[len(result.Output)-1:]
 	}
-	if err := t.Request.RecordValue(int64(time.Since(started))); err != nil {
+	if err := t.RequestTimes.RecordValue(int64(time.Since(started))); err != nil {
 		return errors.Wrap(err, "record request")
 	}
 	for _, e := range []upstream.EngineClient{first, second} {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// pass sends the input through both stages.
-func pass(ctx context.Context, first, second upstream.EngineClient, id fleet.RequestID, position fleet.Position, input []uint64) (upstream.StepResult, error) {
+// runStages sends the input through both stages.
+func runStages(ctx context.Context, first, second upstream.EngineClient, id fleet.RequestID, position fleet.Position, input []uint64) (upstream.StepResult, error) {
 	s := upstream.Step{
 		Request: id, Epoch: 1, Position: position, Model: "transcriber", Version: "v1",
 		Layers: upstream.LayerRange{From: 0, To: layers / 2}, Input: input,
@@ -111,34 +111,34 @@
 func lookupPath(i int) string { return fmt.Sprintf("/lookups/row-%d", i) }
 
 // lookups returns the two sides of lookups at the services of a kind.
-func (r *Rig) lookups(k Kind) (direct, daemon task) {
-	direct = func(ctx context.Context, i int, t *Times) error {
+func (r *Testbed) lookups(k Kind) (direct, daemon workFunc) {
+	direct = func(ctx context.Context, i int, t *Measurements) error {
 		started := time.Now()
-		answer, err := r.services[k][i%replicas].Call(ctx, upstream.Call{Method: http.MethodGet, Path: lookupPath(i)})
+		response, err := r.services[k][i%replicas].Call(ctx, upstream.Call{Method: http.MethodGet, Path: lookupPath(i)})
 		if err != nil {
 			return err
 		}
-		return t.lookup(started, answer.Status)
+		return t.recordLookup(started, response.Status)
 	}
-	daemon = func(ctx context.Context, i int, t *Times) error {
+	daemon = func(ctx context.Context, i int, t *Measurements) error {
 		started := time.Now()
-		answer, err := r.request(ctx, http.MethodGet, "/services/"+services[k].pool+lookupPath(i), nil)
+		response, err := r.sendRequest(ctx, http.MethodGet, "/services/"+services[k].pool+lookupPath(i), nil)
 		if err != nil {
 			return err
 		}
-		defer answer.Body.Close()
-		if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+		defer response.Body.Close()
+		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return errors.Wrap(err, "read answer")
 		}
-		return t.lookup(started, answer.StatusCode)
+		return t.recordLookup(started, response.StatusCode)
 	}
 	return direct, daemon
 }
 
-func (t *Times) lookup(started time.Time, status int) error {
+func (t *Measurements) recordLookup(started time.Time, status int) error {
 	if status != http.StatusOK {
 		return errors.Errorf("status %d", status)
 	}
-	t.Units++
-	return errors.Wrap(t.Request.RecordValue(int64(time.Since(started))), "record lookup")
+	t.Count++
+	return errors.Wrap(t.RequestTimes.RecordValue(int64(time.Since(started))), "record lookup")
 }
--- a/internal/trial/processes/client.go
+++ b/internal/trial/processes/client.go
@@ -13,40 +13,40 @@
 	"github.com/pkg/errors"
 )
 
-// Reply is the answer to a call.
-type Reply struct {
+// Response is the answer to a call.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Broken is the error that ended the body before its end, or nil.
-	Broken error
+	// ReadErr is the error that ended the body before its end, or nil.
+	ReadErr error
 }
 
 // Call sends one request of a caller to the daemon.
-func (d *Daemon) Call(method, path string, header map[string]string, body string, wait time.Duration) (Reply, error) {
-	request, err := http.NewRequest(method, "http://"+d.Callers+path, bytes.NewReader([]byte(body)))
+func (d *Daemon) Call(method, path string, header map[string]string, body string, timeout time.Duration) (Response, error) {
+	request, err := http.NewRequest(method, "http://"+d.CallersAddr+path, bytes.NewReader([]byte(body)))
 	if err != nil {
-		return Reply{}, errors.Wrap(err, "build request")
+		return Response{}, errors.Wrap(err, "build request")
 	}
 	request.Header.Set("Authorization", "Bearer "+APIKey)
 	request.Header.Set("Content-Type", "application/json")
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
-	client := &http.Client{Timeout: wait}
-	answer, err := client.Do(request)
+	client := &http.Client{Timeout: timeout}
+	response, err := client.Do(request)
 	if err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(answer.Body)
-	return Reply{Status: answer.StatusCode, Header: answer.Header, Body: raw, Broken: err}, nil
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
+	return Response{Status: response.StatusCode, Header: response.Header, Body: raw, ReadErr: err}, nil
 }
 
-// Operator runs the operators' command against the daemon and returns its
+// RunOperatorCommand runs the operators' command against the daemon and returns its
 // output and exit status.
-func (d *Daemon) Operator(args ...string) (output string, status int, err error) {
-	args = append([]string{"--server", "http://" + d.Operators, "--tokenFile", d.fleet.Path("operator.token")}, args...)
+func (d *Daemon) RunOperatorCommand(args ...string) (output string, exitStatus int, err error) {
+	args = append([]string{"--server", "http://" + d.OperatorsAddr, "--tokenFile", d.fleet.Path("operator.token")}, args...)
 	cmd := exec.Command(filepath.Join(d.fleet.bin, "bilberryrock"), args...)
 	raw, err := cmd.CombinedOutput()
 	var exit *exec.ExitError
@@ -56,9 +56,9 @@
 	return string(raw), 0, errors.Wrap(err, "run bilberryrock")
 }
 
-// JoinEvents joins the text of a streamed completion and tells whether its end
+// JoinCompletionEvents joins the text of a streamed completion and tells whether its end
 // was seen.
-func JoinEvents(raw []byte) (text string, done bool) {
+func JoinCompletionEvents(raw []byte) (text string, done bool) {
 	var b strings.Builder
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		data, found := bytes.CutPrefix(line, []byte("data: "))
--- a/internal/trial/processes/daemon.go
+++ b/internal/trial/processes/daemon.go
@@ -12,34 +12,34 @@
 	"github.com/pkg/errors"
 )
 
-// DaemonPlan describes a daemon.
-type DaemonPlan struct {
+// DaemonSpec describes a daemon.
+type DaemonSpec struct {
 	ID         string
 	DataCentre string
 	// Voter is the voter number; zero means that the daemon does not vote and
 	// keeps no durable state.
 	Voter int
-	// Extra holds further lines of the settings file.
-	Extra string
+	// ExtraSettings holds further lines of the settings file.
+	ExtraSettings string
 }
 
 // Daemon is a bilberryrockd process.
 type Daemon struct {
 	*Process
-	Plan DaemonPlan
+	Spec DaemonSpec
 	// Addresses of the listeners.
-	Callers, Operators, Upstreams, Peers, Gossip, Platform string
+	CallersAddr, OperatorsAddr, UpstreamsAddr, PeersAddr, GossipAddr, PlatformAddr string
 
 	fleet *Fleet
 }
 
-// PlanDaemons reserves addresses for daemons and writes their settings. All of
+// ConfigureDaemons reserves addresses for daemons and writes their settings. All of
 // them know each other.
-func (f *Fleet) PlanDaemons(plans ...DaemonPlan) ([]*Daemon, error) {
+func (f *Fleet) ConfigureDaemons(specs ...DaemonSpec) ([]*Daemon, error) {
 	var list []*Daemon
-	for _, plan := range plans {
-		d := &Daemon{Plan: plan, fleet: f}
-		for _, address := range []*string{&d.Callers, &d.Operators, &d.Upstreams, &d.Peers, &d.Gossip, &d.Platform} {
+	for _, spec := range specs {
+		d := &Daemon{Spec: spec, fleet: f}
+		for _, address := range []*string{&d.CallersAddr, &d.OperatorsAddr, &d.UpstreamsAddr, &d.PeersAddr, &d.GossipAddr, &d.PlatformAddr} {
 			reserved, err := f.Address()
 			if err != nil {
 				return nil, err
@@ -57,33 +57,33 @@
 	return list, nil
 }
 
-func (d *Daemon) settingsPath() string { return d.fleet.Path(d.Plan.ID + ".ini") }
+func (d *Daemon) settingsPath() string { return d.fleet.Path(d.Spec.ID + ".ini") }
 
 // DataFolder returns the folder of the durable state.
-func (d *Daemon) DataFolder() string { return d.fleet.Path(d.Plan.ID + ".data") }
+func (d *Daemon) DataFolder() string { return d.fleet.Path(d.Spec.ID + ".data") }
 
 func (f *Fleet) settings(d *Daemon) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[instance]\nid = %s\ndataCentre = %s\nfleetSize = %d\ndrainDelay = 300ms\nstopTimeout = 20s\n",
-		d.Plan.ID, d.Plan.DataCentre, f.sizeOf(d.Plan.DataCentre))
-	if d.Plan.Voter != 0 {
+		d.Spec.ID, d.Spec.DataCentre, f.dataCentreSize(d.Spec.DataCentre))
+	if d.Spec.Voter != 0 {
 		fmt.Fprintf(&b, "dataFolder = %s\nvotes = true\n", d.DataFolder())
 	}
 	fmt.Fprintf(&b, "\n[listeners]\ncallers = %s\noperators = %s\nupstreams = %s\npeers = %s\ngossip = %s\nplatform = %s\n",
-		d.Callers, d.Operators, d.Upstreams, d.Peers, d.Gossip, d.Platform)
+		d.CallersAddr, d.OperatorsAddr, d.UpstreamsAddr, d.PeersAddr, d.GossipAddr, d.PlatformAddr)
 	fmt.Fprintf(&b, "\n[membership]\nseeds = %s\nsecretFile = %s\n", f.seeds(d), f.Path("gossip.secret"))
 	fmt.Fprintf(&b, "\n[quorum]\nvoters = %s\n", f.voters())
 	fmt.Fprintf(&b, "\n[operators]\ntokens = %s:%s\n", Team, Digest(Token))
 	fmt.Fprintf(&b, "\n[upstreams]\ntokenFile = %s\n", f.Path("upstream.token"))
-	fmt.Fprintf(&b, "\n[faults]\ninjection = true\n\n%s\n", d.Plan.Extra)
+	fmt.Fprintf(&b, "\n[faults]\ninjection = true\n\n%s\n", d.Spec.ExtraSettings)
 	return b.String()
 }
 
-// sizeOf returns the number of daemons in a data centre.
-func (f *Fleet) sizeOf(dataCentre string) int {
+// dataCentreSize returns the number of daemons in a data centre.
+func (f *Fleet) dataCentreSize(dataCentre string) int {
 	n := 0
 	for _, d := range f.daemons {
-		if d.Plan.DataCentre == dataCentre {
+		if d.Spec.DataCentre == dataCentre {
 			n++
 		}
 	}
@@ -94,7 +94,7 @@
 	var list []string
 	for _, d := range f.daemons {
 		if d != self {
-			list = append(list, d.Gossip)
+			list = append(list, d.GossipAddr)
 		}
 	}
 	return strings.Join(list, ", ")
@@ -103,8 +103,8 @@
 func (f *Fleet) voters() string {
 	var list []string
 	for _, d := range f.daemons {
-		if d.Plan.Voter != 0 {
-			list = append(list, fmt.Sprintf("%d@%s@%s", d.Plan.Voter, d.Plan.ID, d.Peers))
+		if d.Spec.Voter != 0 {
+			list = append(list, fmt.Sprintf("%d@%s@%s", d.Spec.Voter, d.Spec.ID, d.PeersAddr))
 		}
 	}
 	return strings.Join(list, ", ")
@@ -112,7 +112,7 @@
 
 // Start starts the daemon, also again after it was killed or stopped.
 func (d *Daemon) Start() error {
-	p, err := d.fleet.start(d.Plan.ID, "bilberryrockd", "--config", d.settingsPath())
+	p, err := d.fleet.start(d.Spec.ID, "bilberryrockd", "--config", d.settingsPath())
 	if err != nil {
 		return err
 	}
@@ -121,56 +121,56 @@
 }
 
 // AwaitLive waits until the daemon answers the platform.
-func (d *Daemon) AwaitLive(wait time.Duration) error { return d.await("/live", wait) }
+func (d *Daemon) AwaitLive(timeout time.Duration) error { return d.awaitOK("/live", timeout) }
 
 // AwaitReady waits until the daemon is ready.
-func (d *Daemon) AwaitReady(wait time.Duration) error { return d.await("/ready", wait) }
+func (d *Daemon) AwaitReady(timeout time.Duration) error { return d.awaitOK("/ready", timeout) }
 
 const pollInterval = 50 * time.Millisecond
 
-func (d *Daemon) await(path string, wait time.Duration) error {
-	end := time.Now().Add(wait)
-	for time.Now().Before(end) {
+func (d *Daemon) awaitOK(path string, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	for time.Now().Before(deadline) {
 		if !d.Running() {
-			return errors.Errorf("%s ended", d.Plan.ID)
+			return errors.Errorf("%s ended", d.Spec.ID)
 		}
-		answer, err := http.Get("http://" + d.Platform + path)
+		response, err := http.Get("http://" + d.PlatformAddr + path)
 		if err == nil {
-			answer.Body.Close()
-			if answer.StatusCode == http.StatusOK {
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
 		time.Sleep(pollInterval)
 	}
-	return errors.Errorf("%s: %s was not answered with 200 within %s", d.Plan.ID, path, wait)
+	return errors.Errorf("%s: %s was not answered with 200 within %s", d.Spec.ID, path, timeout)
 }
 
-// readyTimeout bounds one question of a balancer for readiness.
-const readyTimeout = time.Second
+// probeTimeout bounds one question of a balancer for readiness.
+const probeTimeout = time.Second
 
-// RefusesReady tells whether the daemon says that it is not ready. It is false
+// ReportsNotReady tells whether the daemon says that it is not ready. It is false
 // for a daemon that does not answer.
-func (d *Daemon) RefusesReady() bool {
-	client := &http.Client{Timeout: readyTimeout}
-	answer, err := client.Get("http://" + d.Platform + "/ready")
+func (d *Daemon) ReportsNotReady() bool {
+	client := &http.Client{Timeout: probeTimeout}
+	response, err := client.Get("http://" + d.PlatformAddr + "/ready")
 	if err != nil {
 		return false
 	}
-	answer.Body.Close()
-	return answer.StatusCode != http.StatusOK
+	response.Body.Close()
+	return response.StatusCode != http.StatusOK
 }
 
 // Metric returns the sum of a metric over all its labels.
 func (d *Daemon) Metric(name string) (float64, error) {
-	client := &http.Client{Timeout: readyTimeout}
-	answer, err := client.Get("http://" + d.Platform + "/metrics")
+	client := &http.Client{Timeout: probeTimeout}
+	response, err := client.Get("http://" + d.PlatformAddr + "/metrics")
 	if err != nil {
-		return 0, errors.Wrapf(err, "metrics of %s", d.Plan.ID)
+		return 0, errors.Wrapf(err, "metrics of %s", d.Spec.ID)
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	sum := 0.0
-	lines := bufio.NewScanner(answer.Body)
+	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		rest, found := strings.CutPrefix(lines.Text(), name)
 		if !found || rest == "" || rest[0] != '{' && rest[0] != ' ' {
--- a/internal/trial/processes/processes.go
+++ b/internal/trial/processes/processes.go
@@ -158,7 +158,7 @@
 
 // Stop asks the process to stop gracefully and waits for it. An exit status
 // other than 0 is an error.
-func (p *Process) Stop(wait time.Duration) error {
+func (p *Process) Stop(timeout time.Duration) error {
 	select {
 	case <-p.exited:
 		return errors.Wrapf(p.err, "%s had ended already", p.Name)
@@ -170,8 +170,8 @@
 	select {
 	case <-p.exited:
 		return errors.Wrapf(p.err, "stop %s", p.Name)
-	case <-time.After(wait):
-		return errors.Errorf("%s did not stop within %s", p.Name, wait)
+	case <-time.After(timeout):
+		return errors.Errorf("%s did not stop within %s", p.Name, timeout)
 	}
 }
 
@@ -195,7 +195,7 @@
 }
 
 // Logs returns the end of the log of every process, for a failed test.
-func (f *Fleet) Logs(bytes int) string {
+func (f *Fleet) Logs(maxBytes int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var b strings.Builder
@@ -206,7 +206,7 @@
 		}
 		seen[p.Name] = true
 		raw, _ := os.ReadFile(f.Path(p.Name + ".log"))
-		fmt.Fprintf(&b, "--- %s\n%s\n", p.Name, raw[max(0, len(raw)-bytes):])
+		fmt.Fprintf(&b, "--- %s\n%s\n", p.Name, raw[max(0, len(raw)-maxBytes):])
 	}
 	return b.String()
 }
--- a/internal/trial/processes/standin.go
+++ b/internal/trial/processes/standin.go
@@ -16,7 +16,7 @@
 	*Process
 	ID      string
 	Address string
-	record  string
+	recordPath  string
 	args    []string
 	fleet   *Fleet
 }
@@ -28,17 +28,17 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Standin{ID: id, Address: address, record: f.Path(id + ".record"), fleet: f}
+	s := &Standin{ID: id, Address: address, recordPath: f.Path(id + ".record"), fleet: f}
 	s.args = append([]string{
 		"--id", id, "--listen", address, "--dataCentre", dataCentre,
-		"--announce", f.announceTo(dataCentre), "--token", upstreamToken, "--record", s.record,
+		"--announce", f.announceURLs(dataCentre), "--token", upstreamToken, "--record", s.recordPath,
 	}, args...)
 	f.standins = append(f.standins, s)
-	return s, s.Restart()
+	return s, s.Start()
 }
 
-// Restart starts the stand-in again after it ended.
-func (s *Standin) Restart() error {
+// Start starts the stand-in again after it ended.
+func (s *Standin) Start() error {
 	p, err := s.fleet.start(s.ID, "bilberryrock-standin", s.args...)
 	if err != nil {
 		return err
@@ -47,11 +47,11 @@
 	return nil
 }
 
-func (f *Fleet) announceTo(dataCentre string) string {
+func (f *Fleet) announceURLs(dataCentre string) string {
 	var list []string
 	for _, d := range f.daemons {
-		if d.Plan.DataCentre == dataCentre {
-			list = append(list, "http://"+d.Upstreams)
+		if d.Spec.DataCentre == dataCentre {
+			list = append(list, "http://"+d.UpstreamsAddr)
 		}
 	}
 	return strings.Join(list, ",")
@@ -59,7 +59,7 @@
 
 // Runs returns what the stand-in ran, over all its starts.
 func (s *Standin) Runs() ([]standin.Run, error) {
-	file, err := os.Open(s.record)
+	file, err := os.Open(s.recordPath)
 	if err != nil {
 		return nil, errors.Wrap(err, "open record")
 	}
--- a/internal/trial/traffic/check.go
+++ b/internal/trial/traffic/check.go
@@ -20,40 +20,40 @@
 //   - each layer ran once for each position of an epoch, in order;
 //   - no upstream got new work after it had left for its grace time.
 func Check(calls []Call, runs []standin.Run) []string {
-	var faults []string
-	faults = append(faults, checkTexts(calls)...)
-	faults = append(faults, checkNotRun(calls, runs)...)
-	faults = append(faults, checkOrders(calls, runs)...)
-	faults = append(faults, checkLayers(runs)...)
-	return append(faults, checkLeavers(runs)...)
+	var violations []string
+	violations = append(violations, checkTexts(calls)...)
+	violations = append(violations, checkNotRun(calls, runs)...)
+	violations = append(violations, checkOrders(calls, runs)...)
+	violations = append(violations, checkLayers(runs)...)
+	return append(violations, checkLateWork(runs)...)
 }
 
-// CheckCutOff returns a line for every call that reached a daemon and was not
+// CheckAborted returns a line for every call that reached a daemon and was not
 // answered to its end. It holds only while no process ends without notice. A
 // refused connection is no fault: a balancer would not have chosen the daemon.
-func CheckCutOff(calls []Call) []string {
-	var faults []string
+func CheckAborted(calls []Call) []string {
+	var violations []string
 	for _, c := range calls {
 		refused := strings.Contains(c.Err, syscall.ECONNREFUSED.Error())
 		if c.Err != "" && !refused {
-			faults = append(faults, fmt.Sprintf("call %d, request %s, to %s was cut off: %s", c.Number, c.Request, c.Daemon, c.Err))
+			violations = append(violations, fmt.Sprintf("call %d, request %s, to %s was cut off: %s", c.Number, c.RequestID, c.Daemon, c.Err))
 		}
-		if c.Err == "" && !c.Whole && c.Code == "" {
-			faults = append(faults, fmt.Sprintf("call %d, request %s, to %s has no end", c.Number, c.Request, c.Daemon))
+		if c.Err == "" && !c.Complete && c.Code == "" {
+			violations = append(violations, fmt.Sprintf("call %d, request %s, to %s has no end", c.Number, c.RequestID, c.Daemon))
 		}
 	}
-	return faults
+	return violations
 }
 
 func checkTexts(calls []Call) []string {
-	var faults []string
+	var violations []string
 	for _, c := range calls {
-		if c.Status != http.StatusOK || !c.Whole {
+		if c.Status != http.StatusOK || !c.Complete {
 			continue
 		}
 		if c.Kind != Completion {
-			if want := c.mark(); !strings.Contains(c.Body, want) {
-				faults = append(faults, fmt.Sprintf("call %d, request %s: the answer %q has no %s", c.Number, c.Request, c.Body, want))
+			if want := c.uniquePart(); !strings.Contains(c.Body, want) {
+				violations = append(violations, fmt.Sprintf("call %d, request %s: the answer %q has no %s", c.Number, c.RequestID, c.Body, want))
 			}
 			continue
 		}
@@ -63,112 +63,112 @@
 		}
 		want, _ := standin.Generate(Model, Version, "", Layers, prompt, c.Tokens)
 		if c.Body != want {
-			faults = append(faults, fmt.Sprintf("call %d, request %s: text %q instead of %q", c.Number, c.Request, c.Body, want))
+			violations = append(violations, fmt.Sprintf("call %d, request %s: text %q instead of %q", c.Number, c.RequestID, c.Body, want))
 		}
 	}
-	return faults
+	return violations
 }
 
-// mark returns a part of the answer of a service that no other call has.
-func (c Call) mark() string {
+// uniquePart returns a part of the answer of a service that no other call has.
+func (c Call) uniquePart() string {
 	if c.Kind == Lookup {
 		return fmt.Sprintf(`"path":%q`, c.Key)
 	}
 	return fmt.Sprintf(`"digest":"%x"`, sha256.Sum256([]byte(c.Key)))
 }
 
-// ran tells what the stand-ins ran, by request, path and key.
-type ran struct {
+// executions tells what the stand-ins ran, by request, path and key.
+type executions struct {
 	requests map[fleet.RequestID]bool
-	paths    map[string]int
-	keys     map[string]int
+	pathRuns    map[string]int
+	keyRuns     map[string]int
 }
 
-func newRan(runs []standin.Run) ran {
-	r := ran{requests: make(map[fleet.RequestID]bool), paths: make(map[string]int), keys: make(map[string]int)}
+func indexExecutions(runs []standin.Run) executions {
+	r := executions{requests: make(map[fleet.RequestID]bool), pathRuns: make(map[string]int), keyRuns: make(map[string]int)}
 	for _, run := range runs {
 		if run.Request != "" {
 			r.requests[run.Request] = true
 		}
 		if run.Key != "" {
-			r.keys[run.Key]++
+			r.keyRuns[run.Key]++
 		} else if run.Path != "" {
-			r.paths[run.Path]++
+			r.pathRuns[run.Path]++
 		}
 	}
 	return r
 }
 
 func checkNotRun(calls []Call, runs []standin.Run) []string {
-	r := newRan(runs)
-	refusedLast := make(map[string]int)
-	var faults []string
+	r := indexExecutions(runs)
+	refusals := make(map[string]int)
+	var violations []string
 	for _, c := range calls {
 		if !c.NotRun {
 			continue
 		}
 		switch c.Kind {
 		case Completion:
-			if r.requests[fleet.RequestID(c.Request)] {
-				faults = append(faults, fmt.Sprintf("call %d, request %s: refused as not run (%s), but an engine ran it", c.Number, c.Request, c.Code))
+			if r.requests[fleet.RequestID(c.RequestID)] {
+				violations = append(violations, fmt.Sprintf("call %d, request %s: refused as not run (%s), but an engine ran it", c.Number, c.RequestID, c.Code))
 			}
 		case Lookup:
-			if r.paths[c.Key] > 0 {
-				faults = append(faults, fmt.Sprintf("call %d, request %s: refused as not run (%s), but a service ran it", c.Number, c.Request, c.Code))
+			if r.pathRuns[c.Key] > 0 {
+				violations = append(violations, fmt.Sprintf("call %d, request %s: refused as not run (%s), but a service ran it", c.Number, c.RequestID, c.Code))
 			}
 		case Order:
-			refusedLast[c.Key]++
+			refusals[c.Key]++
 		}
 	}
-	return append(faults, checkRefusedOrders(calls, refusedLast, r)...)
+	return append(violations, checkRefusedOrders(calls, refusals, r)...)
 }
 
 // checkRefusedOrders finds orders whose every attempt was refused as "not run"
 // and that ran all the same.
-func checkRefusedOrders(calls []Call, refused map[string]int, r ran) []string {
+func checkRefusedOrders(calls []Call, refused map[string]int, r executions) []string {
 	attempts := make(map[string]int)
 	for _, c := range calls {
 		if c.Kind == Order {
 			attempts[c.Key]++
 		}
 	}
-	var faults []string
+	var violations []string
 	for key, count := range refused {
-		if count == attempts[key] && r.keys[key] > 0 {
-			faults = append(faults, fmt.Sprintf("order %s: every attempt was refused as not run, but it ran", key))
+		if count == attempts[key] && r.keyRuns[key] > 0 {
+			violations = append(violations, fmt.Sprintf("order %s: every attempt was refused as not run, but it ran", key))
 		}
 	}
-	sort.Strings(faults)
-	return faults
+	sort.Strings(violations)
+	return violations
 }
 
 func checkOrders(calls []Call, runs []standin.Run) []string {
-	r := newRan(runs)
-	var faults []string
-	for key, count := range r.keys {
+	r := indexExecutions(runs)
+	var violations []string
+	for key, count := range r.keyRuns {
 		if count > 1 {
-			faults = append(faults, fmt.Sprintf("order %s ran %d times", key, count))
+			violations = append(violations, fmt.Sprintf("order %s ran %d times", key, count))
 		}
 	}
 	bodies := make(map[string]string)
 	for _, c := range calls {
-		if c.Kind != Order || c.Status != http.StatusOK || !c.Whole {
+		if c.Kind != Order || c.Status != http.StatusOK || !c.Complete {
 			continue
 		}
-		if r.keys[c.Key] == 0 {
-			faults = append(faults, fmt.Sprintf("call %d, request %s: order %s was answered, but did not run", c.Number, c.Request, c.Key))
+		if r.keyRuns[c.Key] == 0 {
+			violations = append(violations, fmt.Sprintf("call %d, request %s: order %s was answered, but did not run", c.Number, c.RequestID, c.Key))
 		}
-		if first, known := bodies[c.Key]; known && first != c.Body {
-			faults = append(faults, fmt.Sprintf("call %d, request %s: order %s got another answer than before", c.Number, c.Request, c.Key))
+		if first, seen := bodies[c.Key]; seen && first != c.Body {
+			violations = append(violations, fmt.Sprintf("call %d, request %s: order %s got another answer than before", c.Number, c.RequestID, c.Key))
 		}
 		bodies[c.Key] = c.Body
 	}
-	sort.Strings(faults)
-	return faults
+	sort.Strings(violations)
+	return violations
 }
 
-// place is one layer at one position of one epoch of a request.
-type place struct {
+// layerRun is one layer at one position of one epoch of a request.
+type layerRun struct {
 	request  fleet.RequestID
 	epoch    fleet.Epoch
 	position fleet.Position
@@ -176,49 +176,49 @@
 }
 
 func checkLayers(runs []standin.Run) []string {
-	counts := make(map[place]int)
+	counts := make(map[layerRun]int)
 	for _, run := range runs {
 		if run.What != "step" {
 			continue
 		}
 		for i := range max(run.Count, 1) {
 			for l := run.Layers.From; l < run.Layers.To; l++ {
-				counts[place{run.Request, run.Epoch, run.Position + fleet.Position(i), l}]++
+				counts[layerRun{run.Request, run.Epoch, run.Position + fleet.Position(i), l}]++
 			}
 		}
 	}
-	var faults []string
+	var violations []string
 	for p, n := range counts {
 		if n > 1 {
-			faults = append(faults, fmt.Sprintf("request %s: layer %d ran %d times for position %d of epoch %d", p.request, p.layer, n, p.position, p.epoch))
+			violations = append(violations, fmt.Sprintf("request %s: layer %d ran %d times for position %d of epoch %d", p.request, p.layer, n, p.position, p.epoch))
 		}
-		if p.layer > 0 && !ranBefore(counts, p) {
-			faults = append(faults, fmt.Sprintf("request %s: layer %d ran for position %d up to epoch %d without the layer before it", p.request, p.layer, p.position, p.epoch))
+		if p.layer > 0 && !previousLayerRan(counts, p) {
+			violations = append(violations, fmt.Sprintf("request %s: layer %d ran for position %d up to epoch %d without the layer before it", p.request, p.layer, p.position, p.epoch))
 		}
 	}
-	sort.Strings(faults)
-	return faults
+	sort.Strings(violations)
+	return violations
 }
 
-func checkLeavers(runs []standin.Run) []string {
+func checkLateWork(runs []standin.Run) []string {
 	late := make(map[fleet.UpstreamID]int)
 	for _, run := range runs {
 		if run.What == "late" {
 			late[run.Upstream]++
 		}
 	}
-	var faults []string
+	var violations []string
 	for id, n := range late {
-		faults = append(faults, fmt.Sprintf("upstream %s got new work %d times after it had left", id, n))
+		violations = append(violations, fmt.Sprintf("upstream %s got new work %d times after it had left", id, n))
 	}
-	sort.Strings(faults)
-	return faults
+	sort.Strings(violations)
+	return violations
 }
 
-// ranBefore tells whether the layer before p ran for the same position, in the
+// previousLayerRan tells whether the layer before p ran for the same position, in the
 // epoch of p or an earlier one: a recovery computes only the lost stage again,
 // from the kept outputs of the stage before it.
-func ranBefore(counts map[place]int, p place) bool {
+func previousLayerRan(counts map[layerRun]int, p layerRun) bool {
 	p.layer--
 	for ; p.epoch > 0; p.epoch-- {
 		if counts[p] > 0 {
@@ -232,16 +232,16 @@
 func Summary(calls []Call) string {
 	counts := make(map[string]int)
 	for _, c := range calls {
-		answer := c.Code
+		outcome := c.Code
 		switch {
 		case c.Err != "":
-			answer = "connection error"
-		case answer == "" && c.Whole:
-			answer = "ok"
-		case answer == "":
-			answer = "cut off"
+			outcome = "connection error"
+		case outcome == "" && c.Complete:
+			outcome = "ok"
+		case outcome == "":
+			outcome = "cut off"
 		}
-		counts[c.Kind.String()+" "+answer]++
+		counts[c.Kind.String()+" "+outcome]++
 	}
 	names := make([]string, 0, len(counts))
 	for name := range counts {
--- a/internal/trial/traffic/traffic.go
+++ b/internal/trial/traffic/traffic.go
@@ -38,7 +38,7 @@
 // The names that the section of a trial gives to its pools and models.
 const (
 	ServicePool = "plots"
-	OncePath    = "/reprints"
+	AtMostOncePath    = "/reprints"
 	Model       = "transcriber"
 	Version     = "v1"
 	Layers      = 8
@@ -58,46 +58,46 @@
 	Prompt string
 	Tokens int
 
-	// Request is the id that the answer carries, or "" without an answer.
-	Request string
+	// RequestID is the id that the answer carries, or "" without an answer.
+	RequestID string
 	Status  int
 	Code    string
 	NotRun  bool
-	// Whole tells that the answer came to its end.
-	Whole bool
+	// Complete tells that the answer came to its end.
+	Complete bool
 	Body  string
 	// Err is the error of the connection.
 	Err  string
-	Took time.Duration
+	Elapsed time.Duration
 }
 
-// Traffic sends calls. Its methods are safe for concurrent use.
-type Traffic struct {
+// Generator sends calls. Its methods are safe for concurrent use.
+type Generator struct {
 	daemons []*processes.Daemon
 
 	mu     sync.Mutex
-	random *rand.Rand
-	number int
-	orders []string
+	rng *rand.Rand
+	callCount int
+	orderKeys []string
 	calls  []Call
 }
 
 // New returns Traffic to the daemons. The prefix of all keys is made from the
 // seed.
-func New(daemons []*processes.Daemon, seed uint64) *Traffic {
-	return &Traffic{daemons: daemons, random: rand.New(rand.NewPCG(seed, 1))}
+func New(daemons []*processes.Daemon, seed uint64) *Generator {
+	return &Generator{daemons: daemons, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // Send sends count calls, at most parallel at once, and waits for their answers.
-func (t *Traffic) Send(count, parallel int) {
-	slots := make(chan struct{}, parallel)
+func (t *Generator) Send(count, parallel int) {
+	semaphore := make(chan struct{}, parallel)
 	var wg sync.WaitGroup
 	for range count {
-		c, d := t.next()
-		slots <- struct{}{}
+		c, d := t.nextCall()
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-slots }()
-			t.keep(send(d, c))
+			defer func() { <-semaphore }()
+			t.record(perform(d, c))
 		})
 	}
 	wg.Wait()
@@ -105,14 +105,14 @@
 
 // SendFor sends calls for the given time, at most parallel at once, and waits for
 // their answers.
-func (t *Traffic) SendFor(d time.Duration, parallel int) {
-	end := time.Now().Add(d)
+func (t *Generator) SendFor(d time.Duration, parallel int) {
+	deadline := time.Now().Add(d)
 	var wg sync.WaitGroup
 	for range parallel {
 		wg.Go(func() {
-			for time.Now().Before(end) {
-				c, d := t.next()
-				t.keep(send(d, c))
+			for time.Now().Before(deadline) {
+				c, d := t.nextCall()
+				t.record(perform(d, c))
 			}
 		})
 	}
@@ -120,13 +120,13 @@
 }
 
 // Calls returns all calls that were answered or failed.
-func (t *Traffic) Calls() []Call {
+func (t *Generator) Calls() []Call {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Call(nil), t.calls...)
 }
 
-func (t *Traffic) keep(c Call) {
+func (t *Generator) record(c Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.calls = append(t.calls, c)
@@ -134,27 +134,27 @@
 
 // Shares of the kinds of calls, in percent. The rest are orders.
 const (
-	lookupShare     = 40
-	completionShare = 30
-	// resendShare is the share of orders that repeat a key.
-	resendShare = 50
+	lookupPercent     = 40
+	completionPercent = 30
+	// resendPercent is the share of orders that repeat a key.
+	resendPercent = 50
 )
 
-func (t *Traffic) next() (Call, *processes.Daemon) {
+func (t *Generator) nextCall() (Call, *processes.Daemon) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.number++
-	d := t.balance()
-	c := Call{Number: t.number, Daemon: d.Plan.ID}
-	draw := t.random.IntN(100)
+	t.callCount++
+	d := t.pickDaemon()
+	c := Call{Number: t.callCount, Daemon: d.Spec.ID}
+	draw := t.rng.IntN(100)
 	switch {
-	case draw < lookupShare:
+	case draw < lookupPercent:
 		c.Kind = Lookup
 		c.Key = fmt.Sprintf("/lookups/%d", c.Number)
-	case draw < lookupShare+completionShare:
+	case draw < lookupPercent+completionPercent:
 		c.Kind = Completion
-		c.Prompt = fmt.Sprintf("Plot %d, row %d:", t.random.IntN(40), c.Number)
-		c.Tokens = 1 + t.random.IntN(24)
+		c.Prompt = fmt.Sprintf("Plot %d, row %d:", t.rng.IntN(40), c.Number)
+		c.Tokens = 1 + t.rng.IntN(24)
 	default:
 		c.Kind = Order
 		c.Key = t.orderKey()
@@ -162,59 +162,59 @@
 	return c, d
 }
 
-// balance chooses a daemon as a balancer does that has just asked for readiness.
+// pickDaemon chooses a daemon as a balancer does that has just asked for readiness.
 // A daemon that does not answer is chosen all the same: a balancer needs several
 // failed checks to give up on an instance.
-func (t *Traffic) balance() *processes.Daemon {
-	first := t.random.IntN(len(t.daemons))
+func (t *Generator) pickDaemon() *processes.Daemon {
+	first := t.rng.IntN(len(t.daemons))
 	for i := range t.daemons {
 		d := t.daemons[(first+i)%len(t.daemons)]
-		if !d.RefusesReady() {
+		if !d.ReportsNotReady() {
 			return d
 		}
 	}
 	return t.daemons[first]
 }
 
-func (t *Traffic) orderKey() string {
-	if len(t.orders) > 0 && t.random.IntN(100) < resendShare {
-		return t.orders[t.random.IntN(len(t.orders))]
+func (t *Generator) orderKey() string {
+	if len(t.orderKeys) > 0 && t.rng.IntN(100) < resendPercent {
+		return t.orderKeys[t.rng.IntN(len(t.orderKeys))]
 	}
-	key := fmt.Sprintf("order-%d", t.number)
-	t.orders = append(t.orders, key)
+	key := fmt.Sprintf("order-%d", t.callCount)
+	t.orderKeys = append(t.orderKeys, key)
 	return key
 }
 
-func send(d *processes.Daemon, c Call) Call {
+func perform(d *processes.Daemon, c Call) Call {
 	started := time.Now()
-	reply, err := c.run(d)
-	c.Took = time.Since(started)
+	response, err := c.do(d)
+	c.Elapsed = time.Since(started)
 	if err != nil {
 		c.Err = err.Error()
 		return c
 	}
-	c.Request = reply.Header.Get("X-Request-Id")
-	c.Status = reply.Status
-	c.Body = string(reply.Body)
-	c.Whole = reply.Broken == nil
-	if reply.Broken != nil {
-		c.Err = reply.Broken.Error()
+	c.RequestID = response.Header.Get("X-Request-Id")
+	c.Status = response.Status
+	c.Body = string(response.Body)
+	c.Complete = response.ReadErr == nil
+	if response.ReadErr != nil {
+		c.Err = response.ReadErr.Error()
 	}
-	c.readError(reply.Body)
+	c.readError(response.Body)
 	if c.Kind == Completion && c.Status == http.StatusOK {
-		text, done := processes.JoinEvents(reply.Body)
-		c.Body, c.Whole = text, c.Whole && done
+		text, done := processes.JoinCompletionEvents(response.Body)
+		c.Body, c.Complete = text, c.Complete && done
 	}
 	return c
 }
 
-func (c Call) run(d *processes.Daemon) (processes.Reply, error) {
+func (c Call) do(d *processes.Daemon) (processes.Response, error) {
 	switch c.Kind {
 	case Lookup:
 		return d.Call(http.MethodGet, "/services/"+ServicePool+c.Key, nil, "", callTimeout)
 	case Order:
 		header := map[string]string{"Idempotency-Key": c.Key}
-		return d.Call(http.MethodPost, "/services/"+ServicePool+OncePath, header, c.Key, callTimeout)
+		return d.Call(http.MethodPost, "/services/"+ServicePool+AtMostOncePath, header, c.Key, callTimeout)
 	}
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, Model, c.Prompt, c.Tokens)
 	return d.Call(http.MethodPost, "/v1/completions", nil, body, callTimeout)
@@ -224,14 +224,14 @@
 func (c *Call) readError(body []byte) {
 	for line := range bytes.SplitSeq(body, []byte("\n")) {
 		line = bytes.TrimPrefix(line, []byte("data: "))
-		var failure struct {
+		var event struct {
 			Error struct {
 				Code   string `json:"code"`
 				NotRun bool   `json:"notRun"`
 			} `json:"error"`
 		}
-		if json.Unmarshal(line, &failure) == nil && failure.Error.Code != "" {
-			c.Code, c.NotRun = failure.Error.Code, failure.Error.NotRun
+		if json.Unmarshal(line, &event) == nil && event.Error.Code != "" {
+			c.Code, c.NotRun = event.Error.Code, event.Error.NotRun
 		}
 	}
 }
