--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for people and for CI. `make demo` and `make test` need only Go and
+# Targets for developers and CI. `make demo` and `make test` need only Go and
 # access to the module proxy.
 
 TOOLS := bin/buf bin/protoc-gen-go bin/protoc-gen-go-grpc bin/stringer bin/staticcheck bin/gofumpt bin/benchstat
@@ -11,15 +11,15 @@
 demo: build
 	go run ./internal/trial/demo
 
-# The cache of go test does not see that the trials and the soak build the
-# programs, so they always run.
+# The test cache does not see that the trials and the soak test build the programs, so
+# these tests run with -count=1.
 test: check
 	skip=$$(bash scripts/known-red.sh) && \
 	go test -race $$skip $$(go list ./... | grep -v -e /internal/trial/ -e /platform$$) && \
 	go test -race -count=1 $$skip ./internal/trial/... ./platform
 
-# The fault soak of the programs on the platform: 50 seeds, each with planned work,
-# with mixed faults and with hand-overs.
+# The soak test of the programs on the platform: 50 seeds, each with planned work, with
+# mixed faults and with hand-overs.
 soak:
 	SOAK_SEEDS=50 go test -count=1 -timeout 60m -run Soak -v ./platform
 
@@ -30,15 +30,15 @@
 	bin/buf generate
 	go generate ./...
 
-# All benchmarks. Those of whole fleets take most of an hour.
+# All benchmarks. Those with fleets of processes take most of an hour.
 bench:
 	go test -run '^$$' -bench . -benchmem -timeout 2h ./...
 
-# The routing policy against its baselines, under load and faults.
+# Compares the routing policy with its baselines, under load and faults.
 table:
 	go test ./internal/routing -run Table -v
 
-# The failure runs with the real programs, the long ones included.
+# The failure scripts with the real programs, including the long ones.
 trial:
 	BILBERRYROCK_LONG=1 go test ./internal/trial/failure -run Scripts -v -count=1 -timeout 20m
 
--- a/internal/trial/demo/main.go
+++ b/internal/trial/demo/main.go
@@ -1,7 +1,7 @@
 // Command demo starts three daemons and several stand-ins in two data centres on
 // loopback, submits a configuration, sends a lookup, a streamed completion and an
-// order, prints the answers and what ran where, and stops everything. Any fault
-// ends it with exit status 1. `make demo` runs it.
+// order, prints the responses and which stand-in ran what, and stops all processes.
+// It exits with status 1 on any error. `make demo` runs it.
 package main
 
 import (
@@ -19,8 +19,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/standin"
 )
 
-// waitTimeout bounds each wait of the demo. It is generous, because a busy machine
-// must not make it fail.
+// waitTimeout limits each wait of the demo. It is long so that the demo does not fail
+// because the machine is busy.
 const waitTimeout = 30 * time.Second
 
 const sectionTemplate = `[dataCentre "dc1"]
@@ -84,7 +84,7 @@
 	fleet    *processes.Fleet
 	daemons  []*processes.Daemon
 	standins []*processes.Standin
-	// requestIDs are the ids of the lookup, the completion and the repeated order.
+	// requestIDs holds the ids of the lookup, the completion and the repeated order.
 	requestIDs []string
 }
 
@@ -132,7 +132,7 @@
 		}
 		d.standins = append(d.standins, standin)
 	}
-	printLine("started 4 engines that hold half of the layers each, and 2 services")
+	printLine("started 4 engines with half of the layers each, and 2 services")
 	return nil
 }
 
@@ -158,22 +158,22 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("submit ended with status %d: %s", exitStatus, output)
+			return errors.Errorf("submit exited with status %d: %s", exitStatus, output)
 		}
-		time.Sleep(200 * time.Millisecond) // the voters have not elected a leader yet
+		time.Sleep(200 * time.Millisecond) // until the voters have elected a leader
 	}
 	for _, daemon := range d.daemons {
 		if err := daemon.AwaitReady(waitTimeout); err != nil {
 			return err
 		}
 	}
-	printLine("the configuration is in force on a, b and c")
+	printLine("the configuration is active on a, b and c")
 	return nil
 }
 
-// callUntilOK sends a request until it is answered with 200, because the stand-ins may
-// not have announced themselves yet. Refusals that say "not run" are safe to
-// repeat.
+// callUntilOK sends a request until the response has status 200, because the stand-ins
+// may not have announced themselves yet. It only repeats requests that were refused
+// with "notRun", which is safe.
 func callUntilOK(daemon *processes.Daemon, method, path string, header map[string]string, body string) (processes.Response, error) {
 	deadline := time.Now().Add(waitTimeout)
 	for {
@@ -216,7 +216,7 @@
 	want, _ := standin.Generate("transcriber", "v1", "", 8, ids, tokens)
 	printLine("streamed completion through c over a chain of two engines: %q", text)
 	if text != want || !done {
-		return errors.Errorf("completion: got %q (end seen: %t), want %q", text, done, want)
+		return errors.Errorf("completion: got %q (complete: %t), want %q", text, done, want)
 	}
 	d.keepRequestID(response)
 	return nil
@@ -236,7 +236,7 @@
 	d.keepRequestID(repeated)
 	printLine("same order through c: %s", bytes.TrimSpace(repeated.Body))
 	if !bytes.Equal(first.Body, repeated.Body) {
-		return errors.New("the repeated order got another answer")
+		return errors.New("the repeated order got a different response")
 	}
 	return nil
 }
@@ -262,7 +262,7 @@
 		return err
 	}
 	if exitStatus != 0 {
-		return errors.Errorf("%s ended with status %d: %s", args[0], exitStatus, output)
+		return errors.Errorf("%s exited with status %d: %s", args[0], exitStatus, output)
 	}
 	printLine("bilberryrock %s:\n%s", strings.Join(args, " "), output)
 	return nil
@@ -287,7 +287,7 @@
 	return nil
 }
 
-// checkRuns prints what the stand-ins ran and checks that the order ran once.
+// checkRuns prints what each stand-in ran and checks that the order ran exactly once.
 func (d *demo) checkRuns() error {
 	orders := 0
 	for _, s := range d.standins {
@@ -305,7 +305,7 @@
 		printLine("%s ran %v", s.ID, counts)
 	}
 	if orders != 1 {
-		return errors.Errorf("the order ran %d times", orders)
+		return errors.Errorf("the order ran %d times instead of once", orders)
 	}
 	return nil
 }
--- a/internal/trial/failure/failure.go
+++ b/internal/trial/failure/failure.go
@@ -1,29 +1,33 @@
-// Package failure runs the real programs through scripts of failures and checks
-// the invariants.
+// Package failure runs the real programs through scripts that inject failures, and
+// checks the invariants of the fleet.
 //
 // A script has one command a line:
 //
-//	traffic 300 16        start 300 calls, 16 at once, in the background
-//	await                 wait for the traffic
-//	calm 100 8            the same as traffic and await
+//	traffic 300 16        start 300 calls in the background, at most 16 at once
+//	await                 wait until the traffic has finished
+//	calm 100 8            the same as traffic followed by await
 //	kill c                kill a daemon or a stand-in
 //	start c               start it again
-//	freeze b / thaw b     stop and continue its process
+//	freeze b / thaw b     suspend (SIGSTOP) and resume (SIGCONT) a process
+//	hangup a              send SIGHUP
 //	wipe c                remove the data folder of a killed daemon
-//	repaired c            wait until the new folder of c votes in all groups
+//	repaired c            wait until a successor with the new data folder of c is a
+//	                      full voter in all groups
 //	leave engine-1        stop a stand-in gracefully
 //	stop a                stop a daemon gracefully; it must exit with status 0
+//	terminate a           send SIGTERM, without waiting for the exit
 //	cut a,b c             drop all messages from a and b to c
-//	heal                  drop no messages any more
+//	heal                  stop dropping messages
 //	submit a, submit c    submit a new section through a daemon
-//	race a b              submit two sections with the same base at once
-//	fault desk-1 {json}   replace the faults of a stand-in
-//	window dc1 2 16       submit a quiet-hours window of one minute with bound 2, and
-//	                      keep 16 calls going until after its end
-//	sleep 2s
+//	race a b              submit two sections with the same base revision at once
+//	fault desk-1 {json}   replace the injected faults of a stand-in
+//	window dc1 2 16       submit a quiet-hours window of one minute that limits dc1 to
+//	                      2 requests in flight, and keep 16 calls in progress until
+//	                      after its end
+//	sleep 2s              wait for the given time
 //
-// After the script, the checks of package traffic run over all calls. Without a
-// kill or freeze, no call may be cut off.
+// After the script, the checks of package traffic run over all calls. In a script
+// without kill and freeze, no call may be aborted.
 package failure
 
 import (
@@ -41,12 +45,12 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/traffic"
 )
 
-// waitTimeout bounds each wait. It is generous, because a busy machine must not
-// change the verdict.
+// waitTimeout limits each wait for a condition. It is long so that a test does not
+// fail because the machine is busy.
 const waitTimeout = 60 * time.Second
 
-// Size holds the number of data centres, and of the daemons and stand-ins that
-// are spread over them.
+// Size is the number of data centres, and of the daemons and stand-ins that are
+// distributed over them.
 type Size struct {
 	DataCentres, Daemons, Engines, Services int
 }
@@ -54,50 +58,49 @@
 // Voters is the number of daemons with durable state.
 const Voters = 3
 
-// Run is one run of a script.
+// Run is one execution of a script against a new fleet.
 type Run struct {
-	fleet    *processes.Fleet
-	daemons  map[string]*processes.Daemon
-	standins map[string]*processes.Standin
-	daemonNames    []string
-	traffic  *traffic.Generator
-	trafficWG     sync.WaitGroup
-
-	mu     sync.Mutex
-	droppedLinks   map[string]map[string]bool // from, to
-	violations []string
-	// baseRevision is the revision of the accepted section, changes the number of
-	// submissions.
+	fleet       *processes.Fleet
+	daemons     map[string]*processes.Daemon
+	standins    map[string]*processes.Standin
+	daemonNames []string
+	traffic     *traffic.Generator
+	trafficWG   sync.WaitGroup
+
+	mu           sync.Mutex
+	droppedLinks map[string]map[string]bool // by sender and receiver
+	violations   []string
+	// baseRevision is the revision that the last accepted submission created.
 	baseRevision    fleet.Revision
 	submissionCount int
 
-	watchOnce    sync.Once
+	watchOnce  sync.Once
 	watchersWG sync.WaitGroup
-	closed    chan struct{}
-	// disrupted tells that a process was ended or frozen without notice, so that
-	// calls may be cut off.
-	disrupted    bool
+	closed     chan struct{}
+	// disrupted is set once a process was killed or suspended, after which calls
+	// may be aborted.
+	disrupted bool
 	window    *quietWindow
-	peakLoad      peakLoad
+	peakLoad  peakLoad
 	revisions map[string]fleet.Revision
 }
 
 // Start starts daemons and stand-ins and submits the first section. The daemons
-// are named a, b, c and so on, one data centre after the other in turn; the
-// stand-ins engine-1 and desk-1 and so on. The first daemons of the data centres
-// vote.
+// are named a, b, c and so on, and are assigned to the data centres in turn. The
+// stand-ins are named engine-1, engine-2 and so on, and desk-1, desk-2 and so on.
+// The first Voters daemons are voters.
 func Start(bin, dir string, size Size, seed uint64) (*Run, error) {
 	f, err := processes.New(bin, dir)
 	if err != nil {
 		return nil, err
 	}
 	r := &Run{
-		fleet:     f,
-		daemons:   make(map[string]*processes.Daemon),
-		standins:  make(map[string]*processes.Standin),
-		droppedLinks:      make(map[string]map[string]bool),
-		closed:     make(chan struct{}),
-		revisions: make(map[string]fleet.Revision),
+		fleet:        f,
+		daemons:      make(map[string]*processes.Daemon),
+		standins:     make(map[string]*processes.Standin),
+		droppedLinks: make(map[string]map[string]bool),
+		closed:       make(chan struct{}),
+		revisions:    make(map[string]fleet.Revision),
 	}
 	for _, step := range []func(Size) error{r.startDaemons, r.startStandins, r.submitFirstSection} {
 		if err := step(size); err != nil {
@@ -109,7 +112,7 @@
 	return r, nil
 }
 
-// Close ends all processes.
+// Close stops the watchers and kills all processes.
 func (r *Run) Close() {
 	select {
 	case <-r.closed:
@@ -129,11 +132,11 @@
 	return list
 }
 
-// Logs returns the end of all logs.
+// Logs returns the last part of the log of each process.
 func (r *Run) Logs() string { return r.fleet.Logs(3000) }
 
-// Execute runs one line of a script. From the first one on, the revisions of all
-// daemons are watched.
+// Execute runs one line of a script. The first command also starts a goroutine that
+// watches the revisions of all daemons.
 func (r *Run) Execute(line string) error {
 	fields := strings.Fields(line)
 	if len(fields) == 0 || strings.HasPrefix(line, "#") {
@@ -174,11 +177,11 @@
 func (r *Run) startTraffic(wait bool, args []string) error {
 	count, err := strconv.Atoi(args[0])
 	if err != nil {
-		return errors.Wrap(err, "number of calls")
+		return errors.Wrap(err, "parse number of calls")
 	}
 	parallel, err := strconv.Atoi(args[1])
 	if err != nil {
-		return errors.Wrap(err, "calls at once")
+		return errors.Wrap(err, "parse number of concurrent calls")
 	}
 	r.trafficWG.Go(func() { r.traffic.Send(count, parallel) })
 	if wait {
@@ -194,7 +197,7 @@
 	if s := r.standins[name]; s != nil {
 		return s.Process, s.Start, nil
 	}
-	return nil, nil, errors.Errorf("no process is named %q", name)
+	return nil, nil, errors.Errorf("no daemon or stand-in is named %q", name)
 }
 
 func (r *Run) signal(command, name string) error {
@@ -216,7 +219,7 @@
 		return p.Signal(syscall.SIGCONT)
 	case "hangup":
 		return p.Signal(syscall.SIGHUP)
-	case "terminate": // without waiting, unlike stop
+	case "terminate": // unlike stop, does not wait for the exit
 		return p.Signal(syscall.SIGTERM)
 	case "leave", "stop":
 		return p.Stop(waitTimeout)
@@ -224,7 +227,8 @@
 	return errors.Errorf("unknown command %q", command)
 }
 
-// Violations checks the invariants once the traffic has ended.
+// Violations waits until the traffic has finished and returns a line for every
+// violation of an invariant.
 func (r *Run) Violations() ([]string, error) {
 	r.trafficWG.Wait()
 	runs, err := r.fleet.Runs()
@@ -247,5 +251,5 @@
 	return append(violations, traffic.Check(r.traffic.Calls(), runs)...), nil
 }
 
-// Summary counts the calls by kind and answer.
+// Summary returns the number of calls by kind and outcome.
 func (r *Run) Summary() string { return traffic.Summary(r.traffic.Calls()) }
--- a/internal/trial/failure/failure_test.go
+++ b/internal/trial/failure/failure_test.go
@@ -13,16 +13,16 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/failure"
 )
 
-var seed = flag.Uint64("seed", 1, "seed of the traffic")
+var seed = flag.Uint64("seed", 1, "seed of the generated traffic")
 
-// TestScripts guards against each broken invariant that package traffic checks,
-// under the failures of the scripts. Every command "run" of a script starts a new
-// fleet.
+// TestScripts guards against violations of the invariants that package traffic
+// checks, under the failures of the scripts. Every command "run" of a script starts
+// a new fleet.
 func TestScripts(t *testing.T) {
 	bin := build(t)
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		if strings.HasSuffix(path, ".long.txt") && os.Getenv("BILBERRYROCK_LONG") == "" {
-			t.Skip("a long script; set BILBERRYROCK_LONG=1 to run it")
+			t.Skip("long script; set BILBERRYROCK_LONG=1 to run it")
 		}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			size := failure.Size{DataCentres: 3, Daemons: 3, Engines: 6, Services: 3}
@@ -58,7 +58,7 @@
 	return "no fault\n"
 }
 
-// build builds the programs into a folder of the test.
+// build compiles the programs into a temporary folder and returns its path.
 func build(t *testing.T) string {
 	t.Helper()
 	bin := t.TempDir()
--- a/internal/trial/failure/faults.go
+++ b/internal/trial/failure/faults.go
@@ -12,6 +12,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/processes"
 )
 
+// dropMessages makes the daemons drop all messages from the first to the second.
 func (r *Run) dropMessages(from, to []string) error {
 	r.mu.Lock()
 	for _, f := range from {
@@ -33,11 +34,14 @@
 	return r.postDropRules()
 }
 
+// dropRules is the body of a request that replaces the message drop rules of a daemon.
 type dropRules struct {
 	DropFrom []string `json:"dropFrom"`
 	DropTo   []string `json:"dropTo"`
 }
 
+// postDropRules sends the drop rules to all daemons. It ignores errors of daemons
+// that are not running.
 func (r *Run) postDropRules() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,16 +72,16 @@
 	client := &http.Client{Timeout: 5 * time.Second}
 	response, err := client.Post("http://"+d.PlatformAddr+"/faults", "application/json", bytes.NewReader(raw))
 	if err != nil {
-		return errors.Wrapf(err, "faults of %s", d.Spec.ID)
+		return errors.Wrapf(err, "set faults of %s", d.Spec.ID)
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusNoContent {
-		return errors.Errorf("faults of %s: status %d", d.Spec.ID, response.StatusCode)
+		return errors.Errorf("set faults of %s: status %d", d.Spec.ID, response.StatusCode)
 	}
 	return nil
 }
 
-// setStandinFaults replaces the faults of a stand-in.
+// setStandinFaults replaces the injected faults of a stand-in.
 func (r *Run) setStandinFaults(name, body string) error {
 	s := r.standins[name]
 	if s == nil {
@@ -86,11 +90,11 @@
 	client := &http.Client{Timeout: 5 * time.Second}
 	response, err := client.Post("http://"+s.Address+"/faults", "application/json", strings.NewReader(body))
 	if err != nil {
-		return errors.Wrapf(err, "faults of %s", name)
+		return errors.Wrapf(err, "set faults of %s", name)
 	}
 	response.Body.Close()
 	if response.StatusCode/100 != 2 {
-		return errors.Errorf("faults of %s: status %d", name, response.StatusCode)
+		return errors.Errorf("set faults of %s: status %d", name, response.StatusCode)
 	}
 	return nil
 }
--- a/internal/trial/failure/logs.go
+++ b/internal/trial/failure/logs.go
@@ -11,15 +11,16 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// logLine holds the fields of a line that tell of the configuration in force.
+// logLine holds the fields of a log line that concern the active configuration.
 type logLine struct {
 	Message  string         `json:"msg"`
 	Revision fleet.Revision `json:"revision"`
 }
 
-// checkReadyRevisions finds a daemon that got ready with an older revision than it had in
-// force before, over all its starts. The status, which is asked several times a
-// second, can miss a revision that is in force for a shorter time.
+// checkReadyRevisions reports each time a daemon became ready with an older revision
+// than one that was active before, across its restarts. It reads the log because
+// watchRevisions, which polls the status several times a second, can miss a revision
+// that is active for a shorter time.
 func (r *Run) checkReadyRevisions(name string) ([]string, error) {
 	file, err := os.Open(r.fleet.Path(name + ".log"))
 	if err != nil {
@@ -33,7 +34,7 @@
 	for lines.Scan() {
 		var l logLine
 		if json.Unmarshal(lines.Bytes(), &l) != nil {
-			continue // not a line of the logger
+			continue // not written by the logger
 		}
 		switch l.Message {
 		case "Configuration in force.":
@@ -42,7 +43,7 @@
 		case "Daemon ready.":
 			ready = true
 			if l.Revision < highest {
-				violations = append(violations, fmt.Sprintf("daemon %s got ready with revision %d after %d", name, l.Revision, highest))
+				violations = append(violations, fmt.Sprintf("daemon %s became ready with revision %d after revision %d had been active", name, l.Revision, highest))
 			}
 		default:
 			continue
--- a/internal/trial/failure/start.go
+++ b/internal/trial/failure/start.go
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// lingerPeriod is the time in which a leaving stand-in records new work as late.
+// lingerPeriod is the time after the leave grace in which a leaving stand-in refuses
+// new requests and records them as late.
 const lingerPeriod = 2 * time.Second
 
 func (r *Run) startStandin(id string, i int, size Size, args ...string) error {
@@ -105,7 +106,7 @@
 	return r.awaitUpstreams()
 }
 
-// awaitUpstreams waits until every daemon knows a usable upstream of each pool.
+// awaitUpstreams waits until every daemon reports usable upstreams of both pools.
 func (r *Run) awaitUpstreams() error {
 	deadline := time.Now().Add(waitTimeout)
 	for _, name := range r.daemonNames {
@@ -115,7 +116,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return errors.Errorf("%s does not know the upstreams: %+v %v", name, s.Upstreams, err)
+				return errors.Errorf("%s does not report usable upstreams of both pools: %+v %v", name, s.Upstreams, err)
 			}
 			time.Sleep(pollInterval)
 		}
--- a/internal/trial/failure/submit.go
+++ b/internal/trial/failure/submit.go
@@ -34,7 +34,8 @@
 	return c, errors.Wrap(os.WriteFile(c.path, []byte(text), 0o600), "write section")
 }
 
-// submit submits c through a daemon until the outcome is known.
+// submit submits c through a daemon and repeats it until the outcome is known or
+// the timeout has passed. It returns the last exit status and output.
 func (r *Run) submit(c change, daemon string, timeout time.Duration) (exitStatus int, output string, err error) {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -48,7 +49,7 @@
 	}
 }
 
-// submitUntil submits a new section, which must be accepted.
+// submitUntil submits a new section, which must be accepted within the timeout.
 func (r *Run) submitUntil(daemon string, timeout time.Duration) error {
 	c, err := r.newChange()
 	if err != nil {
@@ -59,29 +60,30 @@
 		return err
 	}
 	if exitStatus != console.ExitOK {
-		return errors.Errorf("submission through %s ended with status %d: %s", daemon, exitStatus, output)
+		return errors.Errorf("submission through %s exited with status %d: %s", daemon, exitStatus, output)
 	}
 	return r.recordAccepted(output)
 }
 
-// recordAccepted takes over the revision that an accepted submission made.
+// recordAccepted stores the revision that an accepted submission created. It must be
+// higher than the one before.
 func (r *Run) recordAccepted(output string) error {
 	var id string
 	var revision fleet.Revision
 	if _, err := fmt.Sscanf(strings.TrimSpace(output), document.Accepted.String()+": change %s made revision %d", &id, &revision); err != nil {
-		return errors.Wrapf(err, "read %q", output)
+		return errors.Wrapf(err, "parse output %q", output)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision <= r.baseRevision {
-		r.violations = append(r.violations, fmt.Sprintf("change %s made revision %d after %d", id, revision, r.baseRevision))
+		r.violations = append(r.violations, fmt.Sprintf("change %s created revision %d after revision %d", id, revision, r.baseRevision))
 	}
 	r.baseRevision = revision
 	return nil
 }
 
-// raceSubmissions submits two sections with the same base through two daemons at once.
-// Exactly one of them must be accepted.
+// raceSubmissions concurrently submits two sections with the same base revision
+// through two daemons. Exactly one of them must be accepted.
 func (r *Run) raceSubmissions(first, second string) error {
 	var wg sync.WaitGroup
 	exitStatuses := make([]int, 2)
@@ -109,7 +111,7 @@
 	}
 	if accepted != 1 {
 		r.mu.Lock()
-		r.violations = append(r.violations, fmt.Sprintf("race of %s and %s: %d accepted, statuses %v: %v", first, second, accepted, exitStatuses, outputs))
+		r.violations = append(r.violations, fmt.Sprintf("concurrent submissions through %s and %s: %d accepted instead of 1, exit statuses %v: %v", first, second, accepted, exitStatuses, outputs))
 		r.mu.Unlock()
 	}
 	return nil
--- a/internal/trial/failure/watch.go
+++ b/internal/trial/failure/watch.go
@@ -32,8 +32,8 @@
 	return s, json.NewDecoder(response.Body).Decode(&s)
 }
 
-// watchRevisions checks all the time that no ready daemon goes back to a lower revision,
-// also over restarts.
+// watchRevisions polls the status of all daemons and checks that no ready daemon
+// goes back to a lower revision, not even after a restart.
 func (r *Run) watchRevisions() {
 	for {
 		for _, name := range r.daemonNames {
@@ -53,13 +53,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision < r.revisions[name] {
-		r.violations = append(r.violations, fmt.Sprintf("daemon %s went back from revision %d to %d", name, r.revisions[name], revision))
+		r.violations = append(r.violations, fmt.Sprintf("daemon %s went back from revision %d to revision %d", name, r.revisions[name], revision))
 	}
 	r.revisions[name] = revision
 }
 
-// awaitReplacement waits until a voter with a wiped folder has been replaced by its
-// successor, as every running voter sees it.
+// awaitReplacement waits until a voter whose data folder was removed has been
+// replaced by its successor, in the view of every voter.
 func (r *Run) awaitReplacement(name string) error {
 	deadline := time.Now().Add(waitTimeout)
 	for {
@@ -72,12 +72,14 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("the voter on %s was not replaced within %s", name, waitTimeout)
+			return errors.Errorf("voter on %s was not replaced by its successor within %s", name, waitTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
+// isReplaced reports whether all groups have only full voters and none of them is
+// the initial voter of the named daemon.
 func isReplaced(s operator.Status, name string) bool {
 	for _, g := range s.Groups {
 		if len(g.Voters) != Voters {
@@ -92,10 +94,11 @@
 	return len(s.Groups) > 0
 }
 
-// activationPollInterval is the time between two looks at all daemons.
+// activationPollInterval is the time between two status queries of AwaitActiveRevision.
 const activationPollInterval = 2 * time.Millisecond
 
-// AwaitActiveRevision waits until all daemons have the last accepted revision in force.
+// AwaitActiveRevision waits until the last accepted revision or a later one is active
+// on all daemons.
 func (r *Run) AwaitActiveRevision(timeout time.Duration) error {
 	r.mu.Lock()
 	revision := r.baseRevision
@@ -108,7 +111,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return errors.Errorf("%s did not reach revision %d within %s: %d %v", d.Spec.ID, revision, timeout, s.Revision, err)
+				return errors.Errorf("%s did not activate revision %d within %s: at revision %d: %v", d.Spec.ID, revision, timeout, s.Revision, err)
 			}
 			time.Sleep(activationPollInterval)
 		}
@@ -116,7 +119,8 @@
 	return nil
 }
 
-// VoterStates returns the replicated logs as each voter sees them, for a failed test.
+// VoterStates returns the state of the replicated groups in the view of each voter,
+// for the output of a failed test.
 func (r *Run) VoterStates() string {
 	var b strings.Builder
 	for _, name := range r.daemonNames[:Voters] {
--- a/internal/trial/failure/window.go
+++ b/internal/trial/failure/window.go
@@ -10,17 +10,18 @@
 
 // quietWindow is a quiet-hours window of one minute.
 type quietWindow struct {
-	dataCentre string
-	start      time.Time
-	maxInFlight      int
+	dataCentre  string
+	start       time.Time
+	maxInFlight int
 }
 
 const windowLength = time.Minute
 
-// noticePeriod is the time before a window by which it must be accepted, with some
-// time for the submission itself.
+// noticePeriod is the least time between the submission of a window and its start:
+// the notice that an accepted window must give, and some time for the submission.
 const noticePeriod = 65 * time.Second
 
+// section returns the lines that add the window to a section, or "" without a window.
 func (w *quietWindow) section() string {
 	if w == nil {
 		return ""
@@ -30,16 +31,16 @@
 		w.dataCentre, w.start.Format("15:04"), end.Format("15:04"), w.maxInFlight)
 }
 
-// startQuietWindow submits a window that begins with the first minute that the notice allows,
-// and starts the traffic that runs until after its end.
+// startQuietWindow submits a window that begins with the first full minute that
+// noticePeriod allows, and starts traffic that runs until after its end.
 func (r *Run) startQuietWindow(dataCentre, limitArg, parallelArg string) error {
 	limit, err := strconv.Atoi(limitArg)
 	if err != nil {
-		return errors.Wrap(err, "bound of the window")
+		return errors.Wrap(err, "parse limit of the window")
 	}
 	parallel, err := strconv.Atoi(parallelArg)
 	if err != nil {
-		return errors.Wrap(err, "calls at once")
+		return errors.Wrap(err, "parse number of concurrent calls")
 	}
 	start := time.Now().UTC().Add(noticePeriod + windowLength).Truncate(windowLength)
 	r.window = &quietWindow{dataCentre: dataCentre, start: start, maxInFlight: limit}
@@ -51,9 +52,9 @@
 	return nil
 }
 
-// watchWindow checks during the window that the daemons of its data centre run no
-// more than the bound together, and keeps the most that they ran before, in and
-// after it.
+// watchWindow checks that during the window the daemons of its data centre together
+// run no more requests than its limit, and records the most that they run at once
+// before, during and after it.
 func (r *Run) watchWindow() {
 	w := r.window
 	end := w.start.Add(windowLength)
@@ -70,7 +71,7 @@
 			r.peakLoad.after = max(r.peakLoad.after, running)
 		}
 		if !now.Before(w.start) && now.Before(end) && running > w.maxInFlight {
-			r.violations = append(r.violations, fmt.Sprintf("%d requests ran in %s in the window, more than %d", running, w.dataCentre, w.maxInFlight))
+			r.violations = append(r.violations, fmt.Sprintf("%d requests ran at once in %s during the window, more than its limit of %d", running, w.dataCentre, w.maxInFlight))
 		}
 		r.mu.Unlock()
 		select {
@@ -81,17 +82,18 @@
 	}
 }
 
-// peakLoad holds the most requests that ran at once around a window.
+// peakLoad is the largest number of requests that ran at once before, during and
+// after a window.
 type peakLoad struct{ before, during, after int }
 
-// runningRequests sums the requests in progress in a data centre.
+// runningRequests returns the number of requests in progress in a data centre.
 func (r *Run) runningRequests(dataCentre string) int {
 	total := 0.0
 	for _, d := range r.daemons {
 		if d.Spec.DataCentre != dataCentre {
 			continue
 		}
-		// A daemon that does not answer is down and runs nothing.
+		// A daemon that does not respond is down and runs no requests.
 		if n, err := d.Metric("bilberryrock_admission_running"); err == nil {
 			total += n
 		}
@@ -99,13 +101,14 @@
 	return int(total)
 }
 
-// PeakLoad describes the load around the window of the script, or is empty.
+// PeakLoad describes the load before, during and after the window of the script. It
+// returns "" for a script without a window.
 func (r *Run) PeakLoad() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.window == nil {
 		return ""
 	}
-	return fmt.Sprintf("most requests at once in %s: %d before the window, %d in it (bound %d), %d after it",
+	return fmt.Sprintf("most requests at once in %s: %d before the window, %d during it (limit %d), %d after it",
 		r.window.dataCentre, r.peakLoad.before, r.peakLoad.during, r.window.maxInFlight, r.peakLoad.after)
 }
--- a/internal/trial/footprint/idle_test.go
+++ b/internal/trial/footprint/idle_test.go
@@ -1,5 +1,5 @@
-// Package footprint measures what idle daemons cost, as real processes, by the
-// number of daemons and upstreams.
+// Package footprint measures the resource usage of idle daemons, which run as real
+// processes, by the number of daemons and upstreams.
 package footprint
 
 import (
@@ -17,20 +17,23 @@
 )
 
 const (
-	settleTime   = 5 * time.Second
+	settleTime    = 5 * time.Second
 	measurePeriod = 10 * time.Second
-	// clockTicksPerSecond is the unit of processor times in /proc on Linux.
+	// clockTicksPerSecond is the resolution of CPU times in /proc on Linux.
 	clockTicksPerSecond = 100
 )
 
-// counters is the state of the counters of one daemon.
+// counters holds the CPU time of a daemon in seconds and its gossip traffic in bytes,
+// both since its start.
 type counters struct{ cpu, sent, received float64 }
 
-// resourceUsage sums what the daemons of one role used.
+// resourceUsage sums the usage of the daemons of one role: CPU time in percent of a
+// core, resident memory in MB, and sent and received gossip in bytes per second.
 type resourceUsage struct{ daemons, cpu, memory, sent, received float64 }
 
-// BenchmarkIdle reports for voters and for other daemons the processor time in
-// percent of a core, the resident memory in MB and the bytes of gossip a second.
+// BenchmarkIdle reports, as means over the voters and over the other daemons, the CPU
+// time in percent of a core, the resident memory in MB and the gossip traffic in
+// bytes per second.
 func BenchmarkIdle(b *testing.B) {
 	bin := buildPrograms(b)
 	for _, size := range []failure.Size{
@@ -48,7 +51,7 @@
 	}
 }
 
-// buildPrograms builds the programs into a folder of the benchmark.
+// buildPrograms compiles the programs into a temporary folder and returns its path.
 func buildPrograms(b *testing.B) string {
 	b.Helper()
 	bin := b.TempDir()
@@ -112,15 +115,15 @@
 	return counters{cpu: cpuTime(b, d), sent: sent, received: received}
 }
 
-// cpuTime returns the user and system time of the process in seconds.
+// cpuTime returns the user and system CPU time of the process in seconds.
 func cpuTime(b *testing.B, d *processes.Daemon) float64 {
 	b.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
 	if err != nil {
 		b.Fatal(err)
 	}
-	// The fields after the name in parentheses begin with the state, the third
-	// field; user and system time are the 14th and 15th.
+	// The first field after the program name in parentheses is the third one, the
+	// state; user and system time are the 14th and 15th.
 	fields := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+1:]))
 	user, err := strconv.ParseFloat(fields[11], 64)
 	if err != nil {
--- a/internal/trial/footprint/inforce_test.go
+++ b/internal/trial/footprint/inforce_test.go
@@ -9,9 +9,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/failure"
 )
 
-// BenchmarkInForce reports the time from the answer to a submission until the
-// revision is in force on all of 12 daemons in three data centres. It includes
-// asking all of them for their status.
+// BenchmarkInForce reports the time from the response to a submission until the
+// revision is active on all of 12 daemons in three data centres. The time includes
+// the status queries to all of them.
 func BenchmarkInForce(b *testing.B) {
 	size := failure.Size{DataCentres: 3, Daemons: 12, Engines: 6, Services: 3}
 	r, err := failure.Start(buildPrograms(b), b.TempDir(), size, 1)
--- a/internal/trial/overhead/overhead.go
+++ b/internal/trial/overhead/overhead.go
@@ -1,12 +1,12 @@
-// Package overhead measures what the daemon adds to completions and lookups.
+// Package overhead measures the overhead of the daemon for completions and lookups.
 //
-// A Rig runs one daemon with stand-ins as processes on loopback. The same work
+// A Testbed runs one daemon and stand-ins as processes on loopback. The same work
 // goes through the daemon and directly to the stand-ins, in alternating rounds:
 //
-//	r, err := overhead.Start(bin, dir)
-//	defer r.Close()
-//	c, err := r.Compare(overhead.Completions, 64)
-//	fmt.Println(c.Lost(), c.Added(99))
+//	t, err := overhead.Start(bin, dir)
+//	defer t.Close()
+//	c, err := t.Compare(ctx, overhead.Completions, 64)
+//	fmt.Println(c.ThroughputLoss(), c.AddedLatency(99))
 package overhead
 
 import (
@@ -18,23 +18,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Kind is the kind of work that is compared.
+// Kind is a kind of work for which both sides are compared.
 type Kind int
 
-// The kinds of work. Lookups are so short that the processors of one machine bound
-// both sides at many streams; SlowLookups leave them time, like those of a
-// service on machines of its own.
+// The kinds of work. Lookups are so short that at many streams the CPUs of one machine
+// limit both sides. SlowLookups leave CPU time free, as a service on separate machines
+// does.
 const (
 	Completions Kind = iota
 	Lookups
 	SlowLookups
 )
 
-// Rounds of one comparison. Each runs direct and through the daemon, so that a
-// slow phase of the machine affects both.
+// rounds is the number of rounds of a comparison. Each round runs both sides, so that
+// a slow phase of the machine affects both.
 const rounds = 3
 
-// requestsPerStream is the number of requests of one stream in a round.
+// requestsPerStream returns the number of requests of one stream in a round.
 func (k Kind) requestsPerStream() int {
 	switch k {
 	case Completions:
@@ -46,28 +46,28 @@
 }
 
 const (
-	// minTime and maxTime bound the recorded times in nanoseconds.
+	// minTime and maxTime are the limits of the recorded times in nanoseconds.
 	minTime = int64(time.Microsecond)
 	maxTime = int64(time.Minute)
 	// significantDigits is the precision of the histograms in significant digits.
 	significantDigits = 3
 )
 
-// Measurements collects what one side of a comparison took.
+// Measurements holds the measured times of one side of a comparison.
 type Measurements struct {
-	// RequestTimes holds the time of whole requests and Token the time between two
-	// tokens, both in nanoseconds.
+	// RequestTimes holds the durations of requests and TokenIntervals the times
+	// between two tokens, both in nanoseconds.
 	RequestTimes, TokenIntervals *hdrhistogram.Histogram
-	// Count is the number of tokens, or of lookups, in Took.
-	Count int
-	Elapsed  time.Duration
+	// Count is the number of tokens, or of lookups, in Elapsed.
+	Count   int
+	Elapsed time.Duration
 }
 
 func newMeasurements() *Measurements {
 	return &Measurements{RequestTimes: hdrhistogram.New(minTime, maxTime, significantDigits), TokenIntervals: hdrhistogram.New(minTime, maxTime, significantDigits)}
 }
 
-// Throughput returns tokens or lookups per second.
+// Throughput returns the tokens or lookups per second.
 func (t *Measurements) Throughput() float64 { return float64(t.Count) / t.Elapsed.Seconds() }
 
 func (t *Measurements) add(o *Measurements) {
@@ -76,27 +76,30 @@
 	t.Count += o.Count
 }
 
-// Comparison holds both sides of a comparison.
+// Comparison holds the measurements of both sides.
 type Comparison struct{ Direct, Daemon *Measurements }
 
-// ThroughputLoss returns the share of the direct throughput that the daemon costs.
+// ThroughputLoss returns the fraction of the direct throughput that is lost through
+// the daemon.
 func (c Comparison) ThroughputLoss() float64 { return 1 - c.Daemon.Throughput()/c.Direct.Throughput() }
 
-// AddedLatency returns the difference of the request times at a percentile.
+// AddedLatency returns how much longer requests through the daemon take, as the
+// difference of both sides at a percentile.
 func (c Comparison) AddedLatency(percentile float64) time.Duration {
 	return time.Duration(c.Daemon.RequestTimes.ValueAtPercentile(percentile) - c.Direct.RequestTimes.ValueAtPercentile(percentile))
 }
 
-// AddedTokenInterval returns the difference of the times between tokens at a
-// percentile.
+// AddedTokenInterval returns how much longer the times between tokens are through the
+// daemon, as the difference of both sides at a percentile.
 func (c Comparison) AddedTokenInterval(percentile float64) time.Duration {
 	return time.Duration(c.Daemon.TokenIntervals.ValueAtPercentile(percentile) - c.Direct.TokenIntervals.ValueAtPercentile(percentile))
 }
 
-// workFunc runs request number i and records its times.
+// workFunc runs request i and records its times in t.
 type workFunc func(ctx context.Context, i int, t *Measurements) error
 
-// Compare runs the same work on both sides with a number of concurrent streams.
+// Compare runs the same work on both sides, with the given number of concurrent
+// streams.
 func (r *Testbed) Compare(ctx context.Context, k Kind, streams int) (Comparison, error) {
 	direct, daemon := r.directCompletion, r.daemonCompletion
 	if k != Completions {
@@ -105,16 +108,17 @@
 	c := Comparison{Direct: newMeasurements(), Daemon: newMeasurements()}
 	for range rounds {
 		if err := runStreams(ctx, c.Direct, direct, streams, k.requestsPerStream()); err != nil {
-			return c, errors.Wrap(err, "direct")
+			return c, errors.Wrap(err, "run directly")
 		}
 		if err := runStreams(ctx, c.Daemon, daemon, streams, k.requestsPerStream()); err != nil {
-			return c, errors.Wrap(err, "through the daemon")
+			return c, errors.Wrap(err, "run through the daemon")
 		}
 	}
 	return c, nil
 }
 
-// runStreams executes each in a closed loop of the given number of streams.
+// runStreams runs the given number of concurrent streams, each of which calls work
+// perStream times in a row, and adds their measurements to total.
 func runStreams(ctx context.Context, total *Measurements, work workFunc, streams, perStream int) error {
 	results := make([]*Measurements, streams)
 	group, ctx := errgroup.WithContext(ctx)
--- a/internal/trial/overhead/overhead_test.go
+++ b/internal/trial/overhead/overhead_test.go
@@ -10,9 +10,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/overhead"
 )
 
-// BenchmarkOverhead reports what the daemon costs against direct calls to the
-// same stand-ins. The goals are lost% below 10 and add-p99-ms below 1 at 64
-// streams. One iteration is one comparison, so -benchtime 1x is enough.
+// BenchmarkOverhead reports the overhead of the daemon compared with direct calls to
+// the same stand-ins. The goals at 64 streams are lost% below 10 and add-p99-ms below
+// 1. One iteration is one comparison, so -benchtime 1x is enough.
 func BenchmarkOverhead(b *testing.B) {
 	bin := b.TempDir()
 	cmd := exec.Command("go", "build", "-o", bin+string(filepath.Separator), "./cmd/...")
--- a/internal/trial/overhead/rig.go
+++ b/internal/trial/overhead/rig.go
@@ -20,17 +20,18 @@
 	layers = 8
 	// replicas is the number of engines for each half of the layers.
 	replicas = 2
-	// stepTime is the time of one batch of an engine.
+	// stepTime is the time that an engine needs for one batch.
 	stepTime = 5 * time.Millisecond
-	// slots is above the greatest number of streams, so that nothing queues.
+	// slots is above the largest number of streams, so that no request is queued.
 	slots = 128
-	// maxTokens bounds one completion.
+	// maxTokens is the largest number of tokens of one completion.
 	maxTokens = 32
-	// startTimeout bounds each wait of the start.
+	// startTimeout limits each wait during the start.
 	startTimeout = 30 * time.Second
 )
 
-// services are the pools of plain services with the time of one call.
+// services holds the service pool of each kind of lookup, with the time that a service
+// needs for one call.
 var services = map[Kind]struct {
 	pool     string
 	callTime time.Duration
@@ -66,7 +67,7 @@
 weight = 10
 `
 
-// Testbed is a daemon with stand-ins of both kinds.
+// Testbed is a daemon with stand-ins for engines and services.
 type Testbed struct {
 	fleet    *processes.Fleet
 	daemon   *processes.Daemon
@@ -77,7 +78,7 @@
 }
 
 // Start starts the programs in bin with files in dir, and waits until the daemon
-// answers completions and lookups.
+// serves completions and lookups.
 func Start(bin, dir string) (*Testbed, error) {
 	f, err := processes.New(bin, dir)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return r, nil
 }
 
-// Close ends all processes.
+// Close kills all processes and closes the connections.
 func (r *Testbed) Close() {
 	r.fleet.Close()
 	r.client.CloseIdleConnections()
@@ -155,7 +156,7 @@
 	err := retry(func() error {
 		output, exitStatus, err := r.daemon.RunOperatorCommand("submit", "--team", processes.Team, "--change", "overhead-1", "--operator", "trial", path)
 		if err == nil && exitStatus != 0 {
-			err = errors.Errorf("submit ended with status %d: %s", exitStatus, output)
+			err = errors.Errorf("submit exited with status %d: %s", exitStatus, output)
 		}
 		return err
 	})
@@ -165,8 +166,8 @@
 	return r.daemon.AwaitReady(startTimeout)
 }
 
-// warmUp waits until all upstreams are in use: one request of each kind must pass
-// through the daemon after the stand-ins have announced themselves.
+// warmUp waits until one request of each kind has succeeded through the daemon, which
+// requires that the stand-ins have announced themselves.
 func (r *Testbed) warmUp() error {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
--- a/internal/trial/overhead/work.go
+++ b/internal/trial/overhead/work.go
@@ -15,8 +15,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// prompt is the prompt of request i on both sides, so that both generate the
-// same text.
+// prompt returns the prompt of request i. It is the same on both sides, so that both
+// generate the same text.
 func prompt(i int) string { return fmt.Sprintf("row %d of the ledger", i) }
 
 // daemonCompletion streams a completion through the daemon.
@@ -47,17 +47,18 @@
 			}
 		}
 	}
-	return errors.New("stream without [DONE]")
+	return errors.New("stream ended without [DONE]")
 }
 
-// recordToken records one token that arrived now.
+// recordToken records a token that has just arrived, and returns the time of its
+// arrival. The token before it arrived at last.
 func (t *Measurements) recordToken(last time.Time) (time.Time, error) {
 	now := time.Now()
 	t.Count++
 	return now, errors.Wrap(t.TokenIntervals.RecordValue(int64(now.Sub(last))), "record token")
 }
 
-// directCompletion runs the steps of a completion as the daemon does.
+// directCompletion runs the steps of a completion on the engines, as the daemon does.
 func (r *Testbed) directCompletion(ctx context.Context, i int, t *Measurements) error {
 	started := time.Now()
 	id := fleet.InstanceID("direct").NewRequestID()
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// runStages sends the input through both stages.
+// runStages runs one step through both stages.
 func runStages(ctx context.Context, first, second upstream.EngineClient, id fleet.RequestID, position fleet.Position, input []uint64) (upstream.StepResult, error) {
 	s := upstream.Step{
 		Request: id, Epoch: 1, Position: position, Model: "transcriber", Version: "v1",
@@ -110,7 +111,7 @@
 
 func lookupPath(i int) string { return fmt.Sprintf("/lookups/row-%d", i) }
 
-// lookups returns the two sides of lookups at the services of a kind.
+// lookups returns the functions that run lookups of a kind on each side.
 func (r *Testbed) lookups(k Kind) (direct, daemon workFunc) {
 	direct = func(ctx context.Context, i int, t *Measurements) error {
 		started := time.Now()
@@ -128,7 +129,7 @@
 		}
 		defer response.Body.Close()
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			return errors.Wrap(err, "read answer")
+			return errors.Wrap(err, "read response")
 		}
 		return t.recordLookup(started, response.StatusCode)
 	}
--- a/internal/trial/processes/client.go
+++ b/internal/trial/processes/client.go
@@ -13,16 +13,17 @@
 	"github.com/pkg/errors"
 )
 
-// Response is the answer to a call.
+// Response is the HTTP response to a call.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// ReadErr is the error that ended the body before its end, or nil.
+	// ReadErr is the error with which reading the body failed, or nil.
 	ReadErr error
 }
 
-// Call sends one request of a caller to the daemon.
+// Call sends a request to the callers' listener of the daemon, with the key of the
+// test account.
 func (d *Daemon) Call(method, path string, header map[string]string, body string, timeout time.Duration) (Response, error) {
 	request, err := http.NewRequest(method, "http://"+d.CallersAddr+path, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -43,8 +44,8 @@
 	return Response{Status: response.StatusCode, Header: response.Header, Body: raw, ReadErr: err}, nil
 }
 
-// RunOperatorCommand runs the operators' command against the daemon and returns its
-// output and exit status.
+// RunOperatorCommand runs the command bilberryrock, which operators use, against the
+// daemon. It returns the output and the exit status.
 func (d *Daemon) RunOperatorCommand(args ...string) (output string, exitStatus int, err error) {
 	args = append([]string{"--server", "http://" + d.OperatorsAddr, "--tokenFile", d.fleet.Path("operator.token")}, args...)
 	cmd := exec.Command(filepath.Join(d.fleet.bin, "bilberryrock"), args...)
@@ -56,8 +57,8 @@
 	return string(raw), 0, errors.Wrap(err, "run bilberryrock")
 }
 
-// JoinCompletionEvents joins the text of a streamed completion and tells whether its end
-// was seen.
+// JoinCompletionEvents returns the text of a streamed completion and whether the
+// stream has its final [DONE] event.
 func JoinCompletionEvents(raw []byte) (text string, done bool) {
 	var b strings.Builder
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
@@ -75,7 +76,7 @@
 			} `json:"choices"`
 		}
 		if json.Unmarshal(data, &event) != nil {
-			continue // half an event of a broken stream
+			continue // event truncated by a broken stream
 		}
 		for _, choice := range event.Choices {
 			b.WriteString(choice.Text)
--- a/internal/trial/processes/daemon.go
+++ b/internal/trial/processes/daemon.go
@@ -12,14 +12,14 @@
 	"github.com/pkg/errors"
 )
 
-// DaemonSpec describes a daemon.
+// DaemonSpec is the configuration of a daemon.
 type DaemonSpec struct {
 	ID         string
 	DataCentre string
-	// Voter is the voter number; zero means that the daemon does not vote and
-	// keeps no durable state.
+	// Voter is the voter number. Zero means that the daemon is no voter and has no
+	// durable state.
 	Voter int
-	// ExtraSettings holds further lines of the settings file.
+	// ExtraSettings is appended to the settings file.
 	ExtraSettings string
 }
 
@@ -27,14 +27,14 @@
 type Daemon struct {
 	*Process
 	Spec DaemonSpec
-	// Addresses of the listeners.
+	// Addresses of the listeners of the same names in the settings.
 	CallersAddr, OperatorsAddr, UpstreamsAddr, PeersAddr, GossipAddr, PlatformAddr string
 
 	fleet *Fleet
 }
 
-// ConfigureDaemons reserves addresses for daemons and writes their settings. All of
-// them know each other.
+// ConfigureDaemons assigns addresses to new daemons and writes the settings of all
+// daemons of the Fleet, so that each of them has all others as seeds.
 func (f *Fleet) ConfigureDaemons(specs ...DaemonSpec) ([]*Daemon, error) {
 	var list []*Daemon
 	for _, spec := range specs {
@@ -59,7 +59,7 @@
 
 func (d *Daemon) settingsPath() string { return d.fleet.Path(d.Spec.ID + ".ini") }
 
-// DataFolder returns the folder of the durable state.
+// DataFolder returns the path of the folder with the durable state.
 func (d *Daemon) DataFolder() string { return d.fleet.Path(d.Spec.ID + ".data") }
 
 func (f *Fleet) settings(d *Daemon) string {
@@ -110,7 +110,8 @@
 	return strings.Join(list, ", ")
 }
 
-// Start starts the daemon, also again after it was killed or stopped.
+// Start starts the daemon. It may be called again after the daemon was killed or
+// stopped.
 func (d *Daemon) Start() error {
 	p, err := d.fleet.start(d.Spec.ID, "bilberryrockd", "--config", d.settingsPath())
 	if err != nil {
@@ -120,10 +121,10 @@
 	return nil
 }
 
-// AwaitLive waits until the daemon answers the platform.
+// AwaitLive waits until the liveness check of the daemon succeeds.
 func (d *Daemon) AwaitLive(timeout time.Duration) error { return d.awaitOK("/live", timeout) }
 
-// AwaitReady waits until the daemon is ready.
+// AwaitReady waits until the readiness check of the daemon succeeds.
 func (d *Daemon) AwaitReady(timeout time.Duration) error { return d.awaitOK("/ready", timeout) }
 
 const pollInterval = 50 * time.Millisecond
@@ -132,7 +133,7 @@
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		if !d.Running() {
-			return errors.Errorf("%s ended", d.Spec.ID)
+			return errors.Errorf("%s exited", d.Spec.ID)
 		}
 		response, err := http.Get("http://" + d.PlatformAddr + path)
 		if err == nil {
@@ -143,14 +144,15 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	return errors.Errorf("%s: %s was not answered with 200 within %s", d.Spec.ID, path, timeout)
+	return errors.Errorf("%s: %s did not respond with status 200 within %s", d.Spec.ID, path, timeout)
 }
 
-// probeTimeout bounds one question of a balancer for readiness.
+// probeTimeout limits one readiness check of a load balancer, and one read of the
+// metrics.
 const probeTimeout = time.Second
 
-// ReportsNotReady tells whether the daemon says that it is not ready. It is false
-// for a daemon that does not answer.
+// ReportsNotReady reports whether the daemon responds that it is not ready. It is
+// false for a daemon that does not respond.
 func (d *Daemon) ReportsNotReady() bool {
 	client := &http.Client{Timeout: probeTimeout}
 	response, err := client.Get("http://" + d.PlatformAddr + "/ready")
@@ -161,12 +163,12 @@
 	return response.StatusCode != http.StatusOK
 }
 
-// Metric returns the sum of a metric over all its labels.
+// Metric returns the sum of a metric over all label values.
 func (d *Daemon) Metric(name string) (float64, error) {
 	client := &http.Client{Timeout: probeTimeout}
 	response, err := client.Get("http://" + d.PlatformAddr + "/metrics")
 	if err != nil {
-		return 0, errors.Wrapf(err, "metrics of %s", d.Spec.ID)
+		return 0, errors.Wrapf(err, "get metrics of %s", d.Spec.ID)
 	}
 	defer response.Body.Close()
 	sum := 0.0
@@ -178,7 +180,7 @@
 		}
 		value, err := strconv.ParseFloat(rest[strings.LastIndexByte(rest, ' ')+1:], 64)
 		if err != nil {
-			return 0, errors.Wrapf(err, "metric %s", name)
+			return 0, errors.Wrapf(err, "parse metric %s", name)
 		}
 		sum += value
 	}
--- a/internal/trial/processes/processes.go
+++ b/internal/trial/processes/processes.go
@@ -1,9 +1,10 @@
-// Package processes starts the real programs on loopback for the demo and for
+// Package processes runs the real programs on loopback, for the demo and for
 // end-to-end tests.
 //
 //	f, err := processes.New("bin", dir)
 //	defer f.Close()
-//	a, err := f.StartDaemon(processes.DaemonPlan{ID: "a", DataCentre: "dc1", Votes: true})
+//	daemons, err := f.ConfigureDaemons(processes.DaemonSpec{ID: "a", DataCentre: "dc1", Voter: 1})
+//	err = daemons[0].Start()
 //	e, err := f.StartStandin("e1", "dc1", "--pool", "engines", ...)
 //
 // Every process is signalled and awaited by its own process id.
@@ -26,7 +27,7 @@
 )
 
 const (
-	// Team is the only team of a Fleet and Token its token.
+	// Team is the only operator team of a Fleet, and Token is its token.
 	Team  = "alpha"
 	Token = "operator-token"
 	// APIKey is the key of the client account that tests use.
@@ -35,20 +36,20 @@
 	upstreamToken = "upstream-token"
 	gossipSecret  = "gossip-secret-of-a-trial"
 
-	// Ports are taken from below the range that the kernel gives to outgoing
-	// connections, so that none of those can take a port before its listener.
+	// firstPort and lastPort lie below the ephemeral port range of the kernel, so
+	// that no outgoing connection can take a port before its listener opens.
 	firstPort = 20000
 	lastPort  = 32000
 )
 
-// Digest returns the SHA-256 of a secret in hexadecimal, as settings and
-// sections hold it.
+// Digest returns the SHA-256 of a secret in hexadecimal, the form in which settings
+// and sections contain it.
 func Digest(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
 }
 
-// Fleet is a set of processes. It is safe for concurrent use.
+// Fleet is a set of daemon and stand-in processes. It is safe for concurrent use.
 type Fleet struct {
 	bin string
 	dir string
@@ -60,7 +61,7 @@
 	processes []*Process
 }
 
-// New returns a Fleet whose programs are in bin and whose files go to dir.
+// New returns a Fleet that runs the programs in bin and writes its files to dir.
 func New(bin, dir string) (*Fleet, error) {
 	f := &Fleet{bin: bin, dir: dir, port: firstPort + os.Getpid()%(lastPort-firstPort)}
 	for name, content := range map[string]string{
@@ -75,10 +76,12 @@
 	return f, nil
 }
 
-// Path returns the path of a file of the Fleet.
+// Path returns the path of a file in the folder of the Fleet.
 func (f *Fleet) Path(name string) string { return filepath.Join(f.dir, name) }
 
-// Address reserves a free address of the loopback interface.
+// Address returns a loopback address whose port is free for TCP and UDP. It goes
+// through the ports in turn, so that no address is returned again before all others
+// have been tried.
 func (f *Fleet) Address() (string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,7 +95,7 @@
 			return address, nil
 		}
 	}
-	return "", errors.New("no free port")
+	return "", errors.New("no free port on loopback")
 }
 
 func isFree(address string) bool {
@@ -108,7 +111,7 @@
 	return udp.Close() == nil
 }
 
-// Process is one running program.
+// Process is a started program.
 type Process struct {
 	Name   string
 	cmd    *exec.Cmd
@@ -140,28 +143,26 @@
 	return p, nil
 }
 
-// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) error {
 	return errors.Wrapf(p.cmd.Process.Signal(s), "signal %s", p.Name)
 }
 
-// Kill ends the process without notice and waits for it.
+// Kill kills the process, even if it is suspended, and waits for its exit.
 func (p *Process) Kill() {
-	// An error means that the process has ended already.
+	// An error means that the process has already exited.
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// Stop asks the process to stop gracefully and waits for it. An exit status
+// Stop asks the process to stop gracefully and waits for its exit. An exit status
 // other than 0 is an error.
 func (p *Process) Stop(timeout time.Duration) error {
 	select {
 	case <-p.exited:
-		return errors.Wrapf(p.err, "%s had ended already", p.Name)
+		return errors.Wrapf(p.err, "%s had already exited", p.Name)
 	default:
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil {
@@ -175,7 +176,7 @@
 	}
 }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process has not exited yet.
 func (p *Process) Running() bool {
 	select {
 	case <-p.exited:
@@ -185,7 +186,7 @@
 	}
 }
 
-// Close ends all processes that still run.
+// Close kills all processes that are still running.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,7 +195,8 @@
 	}
 }
 
-// Logs returns the end of the log of every process, for a failed test.
+// Logs returns the last maxBytes of the log of each process, for the output of a
+// failed test.
 func (f *Fleet) Logs(maxBytes int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/trial/processes/standin.go
+++ b/internal/trial/processes/standin.go
@@ -14,15 +14,15 @@
 // Standin is a bilberryrock-standin process.
 type Standin struct {
 	*Process
-	ID      string
-	Address string
-	recordPath  string
-	args    []string
-	fleet   *Fleet
+	ID         string
+	Address    string
+	recordPath string
+	args       []string
+	fleet      *Fleet
 }
 
 // StartStandin starts a stand-in that announces itself to the daemons of its
-// data centre. Further flags are given as args.
+// data centre. The args are appended to its command line.
 func (f *Fleet) StartStandin(id, dataCentre string, args ...string) (*Standin, error) {
 	address, err := f.Address()
 	if err != nil {
@@ -37,7 +37,7 @@
 	return s, s.Start()
 }
 
-// Start starts the stand-in again after it ended.
+// Start starts the stand-in. It may be called again after the stand-in has exited.
 func (s *Standin) Start() error {
 	p, err := s.fleet.start(s.ID, "bilberryrock-standin", s.args...)
 	if err != nil {
@@ -57,7 +57,8 @@
 	return strings.Join(list, ",")
 }
 
-// Runs returns what the stand-in ran, over all its starts.
+// Runs returns the executions that the stand-in recorded, including those before a
+// restart.
 func (s *Standin) Runs() ([]standin.Run, error) {
 	file, err := os.Open(s.recordPath)
 	if err != nil {
@@ -70,14 +71,14 @@
 	for lines.Scan() {
 		var r standin.Run
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
-			continue // a killed process can leave half a line
+			continue // line truncated when the process was killed
 		}
 		runs = append(runs, r)
 	}
 	return runs, errors.Wrap(lines.Err(), "read record")
 }
 
-// Runs returns what all stand-ins ran.
+// Runs returns the recorded executions of all stand-ins.
 func (f *Fleet) Runs() ([]standin.Run, error) {
 	var all []standin.Run
 	for _, s := range f.standins {
--- a/internal/trial/traffic/check.go
+++ b/internal/trial/traffic/check.go
@@ -12,13 +12,15 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream/standin"
 )
 
-// Check returns a line for every broken invariant:
+// Check returns a line for every violation of these invariants:
 //
-//   - a whole answer has the text of its own request;
-//   - what was refused as "not run" was not run;
-//   - an order ran at most once, and exactly once if it was answered;
-//   - each layer ran once for each position of an epoch, in order;
-//   - no upstream got new work after it had left for its grace time.
+//   - a complete response has the content that belongs to its request;
+//   - a request that was refused as "not run" was not run;
+//   - an order ran at most once, and exactly once if it got a successful response;
+//   - all complete responses to an order are the same;
+//   - each layer ran at most once for each position of an epoch, and only if the layer
+//     before it ran;
+//   - no upstream got new work after its leave grace.
 func Check(calls []Call, runs []standin.Run) []string {
 	var violations []string
 	violations = append(violations, checkTexts(calls)...)
@@ -28,18 +30,19 @@
 	return append(violations, checkLateWork(runs)...)
 }
 
-// CheckAborted returns a line for every call that reached a daemon and was not
-// answered to its end. It holds only while no process ends without notice. A
-// refused connection is no fault: a balancer would not have chosen the daemon.
+// CheckAborted returns a line for every call that reached a daemon and got no complete
+// response. The invariant holds only as long as no process is killed or suspended. A
+// refused connection is no violation, because a load balancer would not have chosen
+// the daemon.
 func CheckAborted(calls []Call) []string {
 	var violations []string
 	for _, c := range calls {
 		refused := strings.Contains(c.Err, syscall.ECONNREFUSED.Error())
 		if c.Err != "" && !refused {
-			violations = append(violations, fmt.Sprintf("call %d, request %s, to %s was cut off: %s", c.Number, c.RequestID, c.Daemon, c.Err))
+			violations = append(violations, fmt.Sprintf("call %d, request %s, to %s was aborted: %s", c.Number, c.RequestID, c.Daemon, c.Err))
 		}
 		if c.Err == "" && !c.Complete && c.Code == "" {
-			violations = append(violations, fmt.Sprintf("call %d, request %s, to %s has no end", c.Number, c.RequestID, c.Daemon))
+			violations = append(violations, fmt.Sprintf("call %d, request %s, to %s has an incomplete response", c.Number, c.RequestID, c.Daemon))
 		}
 	}
 	return violations
@@ -53,7 +56,7 @@
 		}
 		if c.Kind != Completion {
 			if want := c.uniquePart(); !strings.Contains(c.Body, want) {
-				violations = append(violations, fmt.Sprintf("call %d, request %s: the answer %q has no %s", c.Number, c.RequestID, c.Body, want))
+				violations = append(violations, fmt.Sprintf("call %d, request %s: response %q does not contain %s", c.Number, c.RequestID, c.Body, want))
 			}
 			continue
 		}
@@ -69,7 +72,8 @@
 	return violations
 }
 
-// uniquePart returns a part of the answer of a service that no other call has.
+// uniquePart returns text that only the service response to this call contains. It is
+// the same for orders with the same key.
 func (c Call) uniquePart() string {
 	if c.Kind == Lookup {
 		return fmt.Sprintf(`"path":%q`, c.Key)
@@ -77,11 +81,12 @@
 	return fmt.Sprintf(`"digest":"%x"`, sha256.Sum256([]byte(c.Key)))
 }
 
-// executions tells what the stand-ins ran, by request, path and key.
+// executions indexes what the stand-ins ran: the ids of requests, the number of runs
+// of each path, and the number of runs of each idempotency key.
 type executions struct {
 	requests map[fleet.RequestID]bool
-	pathRuns    map[string]int
-	keyRuns     map[string]int
+	pathRuns map[string]int
+	keyRuns  map[string]int
 }
 
 func indexExecutions(runs []standin.Run) executions {
@@ -123,8 +128,8 @@
 	return append(violations, checkRefusedOrders(calls, refusals, r)...)
 }
 
-// checkRefusedOrders finds orders whose every attempt was refused as "not run"
-// and that ran all the same.
+// checkRefusedOrders finds orders that ran although every attempt was refused as
+// "not run".
 func checkRefusedOrders(calls []Call, refused map[string]int, r executions) []string {
 	attempts := make(map[string]int)
 	for _, c := range calls {
@@ -135,7 +140,7 @@
 	var violations []string
 	for key, count := range refused {
 		if count == attempts[key] && r.keyRuns[key] > 0 {
-			violations = append(violations, fmt.Sprintf("order %s: every attempt was refused as not run, but it ran", key))
+			violations = append(violations, fmt.Sprintf("order %s: all attempts were refused as not run, but it ran", key))
 		}
 	}
 	sort.Strings(violations)
@@ -156,10 +161,10 @@
 			continue
 		}
 		if r.keyRuns[c.Key] == 0 {
-			violations = append(violations, fmt.Sprintf("call %d, request %s: order %s was answered, but did not run", c.Number, c.RequestID, c.Key))
+			violations = append(violations, fmt.Sprintf("call %d, request %s: order %s got a successful response, but did not run", c.Number, c.RequestID, c.Key))
 		}
 		if first, seen := bodies[c.Key]; seen && first != c.Body {
-			violations = append(violations, fmt.Sprintf("call %d, request %s: order %s got another answer than before", c.Number, c.RequestID, c.Key))
+			violations = append(violations, fmt.Sprintf("call %d, request %s: order %s got a different response than before", c.Number, c.RequestID, c.Key))
 		}
 		bodies[c.Key] = c.Body
 	}
@@ -167,7 +172,7 @@
 	return violations
 }
 
-// layerRun is one layer at one position of one epoch of a request.
+// layerRun identifies the run of a layer for one position in one epoch of a request.
 type layerRun struct {
 	request  fleet.RequestID
 	epoch    fleet.Epoch
@@ -193,7 +198,7 @@
 			violations = append(violations, fmt.Sprintf("request %s: layer %d ran %d times for position %d of epoch %d", p.request, p.layer, n, p.position, p.epoch))
 		}
 		if p.layer > 0 && !previousLayerRan(counts, p) {
-			violations = append(violations, fmt.Sprintf("request %s: layer %d ran for position %d up to epoch %d without the layer before it", p.request, p.layer, p.position, p.epoch))
+			violations = append(violations, fmt.Sprintf("request %s: layer %d ran for position %d in epoch %d, but the layer before it did not run in this or an earlier epoch", p.request, p.layer, p.position, p.epoch))
 		}
 	}
 	sort.Strings(violations)
@@ -209,15 +214,15 @@
 	}
 	var violations []string
 	for id, n := range late {
-		violations = append(violations, fmt.Sprintf("upstream %s got new work %d times after it had left", id, n))
+		violations = append(violations, fmt.Sprintf("upstream %s got new work %d times after its leave grace", id, n))
 	}
 	sort.Strings(violations)
 	return violations
 }
 
-// previousLayerRan tells whether the layer before p ran for the same position, in the
-// epoch of p or an earlier one: a recovery computes only the lost stage again,
-// from the kept outputs of the stage before it.
+// previousLayerRan reports whether the layer before p ran for the same position, in
+// the epoch of p or an earlier one. An earlier epoch is enough because a recovery
+// recomputes only the lost stage, from the retained outputs of the stage before it.
 func previousLayerRan(counts map[layerRun]int, p layerRun) bool {
 	p.layer--
 	for ; p.epoch > 0; p.epoch-- {
@@ -228,7 +233,7 @@
 	return false
 }
 
-// Summary counts the calls by kind and answer.
+// Summary returns the number of calls by kind and outcome, one line each.
 func Summary(calls []Call) string {
 	counts := make(map[string]int)
 	for _, c := range calls {
@@ -239,7 +244,7 @@
 		case outcome == "" && c.Complete:
 			outcome = "ok"
 		case outcome == "":
-			outcome = "cut off"
+			outcome = "aborted"
 		}
 		counts[c.Kind.String()+" "+outcome]++
 	}
--- a/internal/trial/traffic/traffic.go
+++ b/internal/trial/traffic/traffic.go
@@ -1,14 +1,14 @@
-// Package traffic sends a mixed load to the daemons and checks the answers
+// Package traffic sends a mixed load to the daemons and checks the responses
 // against what the stand-ins ran.
 //
 //	t := traffic.New(daemons, seed)
 //	t.Send(200, 16)
-//	for _, fault := range traffic.Check(t.Calls(), runs) {
+//	for _, violation := range traffic.Check(t.Calls(), runs) {
 //		...
 //	}
 //
-// The load is a fixed list of calls that the seed determines. Which of them are
-// refused depends on the moment; what holds for each answer does not.
+// The seed determines the sequence of calls. Which of them are refused depends on
+// timing; the invariants that each response has to meet do not.
 package traffic
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/processes"
 )
 
-// Kind is the kind of a call.
+// Kind is a kind of call.
 type Kind int
 
 //go:generate ../../../bin/stringer -type Kind -linecomment -output kind_string.go
@@ -35,60 +35,62 @@
 	Order                  // order
 )
 
-// The names that the section of a trial gives to its pools and models.
+// Names and numbers in the section that a test submits.
 const (
-	ServicePool = "plots"
-	AtMostOncePath    = "/reprints"
-	Model       = "transcriber"
-	Version     = "v1"
-	Layers      = 8
+	ServicePool    = "plots"
+	AtMostOncePath = "/reprints"
+	Model          = "transcriber"
+	Version        = "v1"
+	Layers         = 8
 )
 
-// callTimeout bounds one call on the caller's side. It is longer than the
-// deadline that the call names.
+// callTimeout limits one call on the side of the caller. It has to be longer than the
+// deadline that a call sets; at present the calls set none.
 const callTimeout = 40 * time.Second
 
-// Call is one call and its answer.
+// Call is one call and its response.
 type Call struct {
 	Number int
 	Kind   Kind
 	Daemon string
-	// Key is the idempotency key of an order, or the unique path of a lookup.
+	// Key is the idempotency key and body of an order, or the unique path of a
+	// lookup.
 	Key    string
 	Prompt string
 	Tokens int
 
-	// RequestID is the id that the answer carries, or "" without an answer.
+	// RequestID is the request id in the response, or "" without a response.
 	RequestID string
-	Status  int
-	Code    string
-	NotRun  bool
-	// Complete tells that the answer came to its end.
+	Status    int
+	Code      string
+	NotRun    bool
+	// Complete reports whether the response was received to its end.
 	Complete bool
-	Body  string
-	// Err is the error of the connection.
-	Err  string
+	Body     string
+	// Err is the connection error, or "" without one.
+	Err     string
 	Elapsed time.Duration
 }
 
-// Generator sends calls. Its methods are safe for concurrent use.
+// Generator generates and sends calls. Its methods are safe for concurrent use.
 type Generator struct {
 	daemons []*processes.Daemon
 
-	mu     sync.Mutex
-	rng *rand.Rand
+	mu        sync.Mutex
+	rng       *rand.Rand
 	callCount int
 	orderKeys []string
-	calls  []Call
+	calls     []Call
 }
 
-// New returns Traffic to the daemons. The prefix of all keys is made from the
-// seed.
+// New returns a Generator that sends calls to the daemons. The seed determines the
+// random choices.
 func New(daemons []*processes.Daemon, seed uint64) *Generator {
 	return &Generator{daemons: daemons, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Send sends count calls, at most parallel at once, and waits for their answers.
+// Send sends count calls, at most parallel at once, and waits until all of them have
+// ended.
 func (t *Generator) Send(count, parallel int) {
 	semaphore := make(chan struct{}, parallel)
 	var wg sync.WaitGroup
@@ -103,8 +105,8 @@
 	wg.Wait()
 }
 
-// SendFor sends calls for the given time, at most parallel at once, and waits for
-// their answers.
+// SendFor sends calls for the given time, at most parallel at once, and waits until
+// all of them have ended.
 func (t *Generator) SendFor(d time.Duration, parallel int) {
 	deadline := time.Now().Add(d)
 	var wg sync.WaitGroup
@@ -119,7 +121,7 @@
 	wg.Wait()
 }
 
-// Calls returns all calls that were answered or failed.
+// Calls returns all calls that have ended, with a response or an error.
 func (t *Generator) Calls() []Call {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,11 +134,12 @@
 	t.calls = append(t.calls, c)
 }
 
-// Shares of the kinds of calls, in percent. The rest are orders.
+// Percentages of the kinds of calls. The remaining calls are orders.
 const (
 	lookupPercent     = 40
 	completionPercent = 30
-	// resendPercent is the share of orders that repeat a key.
+	// resendPercent is the percentage of orders that repeat the key of an earlier
+	// order.
 	resendPercent = 50
 )
 
@@ -162,9 +165,9 @@
 	return c, d
 }
 
-// pickDaemon chooses a daemon as a balancer does that has just asked for readiness.
-// A daemon that does not answer is chosen all the same: a balancer needs several
-// failed checks to give up on an instance.
+// pickDaemon chooses a daemon like a load balancer that has just checked readiness.
+// It may choose a daemon that does not respond, because a load balancer takes an
+// instance out of use only after several failed checks.
 func (t *Generator) pickDaemon() *processes.Daemon {
 	first := t.rng.IntN(len(t.daemons))
 	for i := range t.daemons {
@@ -220,7 +223,8 @@
 	return d.Call(http.MethodPost, "/v1/completions", nil, body, callTimeout)
 }
 
-// readError takes over the error of an answer, also one inside of a stream.
+// readError sets Code and NotRun from the error in a response body, which may be an
+// event of a stream.
 func (c *Call) readError(body []byte) {
 	for line := range bytes.SplitSeq(body, []byte("\n")) {
 		line = bytes.TrimPrefix(line, []byte("data: "))
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the formatter, the linters and the check that generated code is current.
+# Checks the formatting, runs the linters and checks that generated code is up to date.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -12,7 +12,7 @@
 go vet ./...
 bin/staticcheck ./...
 
-# Generated code is built again and compared with the committed files.
+# Generates the code again and compares the result with the committed files.
 before=$(git ls-files -s -- '*.pb.go' '*_string.go'; git diff -- '*.pb.go' '*_string.go')
 bin/buf generate
 go generate ./...
