--- a/internal/trial/failure/failure.go
+++ b/internal/trial/failure/failure.go
@@ -1,29 +1,33 @@
-// Package failure runs the real programs through scripts of failures and checks
-// the invariants.
+// Package failure runs the real programs through scripts that inject failures, and
+// checks the invariants of the fleet.
 //
 // A script has one command a line:
 //
-//	traffic 300 16        start 300 calls, 16 at once, in the background
-//	await                 wait for the traffic
-//	calm 100 8            the same as traffic and await
+//	traffic 300 16        start 300 calls in the background, at most 16 at once
+//	await                 wait until the traffic has finished
+//	calm 100 8            the same as traffic followed by await
 //	kill c                kill a daemon or a stand-in
 //	start c               start it again
-//	freeze b / thaw b     stop and continue its process
+//	freeze b / thaw b     suspend (SIGSTOP) and resume (SIGCONT) a process
+//	hangup a              send SIGHUP
 //	wipe c                remove the data folder of a killed daemon
-//	repaired c            wait until the new folder of c votes in all groups
+//	repaired c            wait until a successor with the new data folder of c is a
+//	                      full voter in all groups
 //	leave engine-1        stop a stand-in gracefully
 //	stop a                stop a daemon gracefully; it must exit with status 0
+//	terminate a           send SIGTERM, without waiting for the exit
 //	cut a,b c             drop all messages from a and b to c
-//	heal                  drop no messages any more
+//	heal                  stop dropping messages
 //	submit a, submit c    submit a new section through a daemon
-//	race a b              submit two sections with the same base at once
-//	fault desk-1 {json}   replace the faults of a stand-in
-//	window dc1 2 16       submit a quiet-hours window of one minute with bound 2, and
-//	                      keep 16 calls going until after its end
-//	sleep 2s
+//	race a b              submit two sections with the same base revision at once
+//	fault desk-1 {json}   replace the injected faults of a stand-in
+//	window dc1 2 16       submit a quiet-hours window of one minute that limits dc1 to
+//	                      2 requests in flight, and keep 16 calls in progress until
+//	                      after its end
+//	sleep 2s              wait for the given time
 //
-// After the script, the checks of package traffic run over all calls. Without a
-// kill or freeze, no call may be cut off.
+// After the script, the checks of package traffic run over all calls. In a script
+// without kill and freeze, no call may be aborted.
 package failure
 
 import (
@@ -41,12 +45,12 @@
 	"github.com/bilberryrock/bilberryrock/internal/trial/traffic"
 )
 
-// patience bounds each wait. It is generous, because a busy machine must not
-// change the verdict.
-const patience = 60 * time.Second
+// waitTimeout limits each wait for a condition. It is long so that a test does not
+// fail because the machine is busy.
+const waitTimeout = 60 * time.Second
 
-// Size holds the number of data centres, and of the daemons and stand-ins that
-// are spread over them.
+// Size is the number of data centres, and of the daemons and stand-ins that are
+// distributed over them.
 type Size struct {
 	DataCentres, Daemons, Engines, Services int
 }
@@ -54,52 +58,51 @@
 // Voters is the number of daemons with durable state.
 const Voters = 3
 
-// Run is one run of a script.
+// Run is one execution of a script against a new fleet.
 type Run struct {
-	fleet    *processes.Fleet
-	daemons  map[string]*processes.Daemon
-	standins map[string]*processes.Standin
-	names    []string
-	traffic  *traffic.Traffic
-	busy     sync.WaitGroup
-
-	mu     sync.Mutex
-	cuts   map[string]map[string]bool // from, to
-	faults []string
-	// base is the revision of the accepted section, changes the number of
-	// submissions.
-	base    fleet.Revision
-	changes int
-
-	watch    sync.Once
-	watching sync.WaitGroup
-	ended    chan struct{}
-	// killed tells that a process was ended or frozen without notice, so that
-	// calls may be cut off.
-	killed    bool
-	window    *window
-	load      load
+	fleet       *processes.Fleet
+	daemons     map[string]*processes.Daemon
+	standins    map[string]*processes.Standin
+	daemonNames []string
+	traffic     *traffic.Generator
+	trafficWG   sync.WaitGroup
+
+	mu           sync.Mutex
+	droppedLinks map[string]map[string]bool // by sender and receiver
+	violations   []string
+	// baseRevision is the revision that the last accepted submission created.
+	baseRevision    fleet.Revision
+	submissionCount int
+
+	watchOnce  sync.Once
+	watchersWG sync.WaitGroup
+	closed     chan struct{}
+	// disrupted is set once a process was killed or suspended, after which calls
+	// may be aborted.
+	disrupted bool
+	window    *quietWindow
+	peakLoad  peakLoad
 	revisions map[string]fleet.Revision
 }
 
 // Start starts daemons and stand-ins and submits the first section. The daemons
-// are named a, b, c and so on, one data centre after the other in turn; the
-// stand-ins engine-1 and desk-1 and so on. The first daemons of the data centres
-// vote.
+// are named a, b, c and so on, and are assigned to the data centres in turn. The
+// stand-ins are named engine-1, engine-2 and so on, and desk-1, desk-2 and so on.
+// The first Voters daemons are voters.
 func Start(bin, dir string, size Size, seed uint64) (*Run, error) {
 	f, err := processes.New(bin, dir)
 	if err != nil {
 		return nil, err
 	}
 	r := &Run{
-		fleet:     f,
-		daemons:   make(map[string]*processes.Daemon),
-		standins:  make(map[string]*processes.Standin),
-		cuts:      make(map[string]map[string]bool),
-		ended:     make(chan struct{}),
-		revisions: make(map[string]fleet.Revision),
-	}
-	for _, step := range []func(Size) error{r.startDaemons, r.startStandins, r.configure} {
+		fleet:        f,
+		daemons:      make(map[string]*processes.Daemon),
+		standins:     make(map[string]*processes.Standin),
+		droppedLinks: make(map[string]map[string]bool),
+		closed:       make(chan struct{}),
+		revisions:    make(map[string]fleet.Revision),
+	}
+	for _, step := range []func(Size) error{r.startDaemons, r.startStandins, r.submitFirstSection} {
 		if err := step(size); err != nil {
 			r.Close()
 			return nil, errors.Wrap(err, f.Logs(1500))
@@ -109,80 +112,80 @@
 	return r, nil
 }
 
-// Close ends all processes.
+// Close stops the watchers and kills all processes.
 func (r *Run) Close() {
 	select {
-	case <-r.ended:
+	case <-r.closed:
 	default:
-		close(r.ended)
+		close(r.closed)
 	}
-	r.watching.Wait()
+	r.watchersWG.Wait()
 	r.fleet.Close()
 }
 
 // Daemons returns the daemons in the order of their names.
 func (r *Run) Daemons() []*processes.Daemon {
 	var list []*processes.Daemon
-	for _, name := range r.names {
+	for _, name := range r.daemonNames {
 		list = append(list, r.daemons[name])
 	}
 	return list
 }
 
-// Logs returns the end of all logs.
+// Logs returns the last part of the log of each process.
 func (r *Run) Logs() string { return r.fleet.Logs(3000) }
 
-// Execute runs one line of a script. From the first one on, the revisions of all
-// daemons are watched.
+// Execute runs one line of a script. The first command also starts a goroutine that
+// watches the revisions of all daemons.
 func (r *Run) Execute(line string) error {
-	words := strings.Fields(line)
-	if len(words) == 0 || strings.HasPrefix(line, "#") {
+	fields := strings.Fields(line)
+	if len(fields) == 0 || strings.HasPrefix(line, "#") {
 		return nil
 	}
-	r.watch.Do(func() { r.watching.Go(r.watchRevisions) })
-	command, args := words[0], words[1:]
+	r.watchOnce.Do(func() { r.watchersWG.Go(r.watchRevisions) })
+	command, args := fields[0], fields[1:]
 	switch command {
 	case "traffic", "calm":
-		return r.send(command == "calm", args)
+		return r.startTraffic(command == "calm", args)
 	case "await":
-		r.busy.Wait()
+		r.trafficWG.Wait()
 		return nil
 	case "sleep":
 		d, err := time.ParseDuration(args[0])
 		time.Sleep(d)
 		return err
 	case "cut":
-		return r.cut(strings.Split(args[0], ","), strings.Split(args[1], ","))
+		return r.dropMessages(strings.Split(args[0], ","), strings.Split(args[1], ","))
 	case "heal":
-		return r.heal()
+		return r.restoreLinks()
 	case "submit":
-		return r.submitUntil(args[0], patience)
+		return r.submitUntil(args[0], waitTimeout)
 	case "race":
-		return r.race(args[0], args[1])
+		return r.raceSubmissions(args[0], args[1])
 	case "window":
-		return r.plan(args[0], args[1], args[2])
+		return r.startQuietWindow(args[0], args[1], args[2])
 	case "fault":
-		return r.setFaults(args[0], strings.Join(args[1:], " "))
+		return r.setStandinFaults(args[0], strings.Join(args[1:], " "))
 	case "repaired":
-		return r.awaitRepair(args[0])
+		return r.awaitReplacement(args[0])
 	case "wipe":
 		return os.RemoveAll(r.daemons[args[0]].DataFolder())
 	}
 	return r.signal(command, args[0])
 }
 
-func (r *Run) send(wait bool, args []string) error {
+func (r *Run) startTraffic(wait bool, args []string) error {
 	count, err := strconv.Atoi(args[0])
 	if err != nil {
-		return errors.Wrap(err, "number of calls")
+		return errors.Wrap(err, "parse number of calls")
 	}
 	parallel, err := strconv.Atoi(args[1])
 	if err != nil {
-		return errors.Wrap(err, "calls at once")
+		return errors.Wrap(err, "parse number of concurrent calls")
 	}
-	r.busy.Go(func() { r.traffic.Send(count, parallel) })
+	r.trafficWG.Go(func() { r.traffic.Send(count, parallel) })
 	if wait {
-		r.busy.Wait()
+		r.trafficWG.Wait()
 	}
 	return nil
 }
@@ -192,9 +195,9 @@
 		return d.Process, d.Start, nil
 	}
 	if s := r.standins[name]; s != nil {
-		return s.Process, s.Restart, nil
+		return s.Process, s.Start, nil
 	}
-	return nil, nil, errors.Errorf("no process is named %q", name)
+	return nil, nil, errors.Errorf("no daemon or stand-in is named %q", name)
 }
 
 func (r *Run) signal(command, name string) error {
@@ -204,48 +207,49 @@
 	}
 	switch command {
 	case "kill":
-		r.killed = true
+		r.disrupted = true
 		p.Kill()
 		return nil
 	case "start":
 		return start()
 	case "freeze":
-		r.killed = true
+		r.disrupted = true
 		return p.Signal(syscall.SIGSTOP)
 	case "thaw":
 		return p.Signal(syscall.SIGCONT)
 	case "hangup":
 		return p.Signal(syscall.SIGHUP)
-	case "terminate": // without waiting, unlike stop
+	case "terminate": // unlike stop, does not wait for the exit
 		return p.Signal(syscall.SIGTERM)
 	case "leave", "stop":
-		return p.Stop(patience)
+		return p.Stop(waitTimeout)
 	}
 	return errors.Errorf("unknown command %q", command)
 }
 
-// Faults checks the invariants once the traffic has ended.
-func (r *Run) Faults() ([]string, error) {
-	r.busy.Wait()
+// Violations waits until the traffic has finished and returns a line for every
+// violation of an invariant.
+func (r *Run) Violations() ([]string, error) {
+	r.trafficWG.Wait()
 	runs, err := r.fleet.Runs()
 	if err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	faults := append([]string(nil), r.faults...)
-	for _, name := range r.names {
-		found, err := r.checkLog(name)
+	violations := append([]string(nil), r.violations...)
+	for _, name := range r.daemonNames {
+		found, err := r.checkReadyRevisions(name)
 		if err != nil {
 			return nil, err
 		}
-		faults = append(faults, found...)
+		violations = append(violations, found...)
 	}
-	if !r.killed {
-		faults = append(faults, traffic.CheckCutOff(r.traffic.Calls())...)
+	if !r.disrupted {
+		violations = append(violations, traffic.CheckAborted(r.traffic.Calls())...)
 	}
-	return append(faults, traffic.Check(r.traffic.Calls(), runs)...), nil
+	return append(violations, traffic.Check(r.traffic.Calls(), runs)...), nil
 }
 
-// Summary counts the calls by kind and answer.
+// Summary returns the number of calls by kind and outcome.
 func (r *Run) Summary() string { return traffic.Summary(r.traffic.Calls()) }
--- a/internal/trial/failure/logs.go
+++ b/internal/trial/failure/logs.go
@@ -11,29 +11,30 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// logLine holds the fields of a line that tell of the configuration in force.
+// logLine holds the fields of a log line that concern the active configuration.
 type logLine struct {
 	Message  string         `json:"msg"`
 	Revision fleet.Revision `json:"revision"`
 }
 
-// checkLog finds a daemon that got ready with an older revision than it had in
-// force before, over all its starts. The status, which is asked several times a
-// second, can miss a revision that is in force for a shorter time.
-func (r *Run) checkLog(name string) ([]string, error) {
+// checkReadyRevisions reports each time a daemon became ready with an older revision
+// than one that was active before, across its restarts. It reads the log because
+// watchRevisions, which polls the status several times a second, can miss a revision
+// that is active for a shorter time.
+func (r *Run) checkReadyRevisions(name string) ([]string, error) {
 	file, err := os.Open(r.fleet.Path(name + ".log"))
 	if err != nil {
 		return nil, errors.Wrap(err, "open log")
 	}
 	defer file.Close()
-	var faults []string
+	var violations []string
 	var highest fleet.Revision
 	ready := false
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		var l logLine
 		if json.Unmarshal(lines.Bytes(), &l) != nil {
-			continue // not a line of the logger
+			continue // not written by the logger
 		}
 		switch l.Message {
 		case "Configuration in force.":
@@ -42,7 +43,7 @@
 		case "Daemon ready.":
 			ready = true
 			if l.Revision < highest {
-				faults = append(faults, fmt.Sprintf("daemon %s got ready with revision %d after %d", name, l.Revision, highest))
+				violations = append(violations, fmt.Sprintf("daemon %s became ready with revision %d after revision %d had been active", name, l.Revision, highest))
 			}
 		default:
 			continue
@@ -51,5 +52,5 @@
 			highest = max(highest, l.Revision)
 		}
 	}
-	return faults, errors.Wrap(lines.Err(), "read log")
+	return violations, errors.Wrap(lines.Err(), "read log")
 }
--- a/internal/trial/overhead/overhead.go
+++ b/internal/trial/overhead/overhead.go
@@ -1,12 +1,12 @@
-// Package overhead measures what the daemon adds to completions and lookups.
+// Package overhead measures the overhead of the daemon for completions and lookups.
 //
-// A Rig runs one daemon with stand-ins as processes on loopback. The same work
+// A Testbed runs one daemon and stand-ins as processes on loopback. The same work
 // goes through the daemon and directly to the stand-ins, in alternating rounds:
 //
-//	r, err := overhead.Start(bin, dir)
-//	defer r.Close()
-//	c, err := r.Compare(overhead.Completions, 64)
-//	fmt.Println(c.Lost(), c.Added(99))
+//	t, err := overhead.Start(bin, dir)
+//	defer t.Close()
+//	c, err := t.Compare(ctx, overhead.Completions, 64)
+//	fmt.Println(c.ThroughputLoss(), c.AddedLatency(99))
 package overhead
 
 import (
@@ -18,24 +18,24 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Kind is the kind of work that is compared.
+// Kind is a kind of work for which both sides are compared.
 type Kind int
 
-// The kinds of work. Lookups are so short that the processors of one machine bound
-// both sides at many streams; SlowLookups leave them time, like those of a
-// service on machines of its own.
+// The kinds of work. Lookups are so short that at many streams the CPUs of one machine
+// limit both sides. SlowLookups leave CPU time free, as a service on separate machines
+// does.
 const (
 	Completions Kind = iota
 	Lookups
 	SlowLookups
 )
 
-// Rounds of one comparison. Each runs direct and through the daemon, so that a
-// slow phase of the machine affects both.
+// rounds is the number of rounds of a comparison. Each round runs both sides, so that
+// a slow phase of the machine affects both.
 const rounds = 3
 
-// perStream is the number of requests of one stream in a round.
-func (k Kind) perStream() int {
+// requestsPerStream returns the number of requests of one stream in a round.
+func (k Kind) requestsPerStream() int {
 	switch k {
 	case Completions:
 		return 4
@@ -46,84 +46,88 @@
 }
 
 const (
-	// minTime and maxTime bound the recorded times in nanoseconds.
+	// minTime and maxTime are the limits of the recorded times in nanoseconds.
 	minTime = int64(time.Microsecond)
 	maxTime = int64(time.Minute)
-	// digits is the precision of the histograms in significant digits.
-	digits = 3
+	// significantDigits is the precision of the histograms in significant digits.
+	significantDigits = 3
 )
 
-// Times collects what one side of a comparison took.
-type Times struct {
-	// Request holds the time of whole requests and Token the time between two
-	// tokens, both in nanoseconds.
-	Request, Token *hdrhistogram.Histogram
-	// Units is the number of tokens, or of lookups, in Took.
-	Units int
-	Took  time.Duration
+// Measurements holds the measured times of one side of a comparison.
+type Measurements struct {
+	// RequestTimes holds the durations of requests and TokenIntervals the times
+	// between two tokens, both in nanoseconds.
+	RequestTimes, TokenIntervals *hdrhistogram.Histogram
+	// Count is the number of tokens, or of lookups, in Elapsed.
+	Count   int
+	Elapsed time.Duration
 }
 
-func newTimes() *Times {
-	return &Times{Request: hdrhistogram.New(minTime, maxTime, digits), Token: hdrhistogram.New(minTime, maxTime, digits)}
+func newMeasurements() *Measurements {
+	return &Measurements{RequestTimes: hdrhistogram.New(minTime, maxTime, significantDigits), TokenIntervals: hdrhistogram.New(minTime, maxTime, significantDigits)}
 }
 
-// Throughput returns tokens or lookups per second.
-func (t *Times) Throughput() float64 { return float64(t.Units) / t.Took.Seconds() }
+// Throughput returns the tokens or lookups per second.
+func (t *Measurements) Throughput() float64 { return float64(t.Count) / t.Elapsed.Seconds() }
 
-func (t *Times) add(o *Times) {
-	t.Request.Merge(o.Request)
-	t.Token.Merge(o.Token)
-	t.Units += o.Units
+func (t *Measurements) add(o *Measurements) {
+	t.RequestTimes.Merge(o.RequestTimes)
+	t.TokenIntervals.Merge(o.TokenIntervals)
+	t.Count += o.Count
 }
 
-// Comparison holds both sides of a comparison.
-type Comparison struct{ Direct, Daemon *Times }
+// Comparison holds the measurements of both sides.
+type Comparison struct{ Direct, Daemon *Measurements }
 
-// Lost returns the share of the direct throughput that the daemon costs.
-func (c Comparison) Lost() float64 { return 1 - c.Daemon.Throughput()/c.Direct.Throughput() }
+// ThroughputLoss returns the fraction of the direct throughput that is lost through
+// the daemon.
+func (c Comparison) ThroughputLoss() float64 { return 1 - c.Daemon.Throughput()/c.Direct.Throughput() }
 
-// Added returns the difference of the request times at a percentile.
-func (c Comparison) Added(percentile float64) time.Duration {
-	return time.Duration(c.Daemon.Request.ValueAtPercentile(percentile) - c.Direct.Request.ValueAtPercentile(percentile))
+// AddedLatency returns how much longer requests through the daemon take, as the
+// difference of both sides at a percentile.
+func (c Comparison) AddedLatency(percentile float64) time.Duration {
+	return time.Duration(c.Daemon.RequestTimes.ValueAtPercentile(percentile) - c.Direct.RequestTimes.ValueAtPercentile(percentile))
 }
 
-// AddedPerToken returns the difference of the times between tokens at a
-// percentile.
-func (c Comparison) AddedPerToken(percentile float64) time.Duration {
-	return time.Duration(c.Daemon.Token.ValueAtPercentile(percentile) - c.Direct.Token.ValueAtPercentile(percentile))
+// AddedTokenInterval returns how much longer the times between tokens are through the
+// daemon, as the difference of both sides at a percentile.
+func (c Comparison) AddedTokenInterval(percentile float64) time.Duration {
+	return time.Duration(c.Daemon.TokenIntervals.ValueAtPercentile(percentile) - c.Direct.TokenIntervals.ValueAtPercentile(percentile))
 }
 
-// task runs request number i and records its times.
-type task func(ctx context.Context, i int, t *Times) error
+// workFunc runs request i and records its times in t.
+type workFunc func(ctx context.Context, i int, t *Measurements) error
 
-// Compare runs the same work on both sides with a number of concurrent streams.
-func (r *Rig) Compare(ctx context.Context, k Kind, streams int) (Comparison, error) {
+// Compare runs the same work on both sides, with the given number of concurrent
+// streams.
+func (r *Testbed) Compare(ctx context.Context, k Kind, streams int) (Comparison, error) {
 	direct, daemon := r.directCompletion, r.daemonCompletion
 	if k != Completions {
 		direct, daemon = r.lookups(k)
 	}
-	c := Comparison{Direct: newTimes(), Daemon: newTimes()}
+	c := Comparison{Direct: newMeasurements(), Daemon: newMeasurements()}
 	for range rounds {
-		if err := run(ctx, c.Direct, direct, streams, k.perStream()); err != nil {
-			return c, errors.Wrap(err, "direct")
+		if err := runStreams(ctx, c.Direct, direct, streams, k.requestsPerStream()); err != nil {
+			return c, errors.Wrap(err, "run directly")
 		}
-		if err := run(ctx, c.Daemon, daemon, streams, k.perStream()); err != nil {
-			return c, errors.Wrap(err, "through the daemon")
+		if err := runStreams(ctx, c.Daemon, daemon, streams, k.requestsPerStream()); err != nil {
+			return c, errors.Wrap(err, "run through the daemon")
 		}
 	}
 	return c, nil
 }
 
-// run executes each in a closed loop of the given number of streams.
-func run(ctx context.Context, total *Times, each task, streams, perStream int) error {
-	parts := make([]*Times, streams)
+// runStreams runs the given number of concurrent streams, each of which calls work
+// perStream times in a row, and adds their measurements to total.
+func runStreams(ctx context.Context, total *Measurements, work workFunc, streams, perStream int) error {
+	results := make([]*Measurements, streams)
 	group, ctx := errgroup.WithContext(ctx)
 	started := time.Now()
 	for s := range streams {
-		parts[s] = newTimes()
+		results[s] = newMeasurements()
 		group.Go(func() error {
 			for i := range perStream {
-				if err := each(ctx, s*perStream+i, parts[s]); err != nil {
+				if err := work(ctx, s*perStream+i, results[s]); err != nil {
 					return err
 				}
 			}
@@ -131,8 +135,8 @@
 		})
 	}
 	err := group.Wait()
-	total.Took += time.Since(started)
-	for _, p := range parts {
+	total.Elapsed += time.Since(started)
+	for _, p := range results {
 		total.add(p)
 	}
 	return err
--- a/internal/trial/processes/client.go
+++ b/internal/trial/processes/client.go
@@ -13,40 +13,41 @@
 	"github.com/pkg/errors"
 )
 
-// Reply is the answer to a call.
-type Reply struct {
+// Response is the HTTP response to a call.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Broken is the error that ended the body before its end, or nil.
-	Broken error
+	// ReadErr is the error with which reading the body failed, or nil.
+	ReadErr error
 }
 
-// Call sends one request of a caller to the daemon.
-func (d *Daemon) Call(method, path string, header map[string]string, body string, wait time.Duration) (Reply, error) {
-	request, err := http.NewRequest(method, "http://"+d.Callers+path, bytes.NewReader([]byte(body)))
+// Call sends a request to the callers' listener of the daemon, with the key of the
+// test account.
+func (d *Daemon) Call(method, path string, header map[string]string, body string, timeout time.Duration) (Response, error) {
+	request, err := http.NewRequest(method, "http://"+d.CallersAddr+path, bytes.NewReader([]byte(body)))
 	if err != nil {
-		return Reply{}, errors.Wrap(err, "build request")
+		return Response{}, errors.Wrap(err, "build request")
 	}
 	request.Header.Set("Authorization", "Bearer "+APIKey)
 	request.Header.Set("Content-Type", "application/json")
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
-	client := &http.Client{Timeout: wait}
-	answer, err := client.Do(request)
+	client := &http.Client{Timeout: timeout}
+	response, err := client.Do(request)
 	if err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(answer.Body)
-	return Reply{Status: answer.StatusCode, Header: answer.Header, Body: raw, Broken: err}, nil
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
+	return Response{Status: response.StatusCode, Header: response.Header, Body: raw, ReadErr: err}, nil
 }
 
-// Operator runs the operators' command against the daemon and returns its
-// output and exit status.
-func (d *Daemon) Operator(args ...string) (output string, status int, err error) {
-	args = append([]string{"--server", "http://" + d.Operators, "--tokenFile", d.fleet.Path("operator.token")}, args...)
+// RunOperatorCommand runs the command bilberryrock, which operators use, against the
+// daemon. It returns the output and the exit status.
+func (d *Daemon) RunOperatorCommand(args ...string) (output string, exitStatus int, err error) {
+	args = append([]string{"--server", "http://" + d.OperatorsAddr, "--tokenFile", d.fleet.Path("operator.token")}, args...)
 	cmd := exec.Command(filepath.Join(d.fleet.bin, "bilberryrock"), args...)
 	raw, err := cmd.CombinedOutput()
 	var exit *exec.ExitError
@@ -56,9 +57,9 @@
 	return string(raw), 0, errors.Wrap(err, "run bilberryrock")
 }
 
-// JoinEvents joins the text of a streamed completion and tells whether its end
-// was seen.
-func JoinEvents(raw []byte) (text string, done bool) {
+// JoinCompletionEvents returns the text of a streamed completion and whether the
+// stream has its final [DONE] event.
+func JoinCompletionEvents(raw []byte) (text string, done bool) {
 	var b strings.Builder
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		data, found := bytes.CutPrefix(line, []byte("data: "))
@@ -75,7 +76,7 @@
 			} `json:"choices"`
 		}
 		if json.Unmarshal(data, &event) != nil {
-			continue // half an event of a broken stream
+			continue // event truncated by a broken stream
 		}
 		for _, choice := range event.Choices {
 			b.WriteString(choice.Text)
--- a/internal/trial/processes/standin.go
+++ b/internal/trial/processes/standin.go
@@ -14,31 +14,31 @@
 // Standin is a bilberryrock-standin process.
 type Standin struct {
 	*Process
-	ID      string
-	Address string
-	record  string
-	args    []string
-	fleet   *Fleet
+	ID         string
+	Address    string
+	recordPath string
+	args       []string
+	fleet      *Fleet
 }
 
 // StartStandin starts a stand-in that announces itself to the daemons of its
-// data centre. Further flags are given as args.
+// data centre. The args are appended to its command line.
 func (f *Fleet) StartStandin(id, dataCentre string, args ...string) (*Standin, error) {
 	address, err := f.Address()
 	if err != nil {
 		return nil, err
 	}
-	s := &Standin{ID: id, Address: address, record: f.Path(id + ".record"), fleet: f}
+	s := &Standin{ID: id, Address: address, recordPath: f.Path(id + ".record"), fleet: f}
 	s.args = append([]string{
 		"--id", id, "--listen", address, "--dataCentre", dataCentre,
-		"--announce", f.announceTo(dataCentre), "--token", upstreamToken, "--record", s.record,
+		"--announce", f.announceURLs(dataCentre), "--token", upstreamToken, "--record", s.recordPath,
 	}, args...)
 	f.standins = append(f.standins, s)
-	return s, s.Restart()
+	return s, s.Start()
 }
 
-// Restart starts the stand-in again after it ended.
-func (s *Standin) Restart() error {
+// Start starts the stand-in. It may be called again after the stand-in has exited.
+func (s *Standin) Start() error {
 	p, err := s.fleet.start(s.ID, "bilberryrock-standin", s.args...)
 	if err != nil {
 		return err
@@ -47,19 +47,20 @@
 	return nil
 }
 
-func (f *Fleet) announceTo(dataCentre string) string {
+func (f *Fleet) announceURLs(dataCentre string) string {
 	var list []string
 	for _, d := range f.daemons {
-		if d.Plan.DataCentre == dataCentre {
-			list = append(list, "http://"+d.Upstreams)
+		if d.Spec.DataCentre == dataCentre {
+			list = append(list, "http://"+d.UpstreamsAddr)
 		}
 	}
 	return strings.Join(list, ",")
 }
 
-// Runs returns what the stand-in ran, over all its starts.
+// Runs returns the executions that the stand-in recorded, including those before a
+// restart.
 func (s *Standin) Runs() ([]standin.Run, error) {
-	file, err := os.Open(s.record)
+	file, err := os.Open(s.recordPath)
 	if err != nil {
 		return nil, errors.Wrap(err, "open record")
 	}
@@ -70,14 +71,14 @@
 	for lines.Scan() {
 		var r standin.Run
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
-			continue // a killed process can leave half a line
+			continue // line truncated when the process was killed
 		}
 		runs = append(runs, r)
 	}
 	return runs, errors.Wrap(lines.Err(), "read record")
 }
 
-// Runs returns what all stand-ins ran.
+// Runs returns the recorded executions of all stand-ins.
 func (f *Fleet) Runs() ([]standin.Run, error) {
 	var all []standin.Run
 	for _, s := range f.standins {
