--- a/cmd/bilberryrock-platform/main.go
+++ b/cmd/bilberryrock-platform/main.go
@@ -69,7 +69,7 @@
 	}
 	defer out.Close()
 	milestone(log, "The daemon starts.", zap.String("role", o.Role.Name), zap.String("instance", string(s.Instance)),
-		zap.String("dataCentre", string(s.DataCentre)), zap.Bool("found", s.Found), zap.Strings("seeds", s.PeerSeeds))
+		zap.String("dataCentre", string(s.DataCentre)), zap.Bool("found", s.Bootstrap), zap.Strings("seeds", s.PeerSeeds))
 	if err := start(s, signals, out, log); err != nil {
 		log.Error("The daemon ended with an error.", zap.Error(err))
 		return exitFailed
--- a/cmd/bilberryrock-platform/run.go
+++ b/cmd/bilberryrock-platform/run.go
@@ -82,7 +82,7 @@
 	clock := systemclock.NewSteady()
 	client := exchange.New(clock)
 	st := state.New(clock, s.DataCentre, platform.Configuration{}, state.Limits{
-		Alive: aliveBeats * s.Heartbeat, Lease: s.Revoke - leaseMargin, Fresh: freshLimit,
+		Alive: aliveBeats * s.HeartbeatInterval, Lease: s.RevocationTimeout - leaseMargin, Fresh: freshLimit,
 		Retries: budget.Limit{Share: s.RetryRatio * retryPart, Extra: s.RetryExtra * retryPart, Window: s.RetryWindow},
 	}, client, log)
 	registry := newRegistry(out)
@@ -97,21 +97,21 @@
 	if err := servers.startMetrics(registry, s.MetricsAddress); err != nil {
 		return err
 	}
-	if _, err := servers.start("readiness", server(readiness(handler.Ready)), s.Ready); err != nil {
+	if _, err := servers.start("readiness", server(readiness(handler.Ready)), s.ReadyAddress); err != nil {
 		return err
 	}
-	clients, err := servers.start("clients", front, s.Clients, listener.Identify(requestID), listener.Limit(clientLimits(st)))
+	clients, err := servers.start("clients", front, s.ClientAddress, listener.Identify(requestID), listener.Limit(clientLimits(st)))
 	if err != nil {
 		return err
 	}
 	life := live(s, signals, log, func(n platform.Settings) { follower.LearnSeeds(n.PeerSeeds) })
 	failed := wait(life, servers.failed, log)
-	drain, end := stopTimes(s.Grace)
+	drain, end := stopTimes(s.GracePeriod)
 	ctx, cancel := context.WithTimeout(context.Background(), end)
 	defer cancel()
 	handler.Close()
 	clients.Drain()
-	milestone(log, "The gateway drains.", zap.Int64("requests", handler.Active()), zap.Duration("grace", s.Grace))
+	milestone(log, "The gateway drains.", zap.Int64("requests", handler.Active()), zap.Duration("grace", s.GracePeriod))
 	time.Sleep(drain)
 	milestone(log, "The gateway takes no further connections.", zap.Int64("requests", handler.Active()))
 	return first(failed, clients.Stop(ctx), log)
@@ -140,8 +140,8 @@
 func runController(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
 	clock := systemclock.NewSteady()
 	c, err := controller.New(controller.Settings{
-		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.Folder, Found: s.Found, Seeds: s.PeerSeeds,
-		Alive: aliveBeats * s.Heartbeat, Dial: dialOptions(),
+		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.DataDir, Found: s.Bootstrap, Seeds: s.PeerSeeds,
+		Alive: aliveBeats * s.HeartbeatInterval, Dial: dialOptions(),
 	}, platform.Configuration{}, platform.Engines{Client: exchange.New(clock)}, clock, log)
 	if err != nil {
 		return err
@@ -153,7 +153,7 @@
 	if err := servers.startMetrics(registry, s.MetricsAddress); err != nil {
 		return err
 	}
-	calls, err := servers.start("control", control, s.Control)
+	calls, err := servers.start("control", control, s.ControlAddress)
 	if err != nil {
 		return err
 	}
@@ -163,10 +163,10 @@
 		}
 	}()
 	failed := wait(live(s, signals, log, func(platform.Settings) {}), servers.failed, log)
-	_, end := stopTimes(s.Grace)
+	_, end := stopTimes(s.GracePeriod)
 	ctx, cancel := context.WithTimeout(context.Background(), end)
 	defer cancel()
-	answer, cancel := context.WithTimeout(ctx, s.Grace/2)
+	answer, cancel := context.WithTimeout(ctx, s.GracePeriod/2)
 	defer cancel()
 	failed = first(failed, calls.Stop(answer), log)
 	return first(failed, c.Stop(ctx), log)
