--- a/cmd/bilberryrock-platform/log.go
+++ b/cmd/bilberryrock-platform/log.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// logDelay is how long lines wait to be written together.
-	logDelay = 500 * time.Millisecond
-	// logBurst lines with the same message are written each second, and after them
-	// one in logThin.
-	logBurst = 100
-	logThin  = 50
+	// logFlushDelay is how long lines are buffered to be written together.
+	logFlushDelay = 500 * time.Millisecond
+	// Of the lines with the same message, the first logSampleFirst are written in each
+	// second and then one in logSampleThereafter.
+	logSampleFirst      = 100
+	logSampleThereafter = 50
 )
 
-// newLog returns a logger to standard output. Its output is to be closed at the end.
-func newLog(level string) (*zap.Logger, *output.Writer, error) {
+// newLogger returns a logger that writes to standard output. The caller must close the
+// returned writer before it exits.
+func newLogger(level string) (*zap.Logger, *output.Writer, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "log level")
 	}
-	out := output.New(os.Stdout, systemclock.Clock{}, output.Delay(logDelay))
+	out := output.New(os.Stdout, systemclock.Clock{}, output.Delay(logFlushDelay))
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	config.EncodeDuration = zapcore.StringDurationEncoder
 	core := output.Brief(zapcore.NewCore(zapcore.NewJSONEncoder(config), out, l))
-	core = zapcore.NewSamplerWithOptions(core, time.Second, logBurst, logThin)
+	core = zapcore.NewSamplerWithOptions(core, time.Second, logSampleFirst, logSampleThereafter)
 	return zap.New(core), out, nil
 }
 
-// milestone writes a line on the life of the process at once, with all that is
-// buffered, since a process that ends abruptly loses its buffer.
-func milestone(log *zap.Logger, message string, fields ...zap.Field) {
+// logAndFlush logs a lifecycle event of the process and triggers a flush of all
+// buffered lines, since a process that ends abruptly loses its buffer.
+func logAndFlush(log *zap.Logger, message string, fields ...zap.Field) {
 	log.Info(message, fields...)
-	_ = log.Sync() // which only wakes the output
+	_ = log.Sync() // only wakes the writer
 }
--- a/cmd/bilberryrock-platform/main.go
+++ b/cmd/bilberryrock-platform/main.go
@@ -1,11 +1,11 @@
 // Command bilberryrock-platform runs a daemon on the Grayling platform.
 //
 //	bilberryrock-platform gateway       # forwards the requests of clients
-//	bilberryrock-platform controller    # keeps configuration, roster and placement
+//	bilberryrock-platform controller    # manages configuration, upstream registry and placement
 //
 // The settings come from the file that the platform names in the environment. A
-// daemon runs until SIGTERM and then stops gracefully. Its exit status is 0 after
-// a graceful stop, 2 if arguments or settings are wrong and 1 for any other error.
+// daemon runs until SIGTERM and then shuts down gracefully. Its exit status is 0 after
+// a graceful shutdown, 2 if arguments or settings are wrong and 1 for any other error.
 package main
 
 import (
@@ -62,18 +62,18 @@
 		fmt.Println("no fault found")
 		return 0
 	}
-	log, out, err := newLog(o.Level)
+	log, out, err := newLogger(o.Level)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "bilberryrock-platform:", err)
 		return exitSettings
 	}
 	defer out.Close()
-	milestone(log, "The daemon starts.", zap.String("role", o.Role.Name), zap.String("instance", string(s.Instance)),
+	logAndFlush(log, "The daemon starts.", zap.String("role", o.Role.Name), zap.String("instance", string(s.Instance)),
 		zap.String("dataCentre", string(s.DataCentre)), zap.Bool("found", s.Bootstrap), zap.Strings("seeds", s.PeerSeeds))
 	if err := start(s, signals, out, log); err != nil {
 		log.Error("The daemon ended with an error.", zap.Error(err))
 		return exitFailed
 	}
-	milestone(log, "The daemon stopped.")
+	logAndFlush(log, "The daemon stopped.")
 	return 0
 }
--- a/cmd/bilberryrock-platform/run.go
+++ b/cmd/bilberryrock-platform/run.go
@@ -29,50 +29,54 @@
 )
 
 const (
-	// aliveBeats is the number of heartbeats that an upstream may miss.
-	aliveBeats = 3
-	// leaseMargin is kept between the end of a lease and the time at which a
-	// removed key must not be accepted any more.
-	leaseMargin = 500 * time.Millisecond
-	// freshLimit is the age of the last confirmation up to which a gateway is ready.
-	// It covers an election of the controllers.
-	freshLimit = 2500 * time.Millisecond
-	// retryPart is the part of the platform's retry budget that is used. The rest
-	// covers gateways that just joined and windows that the platform cuts otherwise.
-	retryPart = 0.8
-	// stopMargin is kept between the end of a graceful stop and SIGKILL, or stopPart
-	// of a shorter grace time. The platform excuses a request that is cut off in the
-	// last sixth of the grace time.
-	stopMargin = 700 * time.Millisecond
-	stopPart   = 8
-	// drainLeast is how long a gateway takes requests after SIGTERM. The platform
-	// needs two checks, a second apart, to notice that it is not ready, and streams
-	// that begin within three seconds may be cut at the end. The rest of the grace
-	// time, and at least a drainPart of it, is for the requests that came last.
-	drainLeast = 2600 * time.Millisecond
-	drainPart  = 4
-	// headerTimeout bounds the time to read the head of a request, bodyTimeout that
-	// for its body, and idleTimeout the time between two requests. A body of 4 MiB
-	// takes 3.4 s at 10 Mbit/s. Clients reuse connections for a shorter time than
-	// idleTimeout.
+	// maxMissedHeartbeats is the number of heartbeats that an upstream may miss: the
+	// heartbeat timeout is that many heartbeat intervals.
+	maxMissedHeartbeats = 3
+	// keyLeaseMargin is the time between the end of a key lease and the time from which
+	// a removed account key must be rejected.
+	keyLeaseMargin = 500 * time.Millisecond
+	// readinessTimeout is the confirmation age up to which a gateway is ready. It covers
+	// a leader election of the controllers.
+	readinessTimeout = 2500 * time.Millisecond
+	// retryBudgetShare is the fraction of the platform's retry budget that is used. The
+	// rest covers gateways that just joined, and the platform's budget windows, which
+	// can start at other times than those of the gateways.
+	retryBudgetShare = 0.8
+	// shutdownReserve is the time between the end of a graceful shutdown and SIGKILL. If
+	// the grace period is short, it is the grace period divided by
+	// shutdownReserveDivisor. The platform tolerates requests that are aborted in the
+	// last sixth of the grace period.
+	shutdownReserve        = 700 * time.Millisecond
+	shutdownReserveDivisor = 8
+	// drainDelay is how long a gateway accepts requests after SIGTERM. The platform
+	// needs two checks, a second apart, to notice that it is not ready, and streams that
+	// begin within three seconds may be aborted at the end. The rest of the time until
+	// the end of the shutdown, at least that time divided by completionDivisor, is left
+	// for the last requests to complete.
+	drainDelay        = 2600 * time.Millisecond
+	completionDivisor = 4
+	// headerTimeout is the longest time for reading the header of a request, bodyTimeout
+	// that for its body, and idleTimeout that between two requests of a connection. A
+	// body of 4 MiB takes 3.4 s at 10 Mbit/s. Clients reuse connections for a shorter
+	// time than idleTimeout.
 	headerTimeout = 10 * time.Second
 	bodyTimeout   = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// maxHeaderBytes bounds the head of a request.
+	// maxHeaderBytes is the maximum size of the header of a request.
 	maxHeaderBytes = 64 << 10
-	// peerTimeout ends a connection between daemons whose bytes are not
-	// acknowledged.
-	peerTimeout = 1500 * time.Millisecond
-	// reloadEvery is the time between two looks at the settings file, which may
+	// peerKeepaliveTimeout is the time after which a connection between daemons is closed
+	// if sent bytes are not acknowledged.
+	peerKeepaliveTimeout = 1500 * time.Millisecond
+	// reloadInterval is the time between two checks of the settings file, which may
 	// change without a signal.
-	reloadEvery = 5 * time.Second
+	reloadInterval = 5 * time.Second
 )
 
 func dialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{
-			Time: 10 * time.Second, Timeout: peerTimeout, PermitWithoutStream: true,
+			Time: 10 * time.Second, Timeout: peerKeepaliveTimeout, PermitWithoutStream: true,
 		}),
 	}
 }
@@ -81,99 +85,101 @@
 func runGateway(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
 	clock := systemclock.NewSteady()
 	client := exchange.New(clock)
-	st := state.New(clock, s.DataCentre, platform.Configuration{}, state.Limits{
-		Alive: aliveBeats * s.HeartbeatInterval, Lease: s.RevocationTimeout - leaseMargin, Fresh: freshLimit,
-		Retries: budget.Limit{Share: s.RetryRatio * retryPart, Extra: s.RetryExtra * retryPart, Window: s.RetryWindow},
+	gatewayState := state.New(clock, s.DataCentre, platform.Configuration{}, state.Limits{
+		Alive: maxMissedHeartbeats * s.HeartbeatInterval, Lease: s.RevocationTimeout - keyLeaseMargin, Fresh: readinessTimeout,
+		Retries: budget.Limit{Share: s.RetryRatio * retryBudgetShare, Extra: s.RetryExtra * retryBudgetShare, Window: s.RetryWindow},
 	}, client, log)
 	registry := newRegistry(out)
-	handler := forward.New(clock, st, client, platform.Headers{}, platform.Engines{Client: client},
+	handler := forward.New(clock, gatewayState, client, platform.Headers{}, platform.Engines{Client: client},
 		forward.NewMetrics(registry), log)
-	follower := feed.NewClient(s.Instance, clock, st, log, feed.Seeds(s.PeerSeeds...), feed.Home(s.DataCentre),
+	follower := feed.NewClient(s.Instance, clock, gatewayState, log, feed.Seeds(s.PeerSeeds...), feed.Home(s.DataCentre),
 		feed.Dial(dialOptions()...))
 	defer follower.Stop()
-	servers := &servers{clock: clock, log: log, failed: make(chan error, 4)}
-	front := server(handler)
-	// Clients come last: a fault of another address must not cut off what was accepted.
-	if err := servers.startMetrics(registry, s.MetricsAddress); err != nil {
+	group := &serverGroup{clock: clock, log: log, failed: make(chan error, 4)}
+	clientServer := newServer(handler)
+	// The client listener starts last, so that a listener that fails to start does not
+	// abort client requests that were already accepted.
+	if err := group.startMetrics(registry, s.MetricsAddress); err != nil {
 		return err
 	}
-	if _, err := servers.start("readiness", server(readiness(handler.Ready)), s.ReadyAddress); err != nil {
+	if _, err := group.start("readiness", newServer(readiness(handler.Ready)), s.ReadyAddress); err != nil {
 		return err
 	}
-	clients, err := servers.start("clients", front, s.ClientAddress, listener.Identify(requestID), listener.Limit(clientLimits(st)))
+	clientListener, err := group.start("clients", clientServer, s.ClientAddress, listener.Identify(requestName), listener.Limit(clientLimits(gatewayState)))
 	if err != nil {
 		return err
 	}
-	life := live(s, signals, log, func(n platform.Settings) { follower.LearnSeeds(n.PeerSeeds) })
-	failed := wait(life, servers.failed, log)
+	lifecycleManager := newLifecycle(s, signals, log, func(n platform.Settings) { follower.LearnSeeds(n.PeerSeeds) })
+	firstErr := waitForStop(lifecycleManager, group.failed, log)
 	drain, end := stopTimes(s.GracePeriod)
 	ctx, cancel := context.WithTimeout(context.Background(), end)
 	defer cancel()
 	handler.Close()
-	clients.Drain()
-	milestone(log, "The gateway drains.", zap.Int64("requests", handler.Active()), zap.Duration("grace", s.GracePeriod))
+	clientListener.Drain()
+	logAndFlush(log, "The gateway drains.", zap.Int64("requests", handler.Active()), zap.Duration("grace", s.GracePeriod))
 	time.Sleep(drain)
-	milestone(log, "The gateway takes no further connections.", zap.Int64("requests", handler.Active()))
-	return first(failed, clients.Stop(ctx), log)
+	logAndFlush(log, "The gateway stops accepting connections.", zap.Int64("requests", handler.Active()))
+	return firstError(firstErr, clientListener.Stop(ctx), log)
 }
 
-// first returns the first error of a stop and logs a further one.
-func first(failed, err error, log *zap.Logger) error {
-	if failed == nil {
+// firstError returns the first of two errors of a shutdown. It logs the second one if
+// both are set.
+func firstError(first, err error, log *zap.Logger) error {
+	if first == nil {
 		return err
 	}
 	if err != nil {
-		log.Warn("The stop failed, too.", zap.Error(err))
+		log.Warn("The shutdown failed after an earlier error.", zap.Error(err))
 	}
-	return failed
+	return first
 }
 
-// stopTimes divides the grace time: a gateway takes requests for the time drain after
-// SIGTERM, and all requests are answered, or cut off, at the time end.
+// stopTimes divides the grace period. After SIGTERM a gateway accepts requests for the
+// time drain, and at the time end all requests have completed or are aborted.
 func stopTimes(grace time.Duration) (drain, end time.Duration) {
-	end = grace - min(stopMargin, grace/stopPart)
-	return min(drainLeast, end-end/drainPart), end
+	end = grace - min(shutdownReserve, grace/shutdownReserveDivisor)
+	return min(drainDelay, end-end/completionDivisor), end
 }
 
-// runController serves the operator, the workers and the other daemons until
-// SIGTERM.
+// runController serves the operator, the workers and the other daemons until SIGTERM.
 func runController(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
 	clock := systemclock.NewSteady()
 	c, err := controller.New(controller.Settings{
 		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.DataDir, Found: s.Bootstrap, Seeds: s.PeerSeeds,
-		Alive: aliveBeats * s.HeartbeatInterval, Dial: dialOptions(),
+		Alive: maxMissedHeartbeats * s.HeartbeatInterval, Dial: dialOptions(),
 	}, platform.Configuration{}, platform.Engines{Client: exchange.New(clock)}, clock, log)
 	if err != nil {
 		return err
 	}
 	registry := newRegistry(out)
 	registry.MustRegister(c.Collector())
-	servers := &servers{clock: clock, log: log, failed: make(chan error, 4)}
-	control := server(platform.Control(c, log))
-	if err := servers.startMetrics(registry, s.MetricsAddress); err != nil {
+	group := &serverGroup{clock: clock, log: log, failed: make(chan error, 4)}
+	controlServer := newServer(platform.Control(c, log))
+	if err := group.startMetrics(registry, s.MetricsAddress); err != nil {
 		return err
 	}
-	calls, err := servers.start("control", control, s.ControlAddress)
+	controlListener, err := group.start("control", controlServer, s.ControlAddress)
 	if err != nil {
 		return err
 	}
 	go func() {
 		if err := <-c.Failed(); err != nil {
-			servers.failed <- err
+			group.failed <- err
 		}
 	}()
-	failed := wait(live(s, signals, log, func(platform.Settings) {}), servers.failed, log)
+	firstErr := waitForStop(newLifecycle(s, signals, log, func(platform.Settings) {}), group.failed, log)
 	_, end := stopTimes(s.GracePeriod)
 	ctx, cancel := context.WithTimeout(context.Background(), end)
 	defer cancel()
-	answer, cancel := context.WithTimeout(ctx, s.GracePeriod/2)
+	callsCtx, cancel := context.WithTimeout(ctx, s.GracePeriod/2)
 	defer cancel()
-	failed = first(failed, calls.Stop(answer), log)
-	return first(failed, c.Stop(ctx), log)
+	firstErr = firstError(firstErr, controlListener.Stop(callsCtx), log)
+	return firstError(firstErr, c.Stop(ctx), log)
 }
 
-// server returns a server that bounds what it reads of a request, and for how long.
-func server(h http.Handler) *http.Server {
+// newServer returns a server with limits on the size of request headers and on the time
+// for reading requests.
+func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler: timed.Body(h, bodyTimeout), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
@@ -194,15 +200,15 @@
 	})
 }
 
-// servers runs HTTP servers and reports failures of those that the daemon cannot do
-// without.
-type servers struct {
+// serverGroup runs HTTP servers. It reports failures of those that are essential to the
+// daemon on the channel failed.
+type serverGroup struct {
 	clock  fleet.Clock
 	log    *zap.Logger
 	failed chan error
 }
 
-func (s *servers) start(name string, v *http.Server, address string, options ...listener.Option) (*listener.Server, error) {
+func (s *serverGroup) start(name string, v *http.Server, address string, options ...listener.Option) (*listener.Server, error) {
 	l, err := listener.Listen(name, address)
 	if err != nil {
 		return nil, err
@@ -211,14 +217,15 @@
 	return listener.New(name, l, v, s.clock, s.log, options...), nil
 }
 
-// startMetrics serves the metrics, whose loss ends no request.
-func (s *servers) startMetrics(r *prometheus.Registry, address string) error {
-	_, err := s.start("metrics", server(promhttp.HandlerFor(r, promhttp.HandlerOpts{})), address,
-		listener.Failed(func(err error) { s.log.Error("The metrics are not served any more.", zap.Error(err)) }))
+// startMetrics serves the metrics. A failure of their listener is only logged, since it
+// affects no request.
+func (s *serverGroup) startMetrics(r *prometheus.Registry, address string) error {
+	_, err := s.start("metrics", newServer(promhttp.HandlerFor(r, promhttp.HandlerOpts{})), address,
+		listener.Failed(func(err error) { s.log.Error("The metrics listener failed.", zap.Error(err)) }))
 	return err
 }
 
-// clientLimits returns those of the release in force.
+// clientLimits returns the timeouts of client connections in the active release.
 func clientLimits(s *state.State) func() listener.Limits {
 	return func() listener.Limits {
 		t := s.Table()
@@ -229,43 +236,45 @@
 	}
 }
 
-// requestID names a request of a client in the log.
-func requestID(r *http.Request) string {
-	call, err := platform.Headers{}.ReadCall(r.Header)
-	if err != nil || call.ID == "" {
+// requestName returns the name of a client request in the log: its id, or its method and
+// path if it has none.
+func requestName(r *http.Request) string {
+	headers, err := platform.Headers{}.ReadCall(r.Header)
+	if err != nil || headers.ID == "" {
 		return r.Method + " " + r.URL.Path
 	}
-	return string(call.ID)
+	return string(headers.ID)
 }
 
-// live returns the life of a daemon, which hands over the settings when the file has
-// changed.
-func live(s platform.Settings, signals lifecycle.Signals, log *zap.Logger, changed func(platform.Settings)) *lifecycle.Life {
-	return lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.Reload(reloadEvery, func() { s = reload(s, log, changed) }))
+// newLifecycle returns the lifecycle manager of a daemon. It calls onChange with the new
+// settings when the settings file has changed.
+func newLifecycle(s platform.Settings, signals lifecycle.Signals, log *zap.Logger, onChange func(platform.Settings)) *lifecycle.Life {
+	return lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.Reload(reloadInterval, func() { s = reload(s, log, onChange) }))
 }
 
-// wait returns at the first request to stop, or with the error of a part that failed.
-// The daemon drains in both cases.
-func wait(l *lifecycle.Life, failed <-chan error, log *zap.Logger) error {
+// waitForStop waits for the first request to stop, or returns the error of a component
+// that failed. The daemon drains in both cases.
+func waitForStop(l *lifecycle.Life, failed <-chan error, log *zap.Logger) error {
 	select {
 	case <-l.Stopping():
 		return nil
 	case err := <-failed:
-		log.Error("A part of the daemon failed, which now stops.", zap.Error(err))
+		log.Error("A component failed; the daemon shuts down.", zap.Error(err))
 		return err
 	}
 }
 
-// reload takes the settings file as a whole, or keeps the old settings.
-func reload(old platform.Settings, log *zap.Logger, changed func(platform.Settings)) platform.Settings {
+// reload returns the settings of the changed file, or the old settings if any part of
+// the file is invalid.
+func reload(old platform.Settings, log *zap.Logger, onChange func(platform.Settings)) platform.Settings {
 	s, err := platform.LoadSettings()
 	if err != nil {
-		log.Warn("The changed settings are not in force.", zap.Error(err))
+		log.Warn("The changed settings were rejected; the previous settings stay active.", zap.Error(err))
 		return old
 	}
 	if !s.Equal(old) {
-		milestone(log, "The settings changed.", zap.Strings("seeds", s.PeerSeeds))
-		changed(s)
+		logAndFlush(log, "The settings changed.", zap.Strings("seeds", s.PeerSeeds))
+		onChange(s)
 	}
 	return s
 }
--- a/cmd/bilberryrock-platform/run_test.go
+++ b/cmd/bilberryrock-platform/run_test.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestStopTimes guards against a drain that is longer than the grace time, and a stop
-// that cuts requests off before the last sixth of it.
+// TestStopTimes checks that draining fits into the grace period and that a shutdown does
+// not abort requests before the last sixth of it.
 func TestStopTimes(t *testing.T) {
 	datadriven.RunTest(t, "testdata/stoptimes.txt", func(t *testing.T, d *datadriven.TestData) string {
 		grace, err := time.ParseDuration(d.Input)
