--- a/cmd/bilberryrock-platform/log.go
+++ b/cmd/bilberryrock-platform/log.go
@@ -28,11 +28,11 @@
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "log level")
 	}
-	out := output.New(os.Stdout, systemclock.Clock{}, output.Delay(logFlushDelay))
+	out := output.New(os.Stdout, systemclock.Clock{}, output.WithDelay(logFlushDelay))
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	config.EncodeDuration = zapcore.StringDurationEncoder
-	core := output.Brief(zapcore.NewCore(zapcore.NewJSONEncoder(config), out, l))
+	core := output.OmitStackTraces(zapcore.NewCore(zapcore.NewJSONEncoder(config), out, l))
 	core = zapcore.NewSamplerWithOptions(core, time.Second, logSampleFirst, logSampleThereafter)
 	return zap.New(core), out, nil
 }
--- a/cmd/bilberryrock-platform/run.go
+++ b/cmd/bilberryrock-platform/run.go
@@ -83,17 +83,17 @@
 
 // runGateway serves clients until SIGTERM.
 func runGateway(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
-	clock := systemclock.NewSteady()
+	clock := systemclock.NewBootClock()
 	client := exchange.New(clock)
 	gatewayState := state.New(clock, s.DataCentre, platform.Configuration{}, state.Limits{
-		Alive: maxMissedHeartbeats * s.HeartbeatInterval, Lease: s.RevocationTimeout - keyLeaseMargin, Fresh: readinessTimeout,
+		HeartbeatTimeout: maxMissedHeartbeats * s.HeartbeatInterval, KeyLease: s.RevocationTimeout - keyLeaseMargin, ReadinessTimeout: readinessTimeout,
 		Retries: budget.Limit{Share: s.RetryRatio * retryBudgetShare, Extra: s.RetryExtra * retryBudgetShare, Window: s.RetryWindow},
 	}, client, log)
 	registry := newRegistry(out)
 	handler := forward.New(clock, gatewayState, client, platform.Headers{}, platform.Engines{Client: client},
 		forward.NewMetrics(registry), log)
-	follower := feed.NewClient(s.Instance, clock, gatewayState, log, feed.Seeds(s.PeerSeeds...), feed.Home(s.DataCentre),
-		feed.Dial(dialOptions()...))
+	follower := feed.NewClient(s.Instance, clock, gatewayState, log, feed.WithSeeds(s.PeerSeeds...), feed.WithDataCentre(s.DataCentre),
+		feed.WithDialOptions(dialOptions()...))
 	defer follower.Stop()
 	group := &serverGroup{clock: clock, log: log, failed: make(chan error, 4)}
 	clientServer := newServer(handler)
@@ -105,16 +105,16 @@
 	if _, err := group.start("readiness", newServer(readiness(handler.Ready)), s.ReadyAddress); err != nil {
 		return err
 	}
-	clientListener, err := group.start("clients", clientServer, s.ClientAddress, listener.Identify(requestName), listener.Limit(clientLimits(gatewayState)))
+	clientListener, err := group.start("clients", clientServer, s.ClientAddress, listener.WithRequestName(requestName), listener.WithLimits(clientLimits(gatewayState)))
 	if err != nil {
 		return err
 	}
-	lifecycleManager := newLifecycle(s, signals, log, func(n platform.Settings) { follower.LearnSeeds(n.PeerSeeds) })
+	lifecycleManager := newLifecycle(s, signals, log, func(n platform.Settings) { follower.AddSeeds(n.PeerSeeds) })
 	firstErr := waitForStop(lifecycleManager, group.failed, log)
 	drain, end := stopTimes(s.GracePeriod)
 	ctx, cancel := context.WithTimeout(context.Background(), end)
 	defer cancel()
-	handler.Close()
+	handler.StartDrain()
 	clientListener.Drain()
 	logAndFlush(log, "The gateway drains.", zap.Int64("requests", handler.Active()), zap.Duration("grace", s.GracePeriod))
 	time.Sleep(drain)
@@ -143,10 +143,10 @@
 
 // runController serves the operator, the workers and the other daemons until SIGTERM.
 func runController(s platform.Settings, signals lifecycle.Signals, out *output.Writer, log *zap.Logger) error {
-	clock := systemclock.NewSteady()
+	clock := systemclock.NewBootClock()
 	c, err := controller.New(controller.Settings{
-		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.DataDir, Found: s.Bootstrap, Seeds: s.PeerSeeds,
-		Alive: maxMissedHeartbeats * s.HeartbeatInterval, Dial: dialOptions(),
+		Instance: s.Instance, DataCentre: s.DataCentre, Address: s.PeerAddress, Folder: s.DataDir, Bootstrap: s.Bootstrap, Seeds: s.PeerSeeds,
+		HeartbeatTimeout: maxMissedHeartbeats * s.HeartbeatInterval, DialOptions: dialOptions(),
 	}, platform.Configuration{}, platform.Engines{Client: exchange.New(clock)}, clock, log)
 	if err != nil {
 		return err
@@ -213,7 +213,7 @@
 	if err != nil {
 		return nil, err
 	}
-	options = append([]listener.Option{listener.Failed(func(err error) { s.failed <- err })}, options...)
+	options = append([]listener.Option{listener.WithFailureHandler(func(err error) { s.failed <- err })}, options...)
 	return listener.New(name, l, v, s.clock, s.log, options...), nil
 }
 
@@ -221,7 +221,7 @@
 // affects no request.
 func (s *serverGroup) startMetrics(r *prometheus.Registry, address string) error {
 	_, err := s.start("metrics", newServer(promhttp.HandlerFor(r, promhttp.HandlerOpts{})), address,
-		listener.Failed(func(err error) { s.log.Error("The metrics listener failed.", zap.Error(err)) }))
+		listener.WithFailureHandler(func(err error) { s.log.Error("The metrics listener failed.", zap.Error(err)) }))
 	return err
 }
 
@@ -239,7 +239,7 @@
 // requestName returns the name of a client request in the log: its id, or its method and
 // path if it has none.
 func requestName(r *http.Request) string {
-	headers, err := platform.Headers{}.ReadCall(r.Header)
+	headers, err := platform.Headers{}.DecodeClient(r.Header)
 	if err != nil || headers.ID == "" {
 		return r.Method + " " + r.URL.Path
 	}
@@ -248,13 +248,13 @@
 
 // newLifecycle returns the lifecycle manager of a daemon. It calls onChange with the new
 // settings when the settings file has changed.
-func newLifecycle(s platform.Settings, signals lifecycle.Signals, log *zap.Logger, onChange func(platform.Settings)) *lifecycle.Life {
-	return lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.Reload(reloadInterval, func() { s = reload(s, log, onChange) }))
+func newLifecycle(s platform.Settings, signals lifecycle.Signals, log *zap.Logger, onChange func(platform.Settings)) *lifecycle.Manager {
+	return lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.WithReload(reloadInterval, func() { s = reload(s, log, onChange) }))
 }
 
 // waitForStop waits for the first request to stop, or returns the error of a component
 // that failed. The daemon drains in both cases.
-func waitForStop(l *lifecycle.Life, failed <-chan error, log *zap.Logger) error {
+func waitForStop(l *lifecycle.Manager, failed <-chan error, log *zap.Logger) error {
 	select {
 	case <-l.Stopping():
 		return nil
--- a/cmd/bilberryrock-standin/main.go
+++ b/cmd/bilberryrock-standin/main.go
@@ -141,7 +141,7 @@
 	announcer.Announce(ctx)
 	go announcer.Run(ctx)
 	minEnd := time.Now().Add(minDuration)
-	for (s.Busy() > 0 || time.Now().Before(minEnd)) && ctx.Err() == nil {
+	for (s.ActiveRequests() > 0 || time.Now().Before(minEnd)) && ctx.Err() == nil {
 		time.Sleep(drainPollInterval)
 	}
 	return server.Shutdown(ctx)
--- a/cmd/bilberryrock-standin/main_test.go
+++ b/cmd/bilberryrock-standin/main_test.go
@@ -73,6 +73,6 @@
 	runs, err := standin.ReadRuns(file)
 	is.NoErr(err)
 	is.Equal(len(runs), 3)
-	is.Equal(runs[2].What, "late") // the rejected request is recorded
+	is.Equal(runs[2].Kind, "late") // the rejected request is recorded
 	is.NoErr(standin.CheckSteps(runs))
 }
--- a/cmd/bilberryrockd/main.go
+++ b/cmd/bilberryrockd/main.go
@@ -94,7 +94,7 @@
 		return exitFailed
 	}
 	log = log.Named("daemon")
-	manager := lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.Reload(0, func() { checkReload(file, s, log) }))
+	manager := lifecycle.New(signals, systemclock.Clock{}, log, lifecycle.WithReload(0, func() { checkReload(file, s, log) }))
 	var listenerErr error
 	select {
 	case <-manager.Stopping():
@@ -137,5 +137,5 @@
 	}
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	// Sampling is not used, because it would drop lines that an operator may need.
-	return zap.New(output.Brief(zapcore.NewCore(encoder(config), out, level)), zap.AddCaller(), zap.AddStacktrace(stackLevel)), nil
+	return zap.New(output.OmitStackTraces(zapcore.NewCore(encoder(config), out, level)), zap.AddCaller(), zap.AddStacktrace(stackLevel)), nil
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -9,9 +9,9 @@
 	"github.com/bilberryrock/bilberryrock/internal/fleet"
 )
 
-// Ask describes a request that asks for admission.
-type Ask struct {
-	Request  fleet.RequestID
+// Request describes a request that asks for admission.
+type Request struct {
+	ID       fleet.RequestID
 	Account  fleet.AccountID
 	Weight   int
 	Priority fleet.Priority
@@ -29,12 +29,12 @@
 	Done()
 }
 
-// Movable is a Ticket of a Gate that enforces a quiet-hours limit.
-type Movable interface {
+// Evictable is a Ticket of a Gate that enforces a quiet-hours limit.
+type Evictable interface {
 	Ticket
-	// Moved returns a channel that is closed when the request has to move to
+	// Evicted returns a channel that is closed when the request has to move to
 	// another data centre, or be refused, because quiet hours have begun.
-	Moved() <-chan struct{}
+	Evicted() <-chan struct{}
 }
 
 // Gate admits requests. Enter blocks until the request may start. Its errors are
@@ -42,5 +42,5 @@
 // refusal.Deadline or refusal.Stopping, and all of them mean that the request was
 // not run.
 type Gate interface {
-	Enter(ctx context.Context, r Ask) (Ticket, error)
+	Enter(ctx context.Context, r Request) (Ticket, error)
 }
--- a/internal/admission/budget/fleet.go
+++ b/internal/admission/budget/fleet.go
@@ -54,13 +54,13 @@
 	return Count{Attempts: c.Attempts + o.Attempts, Retries: c.Retries + o.Retries}
 }
 
-// Fleet is the retry budget of one instance under a Limit that all instances share.
+// Shared is the retry budget of one instance under a Limit that all instances share.
 // Each instance reports its Count and receives the sum over all instances by SetSum.
 // The remaining retries are spent by the instances that need them, at a rate that
 // allows for the age of the sums. Without recent sums an instance uses only its own
 // part of the limit, and before the first sum it does not retry. A Shared is safe for
 // concurrent use.
-type Fleet struct {
+type Shared struct {
 	clock  fleet.Clock
 	limit  Limit
 	random func() float64
@@ -87,22 +87,22 @@
 	count  Count
 }
 
-// NewFleet returns a Shared that has received no sum. random returns numbers in
+// NewShared returns a Shared that has received no sum. random returns numbers in
 // [0, 1).
-func NewFleet(clock fleet.Clock, l Limit, random func() float64) *Fleet {
+func NewShared(clock fleet.Clock, l Limit, random func() float64) *Shared {
 	now := clock.Now()
-	return &Fleet{clock: clock, limit: l, random: random, start: now, refilledAt: now, balance: startupBurst, threshold: 1 - random()}
+	return &Shared{clock: clock, limit: l, random: random, start: now, refilledAt: now, balance: startupBurst, threshold: 1 - random()}
 }
 
 // Deposit records a first attempt.
-func (f *Fleet) Deposit() {
+func (f *Shared) Deposit() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.currentBucket(f.clock.Now()).Attempts++
 }
 
 // Withdraw reports whether a retry may start and, if so, deducts it from the balance.
-func (f *Fleet) Withdraw() bool {
+func (f *Shared) Withdraw() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
@@ -117,14 +117,14 @@
 }
 
 // Count returns the first attempts and retries of this instance in the last window.
-func (f *Fleet) Count() Count {
+func (f *Shared) Count() Count {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ownCount(f.clock.Now())
 }
 
 // SetSum sets the sum of the counts of a number of instances, this one included.
-func (f *Fleet) SetSum(sum Count, instances int) {
+func (f *Shared) SetSum(sum Count, instances int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
@@ -135,11 +135,11 @@
 	}
 }
 
-func (f *Fleet) bucketNumber(now time.Time) int64 {
+func (f *Shared) bucketNumber(now time.Time) int64 {
 	return int64(now.Sub(f.start) * bucketCount / f.limit.Window)
 }
 
-func (f *Fleet) currentBucket(now time.Time) *Count {
+func (f *Shared) currentBucket(now time.Time) *Count {
 	n := f.bucketNumber(now)
 	p := &f.buckets[n%int64(len(f.buckets))]
 	if p.number != n {
@@ -148,7 +148,7 @@
 	return &p.count
 }
 
-func (f *Fleet) ownCount(now time.Time) Count {
+func (f *Shared) ownCount(now time.Time) Count {
 	var sum Count
 	n := f.bucketNumber(now)
 	for _, p := range f.buckets {
@@ -161,7 +161,7 @@
 
 // remaining returns the retries that remain of the limit, and the number of instances
 // that share them.
-func (f *Fleet) remaining(now time.Time) (float64, float64) {
+func (f *Shared) remaining(now time.Time) (float64, float64) {
 	fraction := 1.0
 	if now.Sub(f.start) < f.limit.Window {
 		fraction = firstWindowFraction
@@ -182,7 +182,7 @@
 }
 
 // refill adds the retries that were earned since the last call.
-func (f *Fleet) refill(now time.Time) {
+func (f *Shared) refill(now time.Time) {
 	remaining, sharers := f.remaining(now)
 	remaining = max(0, remaining) / sharers
 	rate, burst := remaining/spendTime.Seconds(), remaining
--- a/internal/admission/budget/fleet_test.go
+++ b/internal/admission/budget/fleet_test.go
@@ -17,7 +17,7 @@
 type instances struct {
 	clock  *fakeclock.Clock
 	random *rand.Rand
-	list   []*budget.Fleet
+	list   []*budget.Shared
 	sums   []budget.Count // one per tick, oldest first
 }
 
@@ -30,7 +30,7 @@
 func newInstances(n int) *instances {
 	s := &instances{clock: fakeclock.New(fakeclock.Start), random: rand.New(rand.NewPCG(1, 2))}
 	for range n {
-		s.list = append(s.list, budget.NewFleet(s.clock, limit, s.random.Float64))
+		s.list = append(s.list, budget.NewShared(s.clock, limit, s.random.Float64))
 	}
 	return s
 }
@@ -115,7 +115,7 @@
 func TestSharedWithoutSums(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
-	f := budget.NewFleet(c, limit, func() float64 { return 0 })
+	f := budget.NewShared(c, limit, func() float64 { return 0 })
 	f.SetSum(budget.Count{}, 100)
 	c.Advance(limit.Window)
 	n := 0
@@ -141,7 +141,7 @@
 func TestSharedLimitsStartupBurst(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
-	f := budget.NewFleet(c, limit, func() float64 { return 0 })
+	f := budget.NewShared(c, limit, func() float64 { return 0 })
 	n := 0
 	for range 29 {
 		f.SetSum(budget.Count{}, 1)
--- a/internal/admission/gate/collector.go
+++ b/internal/admission/gate/collector.go
@@ -34,9 +34,9 @@
 	for _, p := range g.Pools() {
 		c, id := g.Counters(p), string(p)
 		send(admittedDesc, prometheus.CounterValue, float64(c.Admitted), id)
-		send(refusedDesc, prometheus.CounterValue, float64(c.RefusedOverloaded), id, refusal.Overloaded.Answer().Code)
-		send(refusedDesc, prometheus.CounterValue, float64(c.RefusedDeadline), id, refusal.Deadline.Answer().Code)
-		send(refusedDesc, prometheus.CounterValue, float64(c.RefusedQuietHours), id, refusal.QuietHours.Answer().Code)
+		send(refusedDesc, prometheus.CounterValue, float64(c.RefusedOverloaded), id, refusal.Overloaded.Response().Code)
+		send(refusedDesc, prometheus.CounterValue, float64(c.RefusedDeadline), id, refusal.Deadline.Response().Code)
+		send(refusedDesc, prometheus.CounterValue, float64(c.RefusedQuietHours), id, refusal.QuietHours.Response().Code)
 		send(abandonedDesc, prometheus.CounterValue, float64(c.Abandoned), id)
 		send(waitingDesc, prometheus.GaugeValue, float64(c.Waiting), id)
 		send(runningDesc, prometheus.GaugeValue, float64(c.Running), id)
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -51,11 +51,11 @@
 // Option configures a Gate.
 type Option func(*Gate)
 
-// WithBound sets the quiet-hours limit. The default is none.
-func WithBound(q lane.QuietLimit) Option { return func(g *Gate) { g.quietLimit = q } }
+// WithQuietLimit sets the quiet-hours limit. The default is none.
+func WithQuietLimit(q lane.QuietLimit) Option { return func(g *Gate) { g.quietLimit = q } }
 
-// WithQueue sets the maximum number of requests that wait for one pool.
-func WithQueue(n int) Option { return func(g *Gate) { g.queueLimit = n } }
+// WithQueueLimit sets the maximum number of requests that wait for one pool.
+func WithQueueLimit(n int) Option { return func(g *Gate) { g.queueLimit = n } }
 
 // New returns a Gate that checks the limits of accounts with limiter.
 func New(clock fleet.Clock, limiter *share.Limiter, options ...Option) *Gate {
@@ -74,7 +74,7 @@
 
 // Enter implements admission.Gate. All its errors mean that the request was not
 // run.
-func (g *Gate) Enter(ctx context.Context, r admission.Ask) (admission.Ticket, error) {
+func (g *Gate) Enter(ctx context.Context, r admission.Request) (admission.Ticket, error) {
 	g.pending.Add(1)
 	if g.stopping.Load() {
 		g.decrementPending()
@@ -104,7 +104,7 @@
 // with time.
 func (g *Gate) Wake() {
 	if g.quietLimit != nil {
-		g.quietLimit.Move(g.clock.Now())
+		g.quietLimit.Evict(g.clock.Now())
 	}
 	for _, l := range g.allLanes() {
 		l.wake()
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -31,8 +31,8 @@
 	return g
 }
 
-func newRequest(account string, wait, expected time.Duration) admission.Ask {
-	return admission.Ask{
+func newRequest(account string, wait, expected time.Duration) admission.Request {
+	return admission.Request{
 		Account:  fleet.AccountID(account),
 		Pool:     "pool",
 		Deadline: time.Now().Add(wait),
@@ -88,7 +88,7 @@
 			To:          start.Sub(start.Truncate(24*time.Hour)) + 2*time.Minute,
 			MaxInFlight: 2,
 		}})
-		g := gate.New(systemclock.Clock{}, share.New(1), gate.WithBound(quietLimit))
+		g := gate.New(systemclock.Clock{}, share.New(1), gate.WithQuietLimit(quietLimit))
 		g.SetCapacity("pool", lane.Capacity{Slots: 10, Instances: 1})
 		enter := func() (admission.Ticket, error) {
 			return g.Enter(context.Background(), newRequest("a", 5*time.Second, 3*time.Second))
@@ -109,7 +109,7 @@
 		evicted := 0
 		for _, r := range running {
 			select {
-			case <-r.(admission.Movable).Moved():
+			case <-r.(admission.Evictable).Evicted():
 				evicted++
 			default:
 			}
@@ -227,7 +227,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			ticket, err := g.Enter(context.Background(), admission.Ask{Account: "a", Pool: "pool", Deadline: time.Now().Add(time.Second)})
+			ticket, err := g.Enter(context.Background(), admission.Request{Account: "a", Pool: "pool", Deadline: time.Now().Add(time.Second)})
 			if err == nil {
 				ticket.Done()
 			}
--- a/internal/admission/gate/wait.go
+++ b/internal/admission/gate/wait.go
@@ -19,7 +19,7 @@
 }
 
 // enter blocks until the request has a permit, is refused or ctx ends.
-func (g *lockedLane) enter(ctx context.Context, r admission.Ask, now time.Time) (*lane.Waiter, error) {
+func (g *lockedLane) enter(ctx context.Context, r admission.Request, now time.Time) (*lane.Waiter, error) {
 	result := make(chan error, 1)
 	w, err := g.join(r, now, result)
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func (g *lockedLane) join(r admission.Ask, now time.Time, result chan<- error) (*lane.Waiter, error) {
+func (g *lockedLane) join(r admission.Request, now time.Time, result chan<- error) (*lane.Waiter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lane.Join(r, now, func(err error) { result <- err })
@@ -57,7 +57,7 @@
 	if !g.lane.Leave(w) && <-result == nil {
 		g.lane.Finish(w, 0, g.clock.Now())
 	}
-	return refusal.Because(refusal.Deadline, cause, "caller left the queue, not started")
+	return refusal.WithCause(refusal.Deadline, cause, "caller left the queue, not started")
 }
 
 func (g *lockedLane) wake() {
@@ -69,7 +69,7 @@
 func (g *lockedLane) setCapacity(c lane.Capacity) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lane.Adapt(c, g.clock.Now())
+	g.lane.SetCapacity(c, g.clock.Now())
 }
 
 func (g *lockedLane) counters() lane.Counters {
@@ -78,7 +78,7 @@
 	return g.lane.Counters()
 }
 
-var _ admission.Movable = (*ticket)(nil)
+var _ admission.Evictable = (*ticket)(nil)
 
 // ticket implements admission.Ticket.
 type ticket struct {
@@ -89,8 +89,8 @@
 	started time.Time
 }
 
-// Moved implements admission.Evictable.
-func (t *ticket) Moved() <-chan struct{} { return t.waiter.Moved() }
+// Evicted implements admission.Evictable.
+func (t *ticket) Evicted() <-chan struct{} { return t.waiter.Evicted() }
 
 // Done implements admission.Ticket.
 func (t *ticket) Done() {
--- a/internal/admission/lane/lane.go
+++ b/internal/admission/lane/lane.go
@@ -40,11 +40,11 @@
 	// If so, the caller calls release once, when the request has ended. evict is
 	// called at most once, when the request has to leave.
 	Start(now time.Time, expected time.Duration, evict func()) (release func(), ok bool)
-	// Move evicts the requests over the limit and returns their number.
-	Move(now time.Time) int
-	// Retry returns the time for which no request can start, even if all requests
+	// Evict evicts the requests over the limit and returns their number.
+	Evict(now time.Time) int
+	// RetryAfter returns the time for which no request can start, even if all requests
 	// in progress end, or zero.
-	Retry(now time.Time) time.Duration
+	RetryAfter(now time.Time) time.Duration
 }
 
 // Counters holds totals since the creation of a Lane, and its current state.
@@ -85,9 +85,9 @@
 	evicted chan struct{}
 }
 
-// Moved returns a channel that is closed when the request has to leave because of
+// Evicted returns a channel that is closed when the request has to leave because of
 // the quiet-hours limit. Without such a limit it is nil.
-func (w *Waiter) Moved() <-chan struct{} { return w.evicted }
+func (w *Waiter) Evicted() <-chan struct{} { return w.evicted }
 
 // New returns a Lane for a pool in which at most queueLimit requests wait.
 // quietLimit may be nil.
@@ -98,7 +98,7 @@
 // Join queues a request for a permit. notify is called once, possibly before Join
 // returns, with nil when the request has a permit or with the error of a refusal.
 // It is not called when Join returns an error or after Leave.
-func (l *Lane) Join(r admission.Ask, now time.Time, notify func(error)) (*Waiter, error) {
+func (l *Lane) Join(r admission.Request, now time.Time, notify func(error)) (*Waiter, error) {
 	expected, margin := r.Expected, time.Duration(0)
 	if expected == 0 {
 		expected, margin = l.meanServiceTime, deviationMargin*l.meanDeviation
@@ -118,7 +118,7 @@
 	}
 	if !l.waiting.Push(&w.item) {
 		l.counters.RefusedOverloaded++
-		return nil, refusal.New(refusal.Overloaded, "queue of pool %q has no room for account %q", l.pool, r.Account).After(l.retryAfter(l.estimatedWait(w)))
+		return nil, refusal.New(refusal.Overloaded, "queue of pool %q has no room for account %q", l.pool, r.Account).WithRetryAfter(l.retryAfter(l.estimatedWait(w)))
 	}
 	l.Wake(now)
 	return w, nil
@@ -161,8 +161,8 @@
 	l.meanDeviation += time.Duration(ewmaWeight * float64(max(deviation, -deviation)-l.meanDeviation))
 }
 
-// Adapt updates what is known of the capacity of the pool.
-func (l *Lane) Adapt(c Capacity, now time.Time) {
+// SetCapacity updates what is known of the capacity of the pool.
+func (l *Lane) SetCapacity(c Capacity, now time.Time) {
 	l.permits.adapt(c, now)
 	l.Wake(now)
 }
@@ -208,7 +208,7 @@
 		return refusal.New(refusal.Deadline, "work of %v cannot finish before the deadline, not started", w.item.Expected)
 	}
 	if l.quietLimit != nil {
-		if d := l.quietLimit.Retry(now); d > 0 && now.Add(d).After(w.item.LatestStart()) {
+		if d := l.quietLimit.RetryAfter(now); d > 0 && now.Add(d).After(w.item.LatestStart()) {
 			return l.quietHoursError(d)
 		}
 	}
@@ -217,7 +217,7 @@
 		return nil
 	}
 	l.counters.RefusedOverloaded++
-	return refusal.New(refusal.Overloaded, "pool %q has %v of work waiting, too much for the deadline", l.pool, wait).After(l.retryAfter(wait))
+	return refusal.New(refusal.Overloaded, "pool %q has %v of work waiting, too much for the deadline", l.pool, wait).WithRetryAfter(l.retryAfter(wait))
 }
 
 func (l *Lane) estimatedWait(w *Waiter) time.Duration {
@@ -242,15 +242,15 @@
 // lateError returns the error of a request that waited past its latest start.
 func (l *Lane) lateError(now time.Time) error {
 	if l.blockedByQuietLimit {
-		return l.quietHoursError(l.quietLimit.Retry(now))
+		return l.quietHoursError(l.quietLimit.RetryAfter(now))
 	}
 	l.counters.RefusedOverloaded++
-	return refusal.New(refusal.Overloaded, "pool %q had no free place before the deadline, not started", l.pool).After(l.retryAfter(0))
+	return refusal.New(refusal.Overloaded, "pool %q had no free place before the deadline, not started", l.pool).WithRetryAfter(l.retryAfter(0))
 }
 
 func (l *Lane) quietHoursError(wait time.Duration) error {
 	l.counters.RefusedQuietHours++
-	return refusal.New(refusal.QuietHours, "quiet hours bound the work in progress, not started").After(l.retryAfter(wait))
+	return refusal.New(refusal.QuietHours, "quiet hours bound the work in progress, not started").WithRetryAfter(l.retryAfter(wait))
 }
 
 // retryAfter returns the time after which a permit is likely to be free.
--- a/internal/admission/lane/places.go
+++ b/internal/admission/lane/places.go
@@ -42,12 +42,12 @@
 	// Instances is the number of instances that send requests to the pool, this
 	// one included.
 	Instances int
-	// Reported is the number of running and waiting requests in the last load
+	// ReportedLoad is the number of running and waiting requests in the last load
 	// reports.
-	Reported float64
-	// Known is the number of slots whose upstreams reported recently. If it is
+	ReportedLoad float64
+	// ReportedSlots is the number of slots whose upstreams reported recently. If it is
 	// zero, ReportedLoad is not valid.
-	Known float64
+	ReportedSlots float64
 }
 
 // concurrencyLimit is the number of permits. Additive increase and multiplicative
@@ -71,8 +71,8 @@
 		p.capacityKnown = true
 		p.limit = evenShare * initialHeadroom
 	}
-	if c.Known > 0 && now.Sub(p.adjustedAt) >= adaptInterval {
-		p.adjust(c.Reported/c.Known, evenShare)
+	if c.ReportedSlots > 0 && now.Sub(p.adjustedAt) >= adaptInterval {
+		p.adjust(c.ReportedLoad/c.ReportedSlots, evenShare)
 		p.adjustedAt = now
 		p.binding = false
 	}
--- a/internal/admission/share/exchange.go
+++ b/internal/admission/share/exchange.go
@@ -120,14 +120,14 @@
 	return packed
 }
 
-// Absorb stores the Summary of another instance. In a fleet with group summaries it
+// ReceiveSummary stores the Summary of another instance. In a fleet with group summaries it
 // is an instance of the same data centre.
-func (l *Limiter) Absorb(from fleet.InstanceID, data []byte, now time.Time) error {
+func (l *Limiter) ReceiveSummary(from fleet.InstanceID, data []byte, now time.Time) error {
 	return l.receive(string(from), false, data, now)
 }
 
-// AbsorbGroup stores the GroupSummary of another data centre.
-func (l *Limiter) AbsorbGroup(from fleet.DataCentreID, data []byte, now time.Time) error {
+// ReceiveGroupSummary stores the GroupSummary of another data centre.
+func (l *Limiter) ReceiveGroupSummary(from fleet.DataCentreID, data []byte, now time.Time) error {
 	return l.receive(string(from), true, data, now)
 }
 
--- a/internal/admission/share/share.go
+++ b/internal/admission/share/share.go
@@ -179,11 +179,11 @@
 	if limit.MaxInFlight > 0 && !a.mayStart(limit) {
 		a.blocked = true
 		l.refusedInFlight.Add(1)
-		return refusal.New(refusal.AccountLimit, "account %q has %d requests in progress here, its share of %d", id, a.inFlight, limit.MaxInFlight).After(minRetryAfter)
+		return refusal.New(refusal.AccountLimit, "account %q has %d requests in progress here, its share of %d", id, a.inFlight, limit.MaxInFlight).WithRetryAfter(minRetryAfter)
 	}
 	if wait := a.takeToken(limit, now); wait > 0 {
 		l.refusedRate.Add(1)
-		return refusal.New(refusal.AccountLimit, "account %q is over its share of %g requests/s", id, limit.RequestRate).After(wait)
+		return refusal.New(refusal.AccountLimit, "account %q is over its share of %g requests/s", id, limit.RequestRate).WithRetryAfter(wait)
 	}
 	a.inFlight++
 	l.admitted.Add(1)
--- a/internal/admission/share/share_test.go
+++ b/internal/admission/share/share_test.go
@@ -83,9 +83,9 @@
 				continue
 			}
 			if f.groups == 0 || i%f.groups == j%f.groups {
-				_ = l.Absorb(fleet.InstanceID(fmt.Sprint(j)), f.summaries[j], f.now)
+				_ = l.ReceiveSummary(fleet.InstanceID(fmt.Sprint(j)), f.summaries[j], f.now)
 			} else if j < f.groups {
-				_ = l.AbsorbGroup(fleet.DataCentreID(fmt.Sprint(j)), f.groupSummaries[j], f.now)
+				_ = l.ReceiveGroupSummary(fleet.DataCentreID(fmt.Sprint(j)), f.groupSummaries[j], f.now)
 			}
 		}
 		l.Tick(f.now)
@@ -184,14 +184,14 @@
 		}
 	}
 	is.Equal(l.Counters().Tracked, 42000)
-	is.NoErr(l.Absorb("peer", l.Summary(), now))
+	is.NoErr(l.ReceiveSummary("peer", l.Summary(), now))
 	for range 60 {
 		now = now.Add(time.Second)
 		l.Tick(now)
 		is.True(len(l.Summary()) < 1024)
 	}
 	is.Equal(l.Counters().Tracked, 0)
-	is.True(l.Absorb("peer", make([]byte, 100000), now) != nil)
+	is.True(l.ReceiveSummary("peer", make([]byte, 100000), now) != nil)
 }
 
 func BenchmarkTickAt42000Accounts(b *testing.B) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -62,12 +62,12 @@
 	Folder string
 	// Bootstrap indicates that the fleet starts for the first time. The instances at
 	// Seeds are then the initial voters.
-	Found bool
-	Seeds []string
+	Bootstrap bool
+	Seeds     []string
 	// HeartbeatTimeout is the age of the last heartbeat up to which an upstream is used.
-	Alive time.Duration
+	HeartbeatTimeout time.Duration
 	// DialOptions are the options for connections to other daemons.
-	Dial []grpc.DialOption
+	DialOptions []grpc.DialOption
 }
 
 // Controller is one member of the control plane. It is safe for concurrent use.
@@ -150,7 +150,7 @@
 			c.followReleases(ctx)
 		}
 	})
-	c.placer = placer.New(clock, c.catalog, c.tenure, c, m, c.feed, s.Alive, l)
+	c.placer = placer.New(clock, c.catalog, c.tenure, c, m, c.feed, s.HeartbeatTimeout, l)
 	return c, nil
 }
 
@@ -158,11 +158,11 @@
 	s := c.settings
 	os := []voter.Option{
 		voter.Instance(s.Instance, s.Address), voter.Folder(s.Folder), voter.Clock(c.clock),
-		voter.Group(quorum.ConfigGroup, c.store), voter.Dial(s.Dial...), voter.Logger(l),
-		voter.Contacts(contacts(s.Seeds)...), voter.Open(),
+		voter.Group(quorum.ConfigGroup, c.store), voter.DialOptions(s.DialOptions...), voter.Logger(l),
+		voter.Contacts(contacts(s.Seeds)...), voter.AllowJoin(),
 	}
-	if s.Found {
-		os = append(os, voter.Initial(initialVoters(s.Seeds)...))
+	if s.Bootstrap {
+		os = append(os, voter.InitialVoters(initialVoters(s.Seeds)...))
 	}
 	return os
 }
@@ -222,7 +222,7 @@
 		c.logger.Warn("Outcome of release proposal is unknown.", zap.Uint64("version", uint64(r.Version)), zap.Error(err))
 		return err
 	}
-	held, err := store.VersionOf(reply)
+	held, err := store.DecodeVersion(reply)
 	c.logger.Info("Release accepted.", zap.Uint64("version", uint64(r.Version)),
 		zap.Uint64("held", uint64(held)), zap.Int("bytes", len(content)))
 	return err
@@ -241,12 +241,12 @@
 			if held.Version == 0 {
 				return nil, nil
 			}
-			return held.Unpack()
+			return held.Decompress()
 		}
 		select {
 		case <-newer:
 		case <-ctx.Done():
-			return nil, refusal.Because(refusal.NotReady, ctx.Err(), "release %d has not arrived here", newestVersion)
+			return nil, refusal.WithCause(refusal.NotReady, ctx.Err(), "release %d has not arrived here", newestVersion)
 		}
 	}
 }
@@ -254,11 +254,11 @@
 // Heartbeat processes a heartbeat of an upstream. An error of kind refusal.NotReady asks
 // the upstream to send it to another controller.
 func (c *Controller) Heartbeat(e registry.Entry) error {
-	e.Heard = c.clock.Now()
+	e.LastHeartbeat = c.clock.Now()
 	if c.catalog.Put(e, true) {
 		c.logger.Info("Upstream changed.", zap.String("upstream", string(e.ID)), zap.Stringer("state", e.State),
 			zap.String("pool", string(e.Pool)), zap.String("address", e.Address), zap.Uint64("sequence", e.Sequence),
-			zap.Uint64("born", uint64(e.Born)), zap.Int("from", int(e.Layers.From)), zap.Int("to", int(e.Layers.To)))
+			zap.Uint64("born", uint64(e.Incarnation)), zap.Int("from", int(e.Layers.From)), zap.Int("to", int(e.Layers.To)))
 	}
 	if e.State == registry.Ready {
 		return nil
@@ -298,7 +298,7 @@
 	if err != nil {
 		return 0, err
 	}
-	v, err := store.VersionOf(reply)
+	v, err := store.DecodeVersion(reply)
 	if err != nil {
 		c.logger.Error("Failed to decode newest release version.", zap.Error(err))
 	}
@@ -333,8 +333,8 @@
 	}
 }
 
-// InForce implements placer.Releases.
-func (c *Controller) InForce() *release.Release {
+// ActiveRelease implements placer.Releases.
+func (c *Controller) ActiveRelease() *release.Release {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current
@@ -352,8 +352,8 @@
 	}
 }
 
-func (c *Controller) applyRelease(h store.Held) {
-	r, err := h.Read(c.decoder)
+func (c *Controller) applyRelease(h store.CompressedRelease) {
+	r, err := h.Decode(c.decoder)
 	if err != nil {
 		c.logger.Error("Failed to decode release.", zap.Uint64("version", uint64(h.Version)), zap.Error(err))
 		return
@@ -384,7 +384,7 @@
 	for _, a := range members {
 		if a != c.settings.Address && c.peers[a] == nil {
 			c.peers[a] = feed.NewClient(c.settings.Instance, c.clock, &peerReceiver{c}, c.logger,
-				feed.Only(a), feed.Dial(c.settings.Dial...))
+				feed.WithOnlyController(a), feed.WithDialOptions(c.settings.DialOptions...))
 		}
 	}
 	for a, p := range c.peers {
@@ -399,9 +399,9 @@
 // peerReceiver merges the registry entries of another controller into the local catalog.
 type peerReceiver struct{ controller *Controller }
 
-// Stamp implements feed.Receiver. It returns 0 because controllers confirm releases
+// ClockReading implements feed.Receiver. It returns 0 because controllers confirm releases
 // themselves.
-func (p *peerReceiver) Stamp() time.Duration { return 0 }
+func (p *peerReceiver) ClockReading() time.Duration { return 0 }
 
 // Version implements feed.Receiver.
 func (p *peerReceiver) Version() release.Version { return 0 }
@@ -414,7 +414,7 @@
 	for _, e := range u.Entries {
 		p.controller.catalog.Put(e, false)
 	}
-	p.controller.feed.NotePeer(u)
+	p.controller.feed.RecordPeer(u)
 	p.controller.recordDataCentre(u)
 	return u.Renew(p.controller.catalog)
 }
--- a/internal/controller/tenure/tenure.go
+++ b/internal/controller/tenure/tenure.go
@@ -45,7 +45,7 @@
 	confirmed feed.Confirmation
 	// fence is the fencing token of the own leadership if this instance led at the newest
 	// confirmation, or 0.
-	fence fleet.Fence
+	fence fleet.FencingToken
 }
 
 // New returns a Tenure without a confirmation. The clock must keep running while the
@@ -56,7 +56,7 @@
 func (t *Tenure) Confirm(ctx context.Context) error {
 	start := t.clock.Now()
 	reply, term, err := t.group.Lead(ctx, quorum.ConfigGroup, nil)
-	fence := fleet.Fence(term)
+	fence := fleet.FencingToken(term)
 	if err != nil {
 		t.clearFence()
 		fence = 0
@@ -64,7 +64,7 @@
 			return err
 		}
 	}
-	v, err := store.VersionOf(reply)
+	v, err := store.DecodeVersion(reply)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 
 // Leading returns the fencing token of the own leadership, and whether the leadership is
 // valid now.
-func (t *Tenure) Leading() (fleet.Fence, bool) {
+func (t *Tenure) Leading() (fleet.FencingToken, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fence, t.fence > 0 && t.age() < MaxConfirmationAge
--- a/internal/controller/tenure/tenure_test.go
+++ b/internal/controller/tenure/tenure_test.go
@@ -49,7 +49,7 @@
 	n := tenure.New(g, clock)
 	is.NoErr(n.Confirm(context.Background()))
 	fence, leads := n.Leading()
-	is.Equal(fence, fleet.Fence(3))
+	is.Equal(fence, fleet.FencingToken(3))
 	is.True(leads)
 	clock.Advance(tenure.MaxConfirmationAge) // paused
 	_, leads = n.Leading()
--- a/internal/document/configgroup/configgroup.go
+++ b/internal/document/configgroup/configgroup.go
@@ -31,18 +31,18 @@
 // byte selects. A command without a known first byte changes nothing and has an
 // empty reply.
 type Machine struct {
-	register quorum.Reader
-	fencing  quorum.Reader
+	register quorum.QueryableStateMachine
+	fencing  quorum.QueryableStateMachine
 }
 
-var _ quorum.Reader = (*Machine)(nil)
+var _ quorum.QueryableStateMachine = (*Machine)(nil)
 
 // New returns the state machine of the config group.
-func New(register, fencing quorum.Reader) *Machine {
+func New(register, fencing quorum.QueryableStateMachine) *Machine {
 	return &Machine{register: register, fencing: fencing}
 }
 
-func (m *Machine) route(data []byte) (quorum.Reader, []byte) {
+func (m *Machine) route(data []byte) (quorum.QueryableStateMachine, []byte) {
 	if len(data) == 0 {
 		return nil, nil
 	}
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -73,7 +73,7 @@
 }
 
 // AuditEntry is one entry of the audit trail.
-type Audit struct {
+type AuditEntry struct {
 	At       time.Time      `json:"at"`
 	Team     fleet.TeamID   `json:"team"`
 	Operator string         `json:"operator"`
@@ -155,7 +155,7 @@
 	Kind PoolKind
 	// AtMostOncePaths are the path prefixes of a service pool whose calls must
 	// not be repeated. All other calls are idempotent.
-	OncePaths []string
+	AtMostOncePaths []string
 	// Timeout limits the duration of one call to an upstream of the pool.
 	Timeout time.Duration
 }
@@ -183,5 +183,5 @@
 	// Document returns the current document.
 	Document() Document
 	// History returns the latest audit entries of a team, newest first.
-	History(team fleet.TeamID, limit int) []Audit
+	History(team fleet.TeamID, limit int) []AuditEntry
 }
--- a/internal/document/follower/core.go
+++ b/internal/document/follower/core.go
@@ -214,7 +214,7 @@
 		return err
 	}
 	newer := func(old *document.Config) bool { return old == nil || old.Revision < next.Revision }
-	if !c.cell.Advance(config, newer) {
+	if !c.cell.StoreIf(config, newer) {
 		return errors.New("a newer configuration is in force")
 	}
 	c.doc, c.parsed = next, sections
--- a/internal/document/follower/follower.go
+++ b/internal/document/follower/follower.go
@@ -81,7 +81,7 @@
 
 // ConfirmationAge returns the time since a peer confirmed the active revision,
 // or since the start when none did.
-func (s Status) Age(now time.Time) time.Duration { return now.Sub(s.Confirmed) }
+func (s Status) ConfirmationAge(now time.Time) time.Duration { return now.Sub(s.Confirmed) }
 
 // Follower fetches the configuration of one instance. It is safe for concurrent
 // use.
--- a/internal/document/follower/follower_test.go
+++ b/internal/document/follower/follower_test.go
@@ -377,6 +377,6 @@
 	is.Equal(cell.Load().Revision, fleet.Revision(1))
 	is.Equal(<-p.fetches, fleet.Revision(1)) // the next round asks for newer revisions
 	is.Equal(f.Status().State, Ready)
-	is.Equal(f.Status().Age(clock.Now().Add(time.Minute)), time.Minute)
+	is.Equal(f.Status().ConfirmationAge(clock.Now().Add(time.Minute)), time.Minute)
 	f.Close()
 }
--- a/internal/document/names.go
+++ b/internal/document/names.go
@@ -10,7 +10,7 @@
 
 // UnmarshalText sets the value that has the given name.
 func (v *Verdict) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[Verdict](string(text), int(Reused)+1)
+	parsed, err := fleet.ParseEnum[Verdict](string(text), int(Reused)+1)
 	if err != nil {
 		return err
 	}
@@ -23,7 +23,7 @@
 
 // UnmarshalText sets the value that has the given name.
 func (v *PoolKind) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[PoolKind](string(text), int(ServicePool)+1)
+	parsed, err := fleet.ParseEnum[PoolKind](string(text), int(ServicePool)+1)
 	if err != nil {
 		return err
 	}
--- a/internal/document/register/client.go
+++ b/internal/document/register/client.go
@@ -62,7 +62,7 @@
 		mayBeApplied = mayBeApplied || refusal.KindOf(err) != refusal.NotReady
 	}
 	if !mayBeApplied {
-		return document.Outcome{}, refusal.Because(refusal.NotReady, lastErr, "submission was not handed in")
+		return document.Outcome{}, refusal.WithCause(refusal.NotReady, lastErr, "submission was not handed in")
 	}
 	return unknownOutcome(s), nil
 }
@@ -100,7 +100,7 @@
 }
 
 // History returns the latest audit entries of a team, newest first.
-func (c *Client) History(ctx context.Context, t fleet.TeamID, limit int) ([]document.Audit, error) {
+func (c *Client) History(ctx context.Context, t fleet.TeamID, limit int) ([]document.AuditEntry, error) {
 	r, err := c.read(ctx, query{Version: version, Kind: historyQuery, Team: t, Limit: limit})
 	return r.History, err
 }
@@ -108,7 +108,7 @@
 func (c *Client) read(ctx context.Context, q query) (reply, error) {
 	data, err := c.proposer.Read(ctx, c.group, encode(q))
 	if err != nil {
-		return reply{}, refusal.Because(refusal.NotReady, err, "register can't be read")
+		return reply{}, refusal.WithCause(refusal.NotReady, err, "register can't be read")
 	}
 	return decodeReply(data)
 }
@@ -130,7 +130,7 @@
 func decodeReply(data []byte) (reply, error) {
 	var r reply
 	if err := decode(data, &r); err != nil {
-		return reply{}, refusal.Because(refusal.Internal, err, "decode reply of the register")
+		return reply{}, refusal.WithCause(refusal.Internal, err, "decode reply of the register")
 	}
 	if r.Error != "" {
 		return reply{}, refusal.New(refusal.Internal, "register: %s", r.Error)
--- a/internal/document/register/codec.go
+++ b/internal/document/register/codec.go
@@ -48,12 +48,12 @@
 
 // reply answers a command or a query.
 type reply struct {
-	Version  int               `json:"version"`
-	Error    string            `json:"error,omitempty"`
-	Outcome  *document.Outcome `json:"outcome,omitempty"`
-	Document document.Document `json:"document"`
-	Full     bool              `json:"full,omitempty"`
-	History  []document.Audit  `json:"history,omitempty"`
+	Version  int                   `json:"version"`
+	Error    string                `json:"error,omitempty"`
+	Outcome  *document.Outcome     `json:"outcome,omitempty"`
+	Document document.Document     `json:"document"`
+	Full     bool                  `json:"full,omitempty"`
+	History  []document.AuditEntry `json:"history,omitempty"`
 }
 
 // snapshot is the whole state of a Register.
@@ -65,8 +65,8 @@
 }
 
 var (
-	_ quorum.Reader     = (*Register)(nil)
-	_ document.Register = (*Register)(nil)
+	_ quorum.QueryableStateMachine = (*Register)(nil)
+	_ document.Register            = (*Register)(nil)
 )
 
 // prepareCommand returns the command of s with the data that depend on time zones.
--- a/internal/document/register/register.go
+++ b/internal/document/register/register.go
@@ -75,7 +75,7 @@
 type teamHistory struct {
 	Changes map[fleet.ChangeID]changeRecord `json:"changes"`
 	Order   []fleet.ChangeID                `json:"order"`
-	Entries []document.Audit                `json:"entries"`
+	Entries []document.AuditEntry           `json:"entries"`
 	Bytes   int                             `json:"bytes"`
 }
 
@@ -124,7 +124,7 @@
 
 // History returns the latest audit entries of a team, newest first. A limit above
 // MaxPageEntries counts as MaxPageEntries.
-func (r *Register) History(id fleet.TeamID, limit int) []document.Audit {
+func (r *Register) History(id fleet.TeamID, limit int) []document.AuditEntry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	t, ok := r.teams[id]
@@ -153,7 +153,7 @@
 	outcome, parsed := r.decide(c, old)
 	difference := ""
 	if outcome.Verdict == document.Accepted {
-		difference = section.Difference(textOf(old), s.Text)
+		difference = section.Diff(textOf(old), s.Text)
 		r.accept(s, outcome.Revision, parsed)
 	}
 	r.recordChange(t, s.Change, changeRecord{Digest: digest, Outcome: outcome})
@@ -282,7 +282,7 @@
 }
 
 func (r *Register) recordAudit(t *teamHistory, s document.Submission, o document.Outcome, difference string) {
-	a := document.Audit{
+	a := document.AuditEntry{
 		At:         s.At,
 		Team:       s.Team,
 		Operator:   s.Operator,
@@ -305,7 +305,7 @@
 
 func (r *Register) dropOldestAudit(t *teamHistory) {
 	size := auditSize(t.Entries[0])
-	t.Entries[0] = document.Audit{}
+	t.Entries[0] = document.AuditEntry{}
 	t.Entries = t.Entries[1:]
 	t.Bytes -= size
 	r.auditEntries--
@@ -326,7 +326,7 @@
 }
 
 // auditSize returns the size of an audit entry as counted towards MaxAuditBytes.
-func auditSize(a document.Audit) int {
+func auditSize(a document.AuditEntry) int {
 	return entryOverheadBytes + len(a.Operator) + 2*len(a.Change) + len(a.Outcome.Reason) + len(a.Difference)
 }
 
--- a/internal/document/register/register_test.go
+++ b/internal/document/register/register_test.go
@@ -129,7 +129,7 @@
 			t.Fatalf("seed %d: replicas differ:\n%s\n%s", seed, first, data)
 		}
 	}
-	byRevision := make(map[fleet.Revision]document.Audit)
+	byRevision := make(map[fleet.Revision]document.AuditEntry)
 	for _, team := range []fleet.TeamID{"felt", "wool"} {
 		for _, a := range f.replicas[0].History(team, MaxPageEntries) {
 			if a.Outcome.Verdict != document.Accepted {
--- a/internal/document/section/difference.go
+++ b/internal/document/section/difference.go
@@ -14,7 +14,7 @@
 // Texts whose LCS table would exceed maxLCSCells are compared without regard to
 // the order of their lines. A list that exceeds maxDiffBytes is truncated and
 // ends with the line (cut).
-func Difference(old, updated string) string {
+func Diff(old, updated string) string {
 	a, b := splitLines(old), splitLines(updated)
 	for len(a) > 0 && len(b) > 0 && a[0] == b[0] {
 		a, b = a[1:], b[1:]
--- a/internal/document/section/keys.go
+++ b/internal/document/section/keys.go
@@ -15,16 +15,16 @@
 // Key describes one key of a kind of subsection.
 type Key struct {
 	// Kind is the kind of subsection, such as "model".
-	Section string
-	Name    string
+	Kind string
+	Name string
 	// Unit is the unit or format of the value.
 	Unit string
 	// Default is the value of a key that is not given. It is empty when the
 	// key is required or has no default.
 	Default string
 	// Constraint describes the allowed values, such as a range.
-	Bound    string
-	Required bool
+	Constraint string
+	Required   bool
 }
 
 // keySpec is a Key with the function that stores its value in a T.
@@ -95,7 +95,7 @@
 	var b strings.Builder
 	b.WriteString("| subsection | key | unit or form | default | bound |\n|---|---|---|---|---|\n")
 	for _, k := range Keys() {
-		fmt.Fprintf(&b, "| `%s` | `%s` | %s | %s | %s |\n", k.Section, k.Name, k.Unit, k.defaultText(), k.Bound)
+		fmt.Fprintf(&b, "| `%s` | `%s` | %s | %s | %s |\n", k.Kind, k.Name, k.Unit, k.defaultText(), k.Constraint)
 	}
 	return b.String()
 }
@@ -237,7 +237,7 @@
 				return "must be " + constraint
 			}
 		}
-		p.OncePaths = list
+		p.AtMostOncePaths = list
 		return ""
 	}
 	return keySpec[document.Pool]{Key{"pool", "oncePaths", "list of paths", "", constraint, false}, set}
--- a/internal/document/section/section.go
+++ b/internal/document/section/section.go
@@ -265,7 +265,7 @@
 }
 
 func (p *parser) checkPool(title string, pool document.Pool) {
-	if pool.Kind == document.EnginePool && len(pool.OncePaths) > 0 {
+	if pool.Kind == document.EnginePool && len(pool.AtMostOncePaths) > 0 {
 		p.addFault(title, "oncePaths", "is for pools of kind service")
 	}
 }
--- a/internal/document/section/section_test.go
+++ b/internal/document/section/section_test.go
@@ -33,7 +33,7 @@
 				return Table()
 			case "difference":
 				old, next, _ := strings.Cut(d.Input, "====\n")
-				return Difference(old, next)
+				return Diff(old, next)
 			case "start":
 				return start(d.Input)
 			}
@@ -100,7 +100,7 @@
 	is.Equal(p.models[0].MaxTokens, 1024)
 	is.Equal(p.pools[0].Timeout, 30*time.Second)
 	for _, k := range Keys() {
-		is.True(k.Unit != "" && k.Bound != "")
+		is.True(k.Unit != "" && k.Constraint != "")
 		is.True(!k.Required || k.Default == "")
 	}
 }
@@ -190,6 +190,6 @@
 func BenchmarkDifference(b *testing.B) {
 	x, y := accounts("x", 140), accounts("y", 140)
 	for b.Loop() {
-		Difference(x, y)
+		Diff(x, y)
 	}
 }
--- a/internal/entry/caller/answer.go
+++ b/internal/entry/caller/answer.go
@@ -29,14 +29,14 @@
 }
 
 func newErrorBody(q *request, err error) errorBody {
-	response := refusal.KindOf(err).Answer()
+	response := refusal.KindOf(err).Response()
 	return errorBody{Error: errorDetail{
 		Message:    publicMessage(err),
 		Type:       response.Code,
 		Code:       response.Code,
 		RequestID:  q.id,
 		NotRun:     response.NotRun && !q.mayHaveRun(),
-		ResendSafe: response.Resend,
+		ResendSafe: response.ResendSafe,
 	}}
 }
 
@@ -56,7 +56,7 @@
 	if errors.As(err, &e) && e.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(ceilSeconds(e.RetryAfter)))
 	}
-	writeJSON(w, refusal.KindOf(err).Answer().Status, newErrorBody(q, err))
+	writeJSON(w, refusal.KindOf(err).Response().Status, newErrorBody(q, err))
 }
 
 // ceilSeconds returns d in seconds, rounded up.
--- a/internal/entry/caller/bench_test.go
+++ b/internal/entry/caller/bench_test.go
@@ -28,8 +28,8 @@
 	return &blockingExecutor{started: make(chan struct{}, 1<<16), done: make(chan struct{}, 1<<16)}
 }
 
-func (e *blockingExecutor) Run(ctx context.Context, _ pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
-	err := emit(pipeline.Piece{Text: " t"})
+func (e *blockingExecutor) Run(ctx context.Context, _ pipeline.GenerationRequest, emit func(pipeline.Token) error) (pipeline.FinishReason, error) {
+	err := emit(pipeline.Token{Text: " t"})
 	e.started <- struct{}{}
 	if err == nil {
 		<-ctx.Done()
--- a/internal/entry/caller/caller.go
+++ b/internal/entry/caller/caller.go
@@ -33,32 +33,32 @@
 // Lookups runs idempotent calls to plain services. It may try several upstreams
 // for one call.
 type Lookups interface {
-	Lookup(ctx context.Context, r fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Answer, error)
+	Lookup(ctx context.Context, r fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Response, error)
 }
 
 // Orders runs calls that must be run at most once.
 type Orders interface {
-	Order(ctx context.Context, r fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Answer, error)
+	Order(ctx context.Context, r fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Response, error)
 }
 
-// Parts are the components of the daemon that the API uses. All are required.
-type Parts struct {
+// Dependencies are the components of the daemon that the API uses. All are required.
+type Dependencies struct {
 	// Instance is the id of this instance.
 	Instance fleet.InstanceID
 	// Config returns the active configuration, or nil if there is none yet.
-	Config  func() *document.Config
-	Gate    admission.Gate
-	Courier pipeline.Courier
-	Lookups Lookups
-	Orders  Orders
-	Trail   report.Trail
-	Clock   fleet.Clock
-	Log     *zap.Logger
+	Config   func() *document.Config
+	Gate     admission.Gate
+	Executor pipeline.Executor
+	Lookups  Lookups
+	Orders   Orders
+	Trail    report.Trail
+	Clock    fleet.Clock
+	Log      *zap.Logger
 }
 
 // API serves the requests of callers. It is safe for concurrent use.
 type API struct {
-	deps            Parts
+	deps            Dependencies
 	limits          entry.Limits
 	defaultDeadline time.Duration
 	maxDeadline     time.Duration
@@ -86,7 +86,7 @@
 }
 
 // New returns an API that uses deps.
-func New(deps Parts, options ...Option) *API {
+func New(deps Dependencies, options ...Option) *API {
 	a := &API{
 		deps:            deps,
 		limits:          entry.Limits{}.WithDefaults(),
--- a/internal/entry/caller/caller_test.go
+++ b/internal/entry/caller/caller_test.go
@@ -49,7 +49,7 @@
 	evicted chan struct{}
 }
 
-func (f *fake) Enter(context.Context, admission.Ask) (admission.Ticket, error) {
+func (f *fake) Enter(context.Context, admission.Request) (admission.Ticket, error) {
 	if f.admitErr != nil {
 		return nil, f.admitErr
 	}
@@ -59,11 +59,11 @@
 
 func (f *fake) Done() { f.openTickets.Add(-1) }
 
-func (f *fake) Moved() <-chan struct{} { return f.evicted }
+func (f *fake) Evicted() <-chan struct{} { return f.evicted }
 
 func (f *fake) tickets() int { return int(f.openTickets.Load()) }
 
-func (f *fake) Run(ctx context.Context, g pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
+func (f *fake) Run(ctx context.Context, g pipeline.GenerationRequest, emit func(pipeline.Token) error) (pipeline.FinishReason, error) {
 	for i := range g.MaxTokens {
 		if f.runErr != nil && i == f.failAt {
 			return 0, f.runErr
@@ -73,24 +73,24 @@
 			<-ctx.Done()
 			return 0, ctx.Err()
 		}
-		if err := emit(pipeline.Piece{Index: i, Text: fmt.Sprintf(" t%d", i)}); err != nil {
+		if err := emit(pipeline.Token{Index: i, Text: fmt.Sprintf(" t%d", i)}); err != nil {
 			return 0, err
 		}
 	}
-	return pipeline.LengthReached, nil
+	return pipeline.FinishLength, nil
 }
 
-func (f *fake) Lookup(_ context.Context, _ fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+func (f *fake) Lookup(_ context.Context, _ fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Response, error) {
 	return f.respond("lookup", p, c)
 }
 
-func (f *fake) Order(_ context.Context, _ fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+func (f *fake) Order(_ context.Context, _ fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Response, error) {
 	return f.respond("order "+k.Name, p, c)
 }
 
-func (f *fake) respond(kind string, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+func (f *fake) respond(kind string, p document.Pool, c upstream.Call) (upstream.Response, error) {
 	if f.runErr != nil {
-		return upstream.Answer{}, f.runErr
+		return upstream.Response{}, f.runErr
 	}
 	names := make([]string, 0, len(c.Header))
 	for name := range c.Header {
@@ -98,7 +98,7 @@
 	}
 	sort.Strings(names)
 	body := fmt.Sprintf("%s at %s: %s %s %q with %v\n", kind, p.ID, c.Method, c.Path, c.Body, names)
-	return upstream.Answer{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte(body)}, nil
+	return upstream.Response{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte(body)}, nil
 }
 
 type nopTrail struct{}
@@ -122,15 +122,15 @@
 		Accounts: map[fleet.AccountID]document.Account{"acc": {ID: "acc", Team: "alpha", Weight: 1}},
 		Keys:     map[string]fleet.AccountID{digest("key"): "acc"},
 		Pools: map[fleet.PoolID]document.Pool{
-			"desk":  {ID: "desk", Team: "alpha", Kind: document.ServicePool, OncePaths: []string{"/orders"}},
+			"desk":  {ID: "desk", Team: "alpha", Kind: document.ServicePool, AtMostOncePaths: []string{"/orders"}},
 			"rival": {ID: "rival", Team: "beta", Kind: document.ServicePool},
 		},
 	}
 }
 
-func newAPI(f *fake, overrides ...func(*caller.Parts)) *caller.API {
-	deps := caller.Parts{
-		Config: config, Gate: f, Courier: f, Lookups: f, Orders: f,
+func newAPI(f *fake, overrides ...func(*caller.Dependencies)) *caller.API {
+	deps := caller.Dependencies{
+		Config: config, Gate: f, Executor: f, Lookups: f, Orders: f,
 		Trail: nopTrail{}, Clock: systemclock.Clock{}, Log: zap.NewNop(),
 	}
 	for _, override := range overrides {
@@ -139,8 +139,8 @@
 	return caller.New(deps, caller.WithLimits(entry.Limits{MaxBody: 2000}))
 }
 
-func withExecutor(e pipeline.Courier) func(*caller.Parts) {
-	return func(d *caller.Parts) { d.Courier = e }
+func withExecutor(e pipeline.Executor) func(*caller.Dependencies) {
+	return func(d *caller.Dependencies) { d.Executor = e }
 }
 
 // volatileValues matches request ids and times, which differ between runs.
@@ -175,7 +175,7 @@
 	t.Helper()
 	switch name {
 	case "overloaded":
-		f.admitErr = refusal.New(refusal.Overloaded, "the queue is full").After(1500 * time.Millisecond)
+		f.admitErr = refusal.New(refusal.Overloaded, "the queue is full").WithRetryAfter(1500 * time.Millisecond)
 	case "failAt":
 		if _, err := fmt.Sscan(values[0], &f.failAt); err != nil {
 			t.Fatal(err)
--- a/internal/entry/caller/completion.go
+++ b/internal/entry/caller/completion.go
@@ -73,7 +73,7 @@
 		return g, refusal.New(refusal.BadRequest, "the body is not valid UTF-8")
 	}
 	if err := json.Unmarshal(body, &g); err != nil {
-		return g, refusal.Because(refusal.BadRequest, err, "the body is not a valid JSON object: %v", err)
+		return g, refusal.WithCause(refusal.BadRequest, err, "the body is not a valid JSON object: %v", err)
 	}
 	if g.N != nil && *g.N != 1 {
 		return g, refusal.New(refusal.BadRequest, "n: only 1 is supported")
@@ -151,8 +151,8 @@
 	ctx, stop := withEviction(r.Context(), ticket)
 	defer stop()
 	r = r.WithContext(ctx)
-	genRequest := pipeline.Generation{
-		Request:   q.id,
+	genRequest := pipeline.GenerationRequest{
+		RequestID: q.id,
 		Model:     model.ID,
 		Priority:  q.account.Priority,
 		Prompt:    byteTokens(prompt),
--- a/internal/entry/caller/quiet.go
+++ b/internal/entry/caller/quiet.go
@@ -15,14 +15,14 @@
 // is evicted because of quiet hours. The returned function releases the resources
 // of the context.
 func withEviction(ctx context.Context, t admission.Ticket) (context.Context, func()) {
-	evictable, ok := t.(admission.Movable)
+	evictable, ok := t.(admission.Evictable)
 	if !ok {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		select {
-		case <-evictable.Moved():
+		case <-evictable.Evicted():
 			cancel(errEvicted)
 		case <-ctx.Done():
 		}
--- a/internal/entry/caller/request.go
+++ b/internal/entry/caller/request.go
@@ -41,9 +41,9 @@
 func (q *request) mayHaveRun() bool { return q.hasIdempotencyKey && !q.ledgerQueried }
 
 // admissionRequest returns the description of the request for the admission gate.
-func (q *request) admissionRequest(pool fleet.PoolID) admission.Ask {
-	return admission.Ask{
-		Request:  q.id,
+func (q *request) admissionRequest(pool fleet.PoolID) admission.Request {
+	return admission.Request{
+		ID:       q.id,
 		Account:  q.account.ID,
 		Weight:   q.account.Weight,
 		Priority: q.account.Priority,
@@ -58,14 +58,14 @@
 	ticket, err := a.deps.Gate.Enter(ctx, q.admissionRequest(pool))
 	now := a.deps.Clock.Now()
 	entry := report.Entry{
-		At:     now,
-		Part:   "admission",
-		Known:  fmt.Sprintf("pool %s, %s left until the deadline", pool, q.deadline.Sub(start).Round(time.Millisecond)),
-		Chosen: "admitted",
-		Reason: fmt.Sprintf("a place was free after %s", now.Sub(start)),
+		At:        now,
+		Component: "admission",
+		Known:     fmt.Sprintf("pool %s, %s left until the deadline", pool, q.deadline.Sub(start).Round(time.Millisecond)),
+		Chosen:    "admitted",
+		Reason:    fmt.Sprintf("a place was free after %s", now.Sub(start)),
 	}
 	if err != nil {
-		entry.Chosen, entry.Reason = refusal.KindOf(err).Answer().Code, err.Error()
+		entry.Chosen, entry.Reason = refusal.KindOf(err).Response().Code, err.Error()
 	}
 	a.deps.Trail.Add(string(q.id), entry)
 	return ticket, err
@@ -145,7 +145,7 @@
 		return refusal.New(refusal.TooLarge, "the body is larger than %d bytes", tooLarge.Limit)
 	}
 	if err != nil {
-		return refusal.Because(refusal.BadRequest, err, "the body could not be read")
+		return refusal.WithCause(refusal.BadRequest, err, "the body could not be read")
 	}
 	q.body = body
 	return nil
@@ -161,7 +161,7 @@
 	}
 	a.observe(code, duration)
 	a.deps.Trail.Add(string(q.id), report.Entry{
-		At: a.deps.Clock.Now(), Part: "caller", Chosen: code, Reason: errorText(err),
+		At: a.deps.Clock.Now(), Component: "caller", Chosen: code, Reason: errorText(err),
 	})
 	// The fields are built only if the debug level is enabled.
 	entry := a.deps.Log.Check(zap.DebugLevel, "Request ended.")
@@ -178,7 +178,7 @@
 func (a *API) respondError(w http.ResponseWriter, r *http.Request, q *request, err error) string {
 	var broken *brokenStreamError
 	if errors.As(err, &broken) {
-		return refusal.StreamBroken.Answer().Code
+		return refusal.StreamBroken.Response().Code
 	}
 	err = a.asDeadlineError(r, err)
 	kind := refusal.KindOf(err)
@@ -186,14 +186,14 @@
 		a.deps.Log.Error("Request failed.", zap.String("request", string(q.id)), zap.Error(err))
 	}
 	writeError(w, q, err)
-	return kind.Answer().Code
+	return kind.Response().Code
 }
 
 // asDeadlineError returns an error of kind Deadline if err has no kind and was
 // caused by the deadline of the request. Otherwise it returns err.
 func (a *API) asDeadlineError(r *http.Request, err error) error {
 	if refusal.KindOf(err) == refusal.Internal && errors.Is(err, context.DeadlineExceeded) {
-		return refusal.Because(refusal.Deadline, err, "the deadline of the request has passed")
+		return refusal.WithCause(refusal.Deadline, err, "the deadline of the request has passed")
 	}
 	return err
 }
--- a/internal/entry/caller/service.go
+++ b/internal/entry/caller/service.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	defer ticket.Done()
-	var response upstream.Answer
+	var response upstream.Response
 	if atMostOnce {
 		q.ledgerQueried = true
 		response, err = a.deps.Orders.Order(r.Context(), q.id, key, pool, call)
@@ -93,7 +93,7 @@
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return false
 	}
-	for _, prefix := range p.OncePaths {
+	for _, prefix := range p.AtMostOncePaths {
 		if strings.HasPrefix(strings.ToLower(c.Path), strings.ToLower(prefix)) {
 			return true
 		}
@@ -123,7 +123,7 @@
 	"Trailer", "Transfer-Encoding", "Upgrade", "X-Request-Id",
 }
 
-func writeResponse(w http.ResponseWriter, response upstream.Answer) error {
+func writeResponse(w http.ResponseWriter, response upstream.Response) error {
 	header := w.Header()
 	for name, values := range response.Header {
 		if !slices.Contains(excludedResponseHeaders, textproto.CanonicalMIMEHeaderKey(name)) {
--- a/internal/entry/caller/shape.go
+++ b/internal/entry/caller/shape.go
@@ -18,7 +18,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-func newUsage(g pipeline.Generation, count int) usage {
+func newUsage(g pipeline.GenerationRequest, count int) usage {
 	return usage{
 		PromptTokens:     len(g.Prompt),
 		CompletionTokens: count,
--- a/internal/entry/caller/stream.go
+++ b/internal/entry/caller/stream.go
@@ -20,10 +20,10 @@
 func (b *brokenStreamError) Unwrap() error { return b.cause }
 
 // serveUnary runs a generation to its end and responds with one JSON object.
-func (a *API) serveUnary(w http.ResponseWriter, r *http.Request, g pipeline.Generation, meta responseMeta, format responseFormat) error {
+func (a *API) serveUnary(w http.ResponseWriter, r *http.Request, g pipeline.GenerationRequest, meta responseMeta, format responseFormat) error {
 	var text strings.Builder
 	count := 0
-	reason, err := a.deps.Courier.Run(r.Context(), g, func(tok pipeline.Piece) error {
+	reason, err := a.deps.Executor.Run(r.Context(), g, func(tok pipeline.Token) error {
 		count++
 		text.WriteString(tok.Text)
 		return nil
@@ -38,10 +38,10 @@
 // serveStream runs a generation and sends one server-sent event per token. The
 // status is sent with the first token, so that an error before it results in an
 // ordinary error response.
-func (a *API) serveStream(w http.ResponseWriter, r *http.Request, g pipeline.Generation, meta responseMeta, format responseFormat, withUsage bool) error {
+func (a *API) serveStream(w http.ResponseWriter, r *http.Request, g pipeline.GenerationRequest, meta responseMeta, format responseFormat, withUsage bool) error {
 	s := &eventWriter{w: w, controller: http.NewResponseController(w)}
 	count := 0
-	reason, err := a.deps.Courier.Run(r.Context(), g, func(tok pipeline.Piece) error {
+	reason, err := a.deps.Executor.Run(r.Context(), g, func(tok pipeline.Token) error {
 		count++
 		return s.send(format.chunk(meta, tok.Text, count == 1))
 	})
@@ -69,7 +69,7 @@
 	if !s.started {
 		return err
 	}
-	streamErr := refusal.Because(refusal.StreamBroken, err, "the stream broke before its end: %s", publicMessage(a.asDeadlineError(r, err)))
+	streamErr := refusal.WithCause(refusal.StreamBroken, err, "the stream broke before its end: %s", publicMessage(a.asDeadlineError(r, err)))
 	// The caller may have disconnected already.
 	_ = s.send(newErrorBody(&request{id: meta.id}, streamErr))
 	return &brokenStreamError{cause: err}
--- a/internal/entry/console/commands.go
+++ b/internal/entry/console/commands.go
@@ -129,7 +129,7 @@
 	if err := c.call(http.MethodGet, "/v1/section", nil, &s); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "# against revision %d\n%s", s.Revision, section.Difference(s.Text, text))
+	fmt.Fprintf(c.out, "# against revision %d\n%s", s.Revision, section.Diff(s.Text, text))
 	return nil
 }
 
@@ -140,7 +140,7 @@
 
 // Execute prints the newest audit entries.
 func (c *historyCommand) Execute([]string) error {
-	var entries []document.Audit
+	var entries []document.AuditEntry
 	if err := c.call(http.MethodGet, "/v1/history?limit="+strconv.Itoa(c.Limit), nil, &entries); err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 	if c.JSON {
 		return c.printJSON(s)
 	}
-	fmt.Fprintf(c.out, "revision %d in force on %s, confirmed %.1f s ago\n", s.Revision, s.Instance, float64(s.ConfirmedAgo))
+	fmt.Fprintf(c.out, "revision %d in force on %s, confirmed %.1f s ago\n", s.Revision, s.Instance, float64(s.ConfirmationAge))
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "INSTANCE\tDATA CENTRE\tSTATUS\tVOTER\tREVISION\tSINCE")
 	for _, i := range s.Instances {
@@ -194,7 +194,7 @@
 	for _, v := range voters {
 		name := v.Instance
 		if v.Learner {
-			name += fmt.Sprintf(" (learner, %d behind)", v.Behind)
+			name += fmt.Sprintf(" (learner, %d behind)", v.LagEntries)
 		}
 		names = append(names, name)
 	}
@@ -203,8 +203,8 @@
 
 func (c *statusCommand) printChanges(changes []operator.ChangeStatus) {
 	for _, change := range changes {
-		if change.InForce != nil {
-			fmt.Fprintf(c.out, "revision %d in force everywhere since %s\n", change.Revision, change.InForce.Format(time.RFC3339Nano))
+		if change.ActiveAt != nil {
+			fmt.Fprintf(c.out, "revision %d in force everywhere since %s\n", change.Revision, change.ActiveAt.Format(time.RFC3339Nano))
 			continue
 		}
 		fmt.Fprintf(c.out, "revision %d lagging on %v\n", change.Revision, change.Lagging)
@@ -235,9 +235,9 @@
 }
 
 func (c *explainCommand) printEntry(e report.Entry) {
-	fmt.Fprintf(c.out, "%s %s: %s\n", e.At.Format("15:04:05.000"), e.Part, e.Chosen)
+	fmt.Fprintf(c.out, "%s %s: %s\n", e.At.Format("15:04:05.000"), e.Component, e.Chosen)
 	for _, line := range []struct{ label, text string }{
-		{"known", e.Known}, {"weighed", e.Weighed}, {"reason", e.Reason}, {"next", e.Next},
+		{"known", e.Known}, {"weighed", e.Alternatives}, {"reason", e.Reason}, {"next", e.Next},
 	} {
 		if line.text != "" {
 			fmt.Fprintf(c.out, "    %s: %s\n", line.label, line.text)
--- a/internal/entry/console/orders.go
+++ b/internal/entry/console/orders.go
@@ -19,7 +19,7 @@
 
 // Execute prints the orders of the account whose outcome is unknown.
 func (c *ordersCommand) Execute([]string) error {
-	var claims []ledger.Open
+	var claims []ledger.OpenClaim
 	if err := c.call(http.MethodGet, "/v1/orders?account="+url.QueryEscape(c.Account), nil, &claims); err != nil {
 		return err
 	}
--- a/internal/entry/daemon/decisions.go
+++ b/internal/entry/daemon/decisions.go
@@ -33,9 +33,9 @@
 
 // initialSpeed is the assumed speed of an engine without measurements.
 var initialSpeed = pipeline.Speed{
-	Fixed:    time.Millisecond,
-	Layer:    500 * time.Microsecond,
-	Position: 50 * time.Microsecond,
+	FixedTime:    time.Millisecond,
+	LayerTime:    500 * time.Microsecond,
+	PositionTime: 50 * time.Microsecond,
 }
 
 // controllers holds the controllers of routing, admission, quiet hours and
@@ -48,7 +48,7 @@
 	gate       *gate.Gate
 	dispatcher *dispatch.Dispatcher
 	counts     inflight.Counts
-	courier    *courier.Courier
+	courier    *courier.Executor
 
 	// appliedConfig is the configuration that the controllers currently use.
 	// lastUsageExchange is when account usage was last exchanged. Only the
@@ -60,7 +60,7 @@
 func (d *Daemon) openControllers() error {
 	r, err := roster.New(
 		roster.WithDataCentre(d.settings.Instance.DataCentre),
-		roster.WithFreshness(d.settings.Upstreams.ConfirmationAge),
+		roster.WithHeartbeatTimeout(d.settings.Upstreams.HeartbeatTimeout),
 	)
 	if err != nil {
 		return errors.Wrap(err, "open upstream registry")
@@ -71,7 +71,7 @@
 		limiter:  share.New(d.settings.Instance.FleetSize),
 		governor: governor.New(maxClockError),
 	}
-	c.gate = gate.New(d.clock, c.limiter, gate.WithQueue(d.settings.Requests.QueueLength), gate.WithBound(c.governor))
+	c.gate = gate.New(d.clock, c.limiter, gate.WithQueueLimit(d.settings.Requests.QueueLength), gate.WithQuietLimit(c.governor))
 	c.dispatcher = dispatch.New(r, c.dialer, d.clock, dispatch.WithBudget(budget.New()), dispatch.WithTrail(d.state.trail))
 	learnedSpeeds := speeds.New(initialSpeed)
 	maxStepTimeout := d.settings.Upstreams.StepTimeout
@@ -82,7 +82,7 @@
 		courier.WithObserver(learnedSpeeds),
 		courier.WithRoster(r),
 		courier.WithTrail(d.state.trail),
-		courier.WithGauge(&c.counts),
+		courier.WithSequenceCounter(&c.counts),
 		courier.WithTimeouts(min(courier.DefaultMinTimeout, maxStepTimeout), maxStepTimeout),
 	)
 	d.controllers = c
@@ -141,7 +141,7 @@
 // capacity returns the capacity of a pool for admission.
 func (d *Daemon) capacity(id fleet.PoolID, instances int) lane.Capacity {
 	load := d.controllers.dispatcher.Pool(id).Load()
-	return lane.Capacity{Slots: load.Slots, Instances: instances, Reported: load.Reported, Known: load.Known}
+	return lane.Capacity{Slots: load.Slots, Instances: instances, ReportedLoad: load.Reported, ReportedSlots: load.ReportedSlots}
 }
 
 // aliveIn returns the IDs of the live members in a data centre, or in all data centres
--- a/internal/entry/daemon/drain_test.go
+++ b/internal/entry/daemon/drain_test.go
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	f, err := processes.New("", t.TempDir())
 	is.NoErr(err)
-	address, err := f.Address()
+	address, err := f.FreeAddress()
 	is.NoErr(err)
 	h := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	s, err := startServer("callers", address, h, entry.Limits{}, "", "", systemclock.Clock{}, zap.NewNop(), make(chan error, 1))
--- a/internal/entry/daemon/finder.go
+++ b/internal/entry/daemon/finder.go
@@ -19,7 +19,7 @@
 		return record, true
 	}
 	for _, m := range d.members() {
-		if m.ID == d.settings.Instance.ID || !fleet.RequestID(id).MayBeOf(m.ID) {
+		if m.ID == d.settings.Instance.ID || !fleet.RequestID(id).MayBeFrom(m.ID) {
 			continue
 		}
 		if record, found := d.findRemote(ctx, m.Peers, id); found {
--- a/internal/entry/daemon/hostile_test.go
+++ b/internal/entry/daemon/hostile_test.go
@@ -41,10 +41,10 @@
 // service with a large response. It sends to ended when a request has ended.
 type floodingFake struct{ ended chan error }
 
-func (f floodingFake) Run(ctx context.Context, _ pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
+func (f floodingFake) Run(ctx context.Context, _ pipeline.GenerationRequest, emit func(pipeline.Token) error) (pipeline.FinishReason, error) {
 	text := strings.Repeat("t", 64<<10)
 	for {
-		if err := emit(pipeline.Piece{Text: text}); err != nil {
+		if err := emit(pipeline.Token{Text: text}); err != nil {
 			f.ended <- err
 			return 0, err
 		}
@@ -55,13 +55,15 @@
 	}
 }
 
-func (f floodingFake) Enter(context.Context, admission.Ask) (admission.Ticket, error) { return f, nil }
+func (f floodingFake) Enter(context.Context, admission.Request) (admission.Ticket, error) {
+	return f, nil
+}
 
 // Done implements admission.Ticket. It also reports the end of a call to the service.
 func (f floodingFake) Done() { f.ended <- nil }
 
-func (f floodingFake) Lookup(context.Context, fleet.RequestID, document.Pool, upstream.Call) (upstream.Answer, error) {
-	return upstream.Answer{Status: http.StatusOK, Body: make([]byte, 64<<20)}, nil
+func (f floodingFake) Lookup(context.Context, fleet.RequestID, document.Pool, upstream.Call) (upstream.Response, error) {
+	return upstream.Response{Status: http.StatusOK, Body: make([]byte, 64<<20)}, nil
 }
 
 // startCallers starts a callers' listener with the given limits and returns its address.
@@ -73,8 +75,8 @@
 		Keys:     map[string]fleet.AccountID{processes.Digest(processes.APIKey): "acc"},
 		Pools:    map[fleet.PoolID]document.Pool{"desk": {ID: "desk", Team: "alpha", Kind: document.ServicePool}},
 	}
-	api := caller.New(caller.Parts{
-		Config: func() *document.Config { return config }, Gate: f, Courier: f, Lookups: f,
+	api := caller.New(caller.Dependencies{
+		Config: func() *document.Config { return config }, Gate: f, Executor: f, Lookups: f,
 		Trail: trail.New(), Clock: systemclock.Clock{}, Log: zap.NewNop(),
 	}, caller.WithLimits(l))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/entry/daemon/listener.go
+++ b/internal/entry/daemon/listener.go
@@ -36,6 +36,6 @@
 			return timedListener{Listener: netutil.LimitListener(n, l.MaxConnections), timeout: l.WriteTimeout}
 		}),
 		listener.WithTLS(certificate, key),
-		listener.Failed(func(err error) { failed <- err }),
+		listener.WithFailureHandler(func(err error) { failed <- err }),
 	), nil
 }
--- a/internal/entry/daemon/membership.go
+++ b/internal/entry/daemon/membership.go
@@ -27,8 +27,8 @@
 		packet.WithSecret(s.Membership.Secret),
 		packet.WithSeeds(s.Membership.Seeds...),
 		packet.WithRoster(d.controllers.roster),
-		packet.WithCut(d.faults.shouldDrop),
-		packet.WithCombine(func([][]byte) []byte { return d.controllers.limiter.GroupSummary(d.clock.Now()) }),
+		packet.WithDropFunc(d.faults.shouldDrop),
+		packet.WithUsageCombiner(func([][]byte) []byte { return d.controllers.limiter.GroupSummary(d.clock.Now()) }),
 		packet.WithRevisionHook(func(fleet.Revision) { d.wake() }),
 	)
 	d.node = node
@@ -48,12 +48,12 @@
 func (d *Daemon) exchangeUsage(now time.Time) {
 	limiter := d.controllers.limiter
 	for id, usage := range d.node.InstanceUsages() {
-		if err := limiter.Absorb(id, usage, now); err != nil {
+		if err := limiter.ReceiveSummary(id, usage, now); err != nil {
 			d.log.Warn("Account usage of an instance could not be decoded.", zap.String("instance", string(id)), zap.Error(err))
 		}
 	}
-	for id, usage := range d.node.CentreUsages() {
-		if err := limiter.AbsorbGroup(id, usage, now); err != nil {
+	for id, usage := range d.node.DataCentreUsages() {
+		if err := limiter.ReceiveGroupSummary(id, usage, now); err != nil {
 			d.log.Warn("Account usage of a data centre could not be decoded.", zap.String("dataCentre", string(id)), zap.Error(err))
 		}
 	}
--- a/internal/entry/daemon/metrics.go
+++ b/internal/entry/daemon/metrics.go
@@ -43,7 +43,7 @@
 	}
 	d.gauge("configuration_revision", "Revision of the configuration in force.", func() float64 { return float64(d.activeRevision()) })
 	d.gauge("configuration_age_seconds", "Time since a peer confirmed that the configuration in force is the newest.", func() float64 {
-		return d.state.follower.Status().Age(d.clock.Now()).Seconds()
+		return d.state.follower.Status().ConfirmationAge(d.clock.Now()).Seconds()
 	})
 	d.gauge("instances_alive", "Instances that are known to be alive.", func() float64 { return float64(len(aliveIn(d.members(), ""))) })
 	d.gauge("instances_lost", "Instances that are suspect or dead.", func() float64 { return float64(countLost(d.members())) })
--- a/internal/entry/daemon/repairer.go
+++ b/internal/entry/daemon/repairer.go
@@ -25,12 +25,12 @@
 func (d *Daemon) startRepair() error {
 	s := d.settings
 	proposer := configgroup.Select(d.state.proposer, configgroup.Fencing)
-	holder := fencing.NewHolder(proposer, quorum.ConfigGroup, d.clock, s.Instance.ID, fencing.DefaultTerms)
+	holder := fencing.NewHolder(proposer, quorum.ConfigGroup, d.clock, s.Instance.ID, fencing.DefaultTiming)
 	loop := &repair.Loop{
 		Controller: repair.NewController(repair.Settings{
 			Instance:       s.Instance.ID,
 			LayerBytes:     s.Repair.LayerBytes,
-			BytesPerSecond: s.Repair.WeightRate,
+			BytesPerSecond: s.Repair.WeightBytesPerSecond,
 		}),
 		Roster:    d.controllers.roster,
 		Models:    d.modelsToRepair,
--- a/internal/entry/daemon/requests.go
+++ b/internal/entry/daemon/requests.go
@@ -24,7 +24,7 @@
 // requests holds the handlers of the HTTP listeners and the executor of orders.
 type requests struct {
 	daemon    *Daemon
-	desk      *desk.Desk
+	desk      *desk.Executor
 	callers   http.Handler
 	operators http.Handler
 	upstreams http.Handler
@@ -35,11 +35,11 @@
 	r := &requests{daemon: d, desk: desk.New(d.state.ledger, d.clock, d.settings.Instance.ID, d.base)}
 	d.requests = r
 	s := d.settings
-	r.callers = caller.New(caller.Parts{
+	r.callers = caller.New(caller.Dependencies{
 		Instance: s.Instance.ID,
 		Config:   d.activeConfig,
 		Gate:     d.controllers.gate,
-		Courier:  d.controllers.courier,
+		Executor: d.controllers.courier,
 		Lookups:  d.controllers.dispatcher,
 		Orders:   r,
 		Trail:    d.state.trail,
@@ -47,18 +47,18 @@
 		Log:      d.base.Named("caller"),
 	},
 		caller.WithLimits(s.Limits),
-		caller.WithDeadlines(s.Requests.Deadline, s.Requests.MaxDeadline),
+		caller.WithDeadlines(s.Requests.DefaultDeadline, s.Requests.MaxDeadline),
 		caller.WithObserver(newRequestMetrics(d.metrics).observe),
 	).Handler()
-	r.operators = operator.New(operator.Parts{
-		Documents: d.state.register,
-		Finder:    r,
-		Orders:    d.state.ledger,
-		Owner:     d.owner,
-		Status:    d.status,
-		Tokens:    s.Operators.Tokens,
-		Clock:     d.clock,
-		Log:       d.base.Named("operator"),
+	r.operators = operator.New(operator.Dependencies{
+		Documents:   d.state.register,
+		Finder:      r,
+		Orders:      d.state.ledger,
+		AccountTeam: d.owner,
+		Status:      d.status,
+		Tokens:      s.Operators.Tokens,
+		Clock:       d.clock,
+		Log:         d.base.Named("operator"),
 	}, operator.WithLimits(s.Limits), operator.WithTimeout(2*s.Quorum.ProposalTimeout)).Handler()
 	r.upstreams = roster.NewHandler(d.controllers.roster, d.clock, roster.WithToken(string(s.Upstreams.Token)))
 	var injection http.Handler
@@ -109,7 +109,7 @@
 }
 
 // Order implements caller.Orders.
-func (r *requests) Order(ctx context.Context, id fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+func (r *requests) Order(ctx context.Context, id fleet.RequestID, k order.Key, p document.Pool, c upstream.Call) (upstream.Response, error) {
 	picker := &picker{daemon: r.daemon, request: id, pool: p.ID}
 	response, err := r.desk.Run(ctx, desk.Order{Key: k, Request: id, Call: c, Timeout: p.Timeout, Pick: picker.next})
 	r.record(id, k, picker, err)
@@ -119,14 +119,14 @@
 // record adds the outcome of an order to the decision record of the request.
 func (r *requests) record(id fleet.RequestID, k order.Key, p *picker, err error) {
 	entry := report.Entry{
-		At:     r.daemon.clock.Now(),
-		Part:   "order",
-		Known:  "key " + k.Name,
-		Chosen: "sent to an upstream, answer recorded",
+		At:        r.daemon.clock.Now(),
+		Component: "order",
+		Known:     "key " + k.Name,
+		Chosen:    "sent to an upstream, answer recorded",
 	}
 	switch {
 	case err != nil:
-		entry.Chosen, entry.Reason = refusal.KindOf(err).Answer().Code, err.Error()
+		entry.Chosen, entry.Reason = refusal.KindOf(err).Response().Code, err.Error()
 	case len(p.tried) == 0:
 		entry.Chosen, entry.Reason = "not sent", "the recorded answer of the key was given again"
 	}
@@ -158,7 +158,7 @@
 }
 
 // Call implements upstream.ServiceClient.
-func (l *leasedClient) Call(ctx context.Context, c upstream.Call) (upstream.Answer, error) {
+func (l *leasedClient) Call(ctx context.Context, c upstream.Call) (upstream.Response, error) {
 	response, err := l.client.Call(ctx, c)
 	l.lease.Done(dispatch.Result(ctx, response, err))
 	return response, err
--- a/internal/entry/daemon/spread.go
+++ b/internal/entry/daemon/spread.go
@@ -73,7 +73,7 @@
 	for r := s.newest; r >= s.oldestTracked() && r > 0; r-- {
 		change := operator.ChangeStatus{Revision: r}
 		if at, known := s.activeAt[r]; known {
-			change.InForce = &at
+			change.ActiveAt = &at
 		} else {
 			change.Lagging = lagging(members, r)
 		}
--- a/internal/entry/daemon/state.go
+++ b/internal/entry/daemon/state.go
@@ -53,10 +53,10 @@
 func (d *Daemon) orderLimits() ledger.Limits {
 	o := d.settings.Orders
 	return ledger.Limits{
-		Retention:  o.Retention,
-		MaxRecords: o.MaxRecords,
-		MaxBytes:   int(o.MaxBytes),
-		MaxAnswer:  int(o.MaxAnswer),
+		Retention:        o.Retention,
+		MaxRecords:       o.MaxRecords,
+		MaxBytes:         int(o.MaxBytes),
+		MaxResponseBytes: int(o.MaxResponseBytes),
 	}
 }
 
@@ -85,16 +85,16 @@
 func (d *Daemon) quorumOptions() []voter.Option {
 	s := d.settings
 	var peers []voter.Peer
-	for _, v := range s.Quorum.Voters {
+	for _, v := range s.Quorum.InitialVoters {
 		peers = append(peers, voter.Peer{ID: v.ID, Instance: v.Instance, Address: v.Address})
 	}
 	return []voter.Option{
 		voter.Instance(s.Instance.ID, s.Listeners.Peers),
-		voter.Initial(peers...),
+		voter.InitialVoters(peers...),
 		voter.Clock(d.clock),
-		voter.Tick(s.Quorum.Tick),
+		voter.TickInterval(s.Quorum.TickInterval),
 		voter.AttemptTimeout(s.Quorum.ProposalTimeout),
-		voter.Dial(grpc.WithTransportCredentials(d.credentials.Client)),
+		voter.DialOptions(grpc.WithTransportCredentials(d.credentials.Client)),
 		voter.Logger(d.base),
 		voter.Cut(d.faults.shouldDrop),
 	}
--- a/internal/entry/daemon/status.go
+++ b/internal/entry/daemon/status.go
@@ -17,13 +17,13 @@
 	d.propagation.observe(members, now)
 	follower := d.state.follower.Status()
 	s := operator.Status{
-		Instance:     d.settings.Instance.ID,
-		Revision:     d.activeRevision(),
-		ConfirmedAgo: operator.InSeconds(follower.Age(now)),
-		Instances:    []operator.InstanceStatus{},
-		Changes:      d.propagation.changes(members),
-		Groups:       d.groups(),
-		Upstreams:    d.pools(now),
+		Instance:        d.settings.Instance.ID,
+		Revision:        d.activeRevision(),
+		ConfirmationAge: operator.InSeconds(follower.ConfirmationAge(now)),
+		Instances:       []operator.InstanceStatus{},
+		Changes:         d.propagation.changes(members),
+		Groups:          d.groups(),
+		Upstreams:       d.pools(now),
 	}
 	for _, m := range members {
 		s.Instances = append(s.Instances, operator.InstanceStatus{
@@ -57,7 +57,7 @@
 			s.Leader = m.Instance
 		}
 		s.Voters = append(s.Voters, operator.VoterStatus{
-			ID: uint64(m.ID), Instance: m.Instance, Learner: m.Learner, Behind: uint64(m.Lag),
+			ID: uint64(m.ID), Instance: m.Instance, Learner: m.Learner, LagEntries: uint64(m.Lag),
 		})
 	}
 	return s
--- a/internal/entry/daemon/tls_test.go
+++ b/internal/entry/daemon/tls_test.go
@@ -121,7 +121,7 @@
 	}
 	var l [6]string
 	for i := range l {
-		if l[i], err = f.Address(); err != nil {
+		if l[i], err = f.FreeAddress(); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/entry/lifecycle/lifecycle.go
+++ b/internal/entry/lifecycle/lifecycle.go
@@ -40,7 +40,7 @@
 }
 
 // Manager handles the signals of a daemon and reloads its settings.
-type Life struct {
+type Manager struct {
 	clock    fleet.Clock
 	logger   *zap.Logger
 	interval time.Duration
@@ -49,17 +49,17 @@
 }
 
 // Option configures a Manager.
-type Option func(*Life)
+type Option func(*Manager)
 
 // WithReload calls read on SIGHUP and, if interval is positive, when interval has passed
 // since the last call. Calls never overlap, and continue while the daemon drains.
-func Reload(interval time.Duration, read func()) Option {
-	return func(m *Life) { m.interval, m.reload = interval, read }
+func WithReload(interval time.Duration, read func()) Option {
+	return func(m *Manager) { m.interval, m.reload = interval, read }
 }
 
 // New returns a Manager that handles signals until the process exits.
-func New(s Signals, c fleet.Clock, l *zap.Logger, options ...Option) *Life {
-	m := &Life{clock: c, logger: l, reload: func() {}, stopping: make(chan struct{})}
+func New(s Signals, c fleet.Clock, l *zap.Logger, options ...Option) *Manager {
+	m := &Manager{clock: c, logger: l, reload: func() {}, stopping: make(chan struct{})}
 	for _, o := range options {
 		o(m)
 	}
@@ -79,10 +79,10 @@
 }
 
 // Stopping returns a channel that is closed at the first request to stop.
-func (m *Life) Stopping() <-chan struct{} { return m.stopping }
+func (m *Manager) Stopping() <-chan struct{} { return m.stopping }
 
 // awaitReload waits until a reload is due and performs it.
-func (m *Life) awaitReload(s Signals) {
+func (m *Manager) awaitReload(s Signals) {
 	var tick <-chan time.Time
 	if m.interval > 0 {
 		tick = m.clock.After(m.interval)
@@ -95,7 +95,7 @@
 	m.reload()
 }
 
-func (m *Life) stop(sig os.Signal) {
+func (m *Manager) stop(sig os.Signal) {
 	select {
 	case <-m.stopping:
 		m.logSignal("The daemon is stopping already.", sig)
@@ -107,7 +107,7 @@
 
 // logSignal logs a signal and wakes the log output at once, because the line may be one
 // of the last of the process.
-func (m *Life) logSignal(message string, sig os.Signal) {
+func (m *Manager) logSignal(message string, sig os.Signal) {
 	m.logger.Info(message, zap.Stringer("signal", sig))
 	_ = m.logger.Sync() // Sync only wakes the output
 }
--- a/internal/entry/lifecycle/lifecycle_test.go
+++ b/internal/entry/lifecycle/lifecycle_test.go
@@ -30,7 +30,7 @@
 	}))
 	c := make(clock)
 	blocked := make(chan struct{}, 1) // full while a reload is blocked
-	m := lifecycle.New(lifecycle.Catch(), c, log, lifecycle.Reload(time.Minute, func() {
+	m := lifecycle.New(lifecycle.Catch(), c, log, lifecycle.WithReload(time.Minute, func() {
 		blocked <- struct{}{}
 		<-blocked
 		events <- "reload"
--- a/internal/entry/listener/limit_test.go
+++ b/internal/entry/listener/limit_test.go
@@ -25,7 +25,7 @@
 	httpServer := &http.Server{ReadHeaderTimeout: time.Hour, IdleTimeout: time.Hour, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 	})}
-	s := New("test", l, httpServer, make(clock), zap.NewNop(), Limit(func() Limits { return limits }))
+	s := New("test", l, httpServer, make(clock), zap.NewNop(), WithLimits(func() Limits { return limits }))
 	t.Cleanup(func() { _ = s.http.Close() })
 	c, err := net.Dial("tcp", l.Addr().String())
 	is.NoErr(err)
--- a/internal/entry/listener/listener.go
+++ b/internal/entry/listener/listener.go
@@ -87,7 +87,7 @@
 
 // WithRequestName sets the function that names aborted requests in the log. The default
 // is method and path.
-func Identify(f func(*http.Request) string) Option {
+func WithRequestName(f func(*http.Request) string) Option {
 	return func(s *Server) { s.requestName = f }
 }
 
@@ -102,11 +102,11 @@
 }
 
 // WithLimits sets a function that returns the current limits, which may change.
-func Limit(f func() Limits) Option { return func(s *Server) { s.limits = f } }
+func WithLimits(f func() Limits) Option { return func(s *Server) { s.limits = f } }
 
 // WithFailureHandler sets a function that is called with the error if the server stops
 // accepting connections without a call to Stop.
-func Failed(f func(error)) Option { return func(s *Server) { s.onFailure = f } }
+func WithFailureHandler(f func(error)) Option { return func(s *Server) { s.onFailure = f } }
 
 // Listen opens a TCP listener for a Server.
 func Listen(name, address string) (*net.TCPListener, error) {
--- a/internal/entry/listener/listener_test.go
+++ b/internal/entry/listener/listener_test.go
@@ -271,7 +271,7 @@
 	l, err := Listen("test", "127.0.0.1:0")
 	is.NoErr(err)
 	failed := make(chan error, 1)
-	s := New("test", l, &http.Server{}, make(clock), zap.NewNop(), Failed(func(err error) { failed <- err }))
+	s := New("test", l, &http.Server{}, make(clock), zap.NewNop(), WithFailureHandler(func(err error) { failed <- err }))
 	_ = l.Close()
 	err = <-failed
 	is.True(err != nil)
--- a/internal/entry/operator/operator.go
+++ b/internal/entry/operator/operator.go
@@ -44,7 +44,7 @@
 	Document(ctx context.Context) (document.Document, error)
 	// History returns up to limit of the newest audit entries of a team, newest
 	// first.
-	History(ctx context.Context, team fleet.TeamID, limit int) ([]document.Audit, error)
+	History(ctx context.Context, team fleet.TeamID, limit int) ([]document.AuditEntry, error)
 }
 
 // Finder finds decision records, including those of other instances.
@@ -52,14 +52,14 @@
 	Find(ctx context.Context, id string) (report.Record, bool)
 }
 
-// Parts are the components of the daemon that the API uses. All are required.
-type Parts struct {
+// Dependencies are the components of the daemon that the API uses. All are required.
+type Dependencies struct {
 	Documents Documents
 	Finder    Finder
 	Orders    Orders
-	// Owner returns the team of a client account, and false if the account is
+	// AccountTeam returns the team of a client account, and false if the account is
 	// unknown.
-	Owner func(fleet.AccountID) (fleet.TeamID, bool)
+	AccountTeam func(fleet.AccountID) (fleet.TeamID, bool)
 	// Status returns the state of the fleet as known to this instance.
 	Status func() Status
 	// Tokens maps the hexadecimal SHA-256 digest of a token to its team.
@@ -70,7 +70,7 @@
 
 // API serves the requests of operators. It is safe for concurrent use.
 type API struct {
-	deps    Parts
+	deps    Dependencies
 	limits  entry.Limits
 	timeout time.Duration
 }
@@ -90,7 +90,7 @@
 }
 
 // New returns an API that uses deps.
-func New(deps Parts, options ...Option) *API {
+func New(deps Dependencies, options ...Option) *API {
 	a := &API{deps: deps, limits: entry.Limits{}.WithDefaults(), timeout: 10 * time.Second}
 	for _, option := range options {
 		option(a)
@@ -127,7 +127,7 @@
 		if err == nil {
 			return
 		}
-		response := refusal.KindOf(err).Answer()
+		response := refusal.KindOf(err).Response()
 		a.deps.Log.Info("Operator call refused.", zap.String("team", string(team)),
 			zap.String("path", r.URL.Path), zap.String("code", response.Code))
 		writeJSON(w, response.Status, ErrorResponse{Error: ErrorDetail{Code: response.Code, Message: publicMessage(err)}})
@@ -230,7 +230,7 @@
 		return s, err
 	}
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return s, refusal.Because(refusal.BadRequest, err, "the body is not a valid JSON object: %v", err)
+		return s, refusal.WithCause(refusal.BadRequest, err, "the body is not a valid JSON object: %v", err)
 	}
 	switch {
 	case s.Change == "" || len(s.Change) > maxChangeIDBytes:
@@ -250,7 +250,7 @@
 		return nil, refusal.New(refusal.TooLarge, "the body is larger than %d bytes", tooLarge.Limit)
 	}
 	if err != nil {
-		return nil, refusal.Because(refusal.BadRequest, err, "the body could not be read")
+		return nil, refusal.WithCause(refusal.BadRequest, err, "the body could not be read")
 	}
 	if !utf8.Valid(raw) {
 		return nil, refusal.New(refusal.BadRequest, "the body is not valid UTF-8")
@@ -289,7 +289,7 @@
 		return err
 	}
 	if entries == nil {
-		entries = []document.Audit{}
+		entries = []document.AuditEntry{}
 	}
 	writeJSON(w, http.StatusOK, entries)
 	return nil
--- a/internal/entry/operator/operator_test.go
+++ b/internal/entry/operator/operator_test.go
@@ -50,8 +50,8 @@
 	}}, nil
 }
 
-func (fakeDependencies) History(_ context.Context, team fleet.TeamID, limit int) ([]document.Audit, error) {
-	return []document.Audit{{Team: team, Change: fleet.ChangeID(fmt.Sprint("limit ", limit))}}, nil
+func (fakeDependencies) History(_ context.Context, team fleet.TeamID, limit int) ([]document.AuditEntry, error) {
+	return []document.AuditEntry{{Team: team, Change: fleet.ChangeID(fmt.Sprint("limit ", limit))}}, nil
 }
 
 func (fakeDependencies) Find(_ context.Context, id string) (report.Record, bool) {
@@ -59,11 +59,11 @@
 	return report.Record{ID: id, Team: teams[id], Entries: []report.Entry{}}, teams[id] != ""
 }
 
-func (fakeDependencies) OpenClaims(context.Context, fleet.AccountID, int) ([]ledger.Open, error) {
+func (fakeDependencies) OpenClaims(context.Context, fleet.AccountID, int) ([]ledger.OpenClaim, error) {
 	return nil, nil
 }
 
-func (fakeDependencies) Settle(_ context.Context, s ledger.Settlement, _ upstream.Answer) error {
+func (fakeDependencies) Settle(_ context.Context, s ledger.Settlement, _ upstream.Response) error {
 	if s.Attempt != "attempt-1" {
 		return refusal.New(refusal.Conflict, "the attempt holds no open claim")
 	}
@@ -78,11 +78,11 @@
 // TestRequests guards against access to the data of another team, and against
 // outcomes that are reported with the wrong HTTP status.
 func TestRequests(t *testing.T) {
-	api := operator.New(operator.Parts{
+	api := operator.New(operator.Dependencies{
 		Documents: fakeDependencies{},
 		Finder:    fakeDependencies{},
 		Orders:    fakeDependencies{},
-		Owner: func(a fleet.AccountID) (fleet.TeamID, bool) {
+		AccountTeam: func(a fleet.AccountID) (fleet.TeamID, bool) {
 			teams := map[fleet.AccountID]fleet.TeamID{"parish": "alpha", "rival": "beta"}
 			return teams[a], teams[a] != ""
 		},
--- a/internal/entry/operator/orders.go
+++ b/internal/entry/operator/orders.go
@@ -16,9 +16,9 @@
 type Orders interface {
 	// OpenClaims returns up to limit claims of an account that have no response,
 	// oldest first.
-	OpenClaims(ctx context.Context, a fleet.AccountID, limit int) ([]ledger.Open, error)
+	OpenClaims(ctx context.Context, a fleet.AccountID, limit int) ([]ledger.OpenClaim, error)
 	// Settle closes a claim with the outcome that an operator states.
-	Settle(ctx context.Context, s ledger.Settlement, response upstream.Answer) error
+	Settle(ctx context.Context, s ledger.Settlement, response upstream.Response) error
 }
 
 // Settlement is the body of POST /v1/settlements.
@@ -48,7 +48,7 @@
 		return err
 	}
 	if claims == nil {
-		claims = []ledger.Open{}
+		claims = []ledger.OpenClaim{}
 	}
 	writeJSON(w, http.StatusOK, claims)
 	return nil
@@ -57,7 +57,7 @@
 // checkAccount returns an error if the account does not belong to the team. The
 // error is the same as for an account that does not exist.
 func (a *API) checkAccount(team fleet.TeamID, account fleet.AccountID) error {
-	if owner, known := a.deps.Owner(account); !known || owner != team {
+	if owner, known := a.deps.AccountTeam(account); !known || owner != team {
 		return refusal.New(refusal.NotFound, "account %q does not exist", account)
 	}
 	return nil
@@ -70,7 +70,7 @@
 	}
 	var s Settlement
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return refusal.Because(refusal.BadRequest, err, "the body is not a valid JSON object: %v", err)
+		return refusal.WithCause(refusal.BadRequest, err, "the body is not a valid JSON object: %v", err)
 	}
 	if err := a.checkAccount(team, s.Account); err != nil {
 		return err
@@ -92,10 +92,10 @@
 	return nil
 }
 
-func (s Settlement) response() upstream.Answer {
+func (s Settlement) response() upstream.Response {
 	header := make(http.Header)
 	if s.ContentType != "" {
 		header.Set("Content-Type", s.ContentType)
 	}
-	return upstream.Answer{Status: s.Status, Header: header, Body: []byte(s.Body)}
+	return upstream.Response{Status: s.Status, Header: header, Body: []byte(s.Body)}
 }
--- a/internal/entry/operator/status.go
+++ b/internal/entry/operator/status.go
@@ -12,13 +12,13 @@
 	Instance fleet.InstanceID `json:"instance"`
 	// Revision is the active configuration revision of that instance.
 	Revision fleet.Revision `json:"revision"`
-	// ConfirmedAgo is the time since a voter last confirmed that Revision is the
+	// ConfirmationAge is the time since a voter last confirmed that Revision is the
 	// newest. It grows while the instance is partitioned from the voters.
-	ConfirmedAgo Seconds          `json:"confirmedAgo"`
-	Instances    []InstanceStatus `json:"instances"`
-	Changes      []ChangeStatus   `json:"changes"`
-	Groups       []GroupStatus    `json:"groups"`
-	Upstreams    []PoolStatus     `json:"upstreams"`
+	ConfirmationAge Seconds          `json:"confirmedAgo"`
+	Instances       []InstanceStatus `json:"instances"`
+	Changes         []ChangeStatus   `json:"changes"`
+	Groups          []GroupStatus    `json:"groups"`
+	Upstreams       []PoolStatus     `json:"upstreams"`
 }
 
 // Seconds is a duration that is encoded as a number of seconds.
@@ -41,10 +41,10 @@
 // ChangeStatus is the propagation state of a configuration revision.
 type ChangeStatus struct {
 	Revision fleet.Revision `json:"revision"`
-	// InForce is the time at which the revision was active on all reachable
+	// ActiveAt is the time at which the revision was active on all reachable
 	// instances. It is nil while some of them lag.
-	InForce *time.Time         `json:"inForce,omitempty"`
-	Lagging []fleet.InstanceID `json:"lagging,omitempty"`
+	ActiveAt *time.Time         `json:"inForce,omitempty"`
+	Lagging  []fleet.InstanceID `json:"lagging,omitempty"`
 }
 
 // GroupStatus is the state of one replicated log on the reporting instance.
@@ -66,9 +66,9 @@
 	Instance string `json:"instance"`
 	// Learner reports that the member does not vote yet.
 	Learner bool `json:"learner"`
-	// Behind is the number of log entries that the member lacks. It is known only
+	// LagEntries is the number of log entries that the member lacks. It is known only
 	// on the leader.
-	Behind uint64 `json:"behind"`
+	LagEntries uint64 `json:"behind"`
 }
 
 // PoolStatus holds the number of upstreams of a pool that may get new work.
--- a/internal/fleet/board/board.go
+++ b/internal/fleet/board/board.go
@@ -19,9 +19,9 @@
 
 const shardCount = 64 // must be a power of two, because a mask of the hash selects the shard
 
-// Shards is a map from K to V that is split into shards, each with its own lock.
+// ShardedMap is a map from K to V that is split into shards, each with its own lock.
 // It is safe for concurrent use and must not be copied after first use.
-type Shards[K ~string, V any] struct {
+type ShardedMap[K ~string, V any] struct {
 	shards [shardCount]shard[K, V]
 }
 
@@ -31,12 +31,12 @@
 	_      [32]byte // padding that keeps neighbouring locks on different cache lines
 }
 
-func (s *Shards[K, V]) shardFor(k K) *shard[K, V] {
+func (s *ShardedMap[K, V]) shardFor(k K) *shard[K, V] {
 	return &s.shards[xxhash.Sum64String(string(k))&(shardCount-1)]
 }
 
 // Get returns the value of k and whether k is present.
-func (s *Shards[K, V]) Get(k K) (V, bool) {
+func (s *ShardedMap[K, V]) Get(k K) (V, bool) {
 	h := s.shardFor(k)
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -45,7 +45,7 @@
 }
 
 // Put sets the value of k.
-func (s *Shards[K, V]) Put(k K, v V) {
+func (s *ShardedMap[K, V]) Put(k K, v V) {
 	h := s.shardFor(k)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,7 +53,7 @@
 }
 
 // Delete removes k.
-func (s *Shards[K, V]) Delete(k K) {
+func (s *ShardedMap[K, V]) Delete(k K) {
 	h := s.shardFor(k)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,7 +63,7 @@
 // Update calls f with the value of k and whether k is present, while it holds the
 // lock of the shard. It stores the value that f returns, or removes k if f returns
 // false. f must not call methods of s, which would deadlock.
-func (s *Shards[K, V]) Update(k K, f func(v V, ok bool) (V, bool)) {
+func (s *ShardedMap[K, V]) Update(k K, f func(v V, ok bool) (V, bool)) {
 	h := s.shardFor(k)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +78,7 @@
 
 // Range calls f for every entry until f returns false. It locks one shard at a time,
 // so it does not see a consistent snapshot of the map. f must not write to s.
-func (s *Shards[K, V]) Range(f func(k K, v V) bool) {
+func (s *ShardedMap[K, V]) Range(f func(k K, v V) bool) {
 	for i := range s.shards {
 		if !s.shards[i].forEach(f) {
 			return
@@ -87,7 +87,7 @@
 }
 
 // Len returns the number of entries. It locks one shard at a time.
-func (s *Shards[K, V]) Len() int {
+func (s *ShardedMap[K, V]) Len() int {
 	n := 0
 	for i := range s.shards {
 		h := &s.shards[i]
@@ -125,10 +125,10 @@
 // Load returns the current value, or nil. The caller must not modify it.
 func (c *Cell[V]) Load() *V { return c.value.Load() }
 
-// Advance atomically replaces the value by next if condition returns true for the
+// StoreIf atomically replaces the value by next if condition returns true for the
 // current value, which may be nil. It reports whether the value was replaced. condition
 // may be called several times.
-func (c *Cell[V]) Advance(next *V, condition func(old *V) bool) bool {
+func (c *Cell[V]) StoreIf(next *V, condition func(old *V) bool) bool {
 	for {
 		old := c.value.Load()
 		if !condition(old) {
--- a/internal/fleet/board/board_test.go
+++ b/internal/fleet/board/board_test.go
@@ -14,7 +14,7 @@
 // TestUpdate guards against lost updates when many goroutines change one key.
 func TestUpdate(t *testing.T) {
 	is := is.New(t)
-	var s board.Shards[fleet.UpstreamID, int]
+	var s board.ShardedMap[fleet.UpstreamID, int]
 	var wg sync.WaitGroup
 	for range 50 {
 		wg.Go(func() {
@@ -45,7 +45,7 @@
 	var wg sync.WaitGroup
 	for i := range 100 {
 		wg.Go(func() {
-			c.Advance(&i, func(old *int) bool { return old == nil || *old < i })
+			c.StoreIf(&i, func(old *int) bool { return old == nil || *old < i })
 		})
 	}
 	wg.Wait()
--- a/internal/fleet/enum.go
+++ b/internal/fleet/enum.go
@@ -9,9 +9,9 @@
 	String() string
 }
 
-// ParseName returns the value of E whose String method returns name. E has count
+// ParseEnum returns the value of E whose String method returns name. E has count
 // values, from 0 to count-1.
-func ParseName[E Enum](name string, count int) (E, error) {
+func ParseEnum[E Enum](name string, count int) (E, error) {
 	for i := range count {
 		if e := E(i); e.String() == name {
 			return e, nil
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -62,9 +62,9 @@
 // process has a higher Incarnation than before.
 type Incarnation uint64
 
-// Fence increases with each new lease on an engine and each new leadership.
+// FencingToken increases with each new lease on an engine and each new leadership.
 // A command with a lower FencingToken than one seen before is stale.
-type Fence uint64
+type FencingToken uint64
 
 // Epoch numbers the engine chains that have processed one request, starting at 1.
 type Epoch uint32
@@ -106,9 +106,9 @@
 	return RequestID(i.requestIDPrefix()) + NewRequestID()[instancePrefixLength:]
 }
 
-// MayBeOf reports whether instance i may have received the request. It is true for the
+// MayBeFrom reports whether instance i may have received the request. It is true for the
 // instance that did, and rarely for another one, because the prefix has only 32 bits.
-func (r RequestID) MayBeOf(i InstanceID) bool {
+func (r RequestID) MayBeFrom(i InstanceID) bool {
 	return strings.HasPrefix(string(r), i.requestIDPrefix())
 }
 
--- a/internal/fleet/refusal/refusal.go
+++ b/internal/fleet/refusal/refusal.go
@@ -48,21 +48,21 @@
 	kindCount
 )
 
-// Answer describes how an error of a Kind is reported to a caller or an operator.
-type Answer struct {
+// Response describes how an error of a Kind is reported to a caller or an operator.
+type Response struct {
 	// Status is the HTTP status code.
 	Status int
 	// Code is the error code in the response body, in camel case.
 	Code string
 	// NotRun reports that the request was certainly not executed.
 	NotRun bool
-	// Resend reports that the caller may safely send the same request again. An
+	// ResendSafe reports that the caller may safely send the same request again. An
 	// order, which must not be executed twice, must be sent again with the same
 	// idempotency key.
-	Resend bool
+	ResendSafe bool
 }
 
-var responses = [kindCount]Answer{
+var responses = [kindCount]Response{
 	Internal:          {http.StatusInternalServerError, "internal", false, false},
 	BadRequest:        {http.StatusBadRequest, "badRequest", true, false},
 	Unauthenticated:   {http.StatusUnauthorized, "unauthenticated", true, false},
@@ -86,9 +86,9 @@
 	HeadTooLarge:      {http.StatusRequestHeaderFieldsTooLarge, "headTooLarge", true, false},
 }
 
-// Answer returns the response for k. A Kind that is not in the list has the response of
+// Response returns the response for k. A Kind that is not in the list has the response of
 // Internal.
-func (k Kind) Answer() Answer {
+func (k Kind) Response() Response {
 	if k < 0 || k >= kindCount {
 		return responses[Internal]
 	}
@@ -122,14 +122,14 @@
 	return &Error{Kind: k, Message: fmt.Sprintf(format, args...)}
 }
 
-// Because returns an Error with a formatted message that wraps cause. Unlike
+// WithCause returns an Error with a formatted message that wraps cause. Unlike
 // errors.Wrap it returns an Error without a cause if cause is nil.
-func Because(k Kind, cause error, format string, args ...any) *Error {
+func WithCause(k Kind, cause error, format string, args ...any) *Error {
 	return &Error{Kind: k, Message: fmt.Sprintf(format, args...), cause: cause}
 }
 
-// After returns a copy of e whose RetryAfter is d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e whose RetryAfter is d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
--- a/internal/fleet/refusal/refusal_test.go
+++ b/internal/fleet/refusal/refusal_test.go
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	codes := make(map[string]bool)
 	for _, k := range refusal.Kinds() {
-		r := k.Answer()
+		r := k.Response()
 		is.True(r.Status >= http.StatusBadRequest) // every kind has an HTTP status
 		is.True(r.Code != "")
 		is.True(!codes[r.Code]) // codes are unique
@@ -36,8 +36,8 @@
 	is.NoErr(err)
 	yesNo := map[bool]string{true: "yes", false: "no"}
 	for _, k := range refusal.Kinds() {
-		r := k.Answer()
-		row := fmt.Sprintf("| `%s` | %d | %s | %s |", r.Code, r.Status, yesNo[r.NotRun], yesNo[r.Resend])
+		r := k.Response()
+		row := fmt.Sprintf("| `%s` | %d | %s | %s |", r.Code, r.Status, yesNo[r.NotRun], yesNo[r.ResendSafe])
 		is.True(strings.Contains(string(raw), row)) // docs/api.md contains the row
 	}
 }
@@ -50,16 +50,16 @@
 		refusal.Internal, refusal.Deadline, refusal.InProgress, refusal.OutcomeUnknown,
 		refusal.LedgerUnreachable, refusal.UpstreamFailed, refusal.StreamBroken,
 	} {
-		is.True(!k.Answer().NotRun)
+		is.True(!k.Response().NotRun)
 	}
 }
 
 // TestKindOf guards against a kind that is lost when an error is wrapped.
 func TestKindOf(t *testing.T) {
 	is := is.New(t)
-	inner := refusal.New(refusal.Overloaded, "full").After(time.Second)
+	inner := refusal.New(refusal.Overloaded, "full").WithRetryAfter(time.Second)
 	is.Equal(refusal.KindOf(errors.Wrap(inner, "enter")), refusal.Overloaded)
-	is.Equal(refusal.KindOf(refusal.Because(refusal.NoUpstream, inner, "pick")), refusal.NoUpstream)
+	is.Equal(refusal.KindOf(refusal.WithCause(refusal.NoUpstream, inner, "pick")), refusal.NoUpstream)
 	is.Equal(refusal.KindOf(errors.New("other")), refusal.Internal)
-	is.Equal(refusal.Kind(-1).Answer(), refusal.Internal.Answer())
+	is.Equal(refusal.Kind(-1).Response(), refusal.Internal.Response())
 }
--- a/internal/fleet/settings/keys.go
+++ b/internal/fleet/settings/keys.go
@@ -93,7 +93,7 @@
 	const section = "quorum"
 	return []Key{
 		custom(section, "voters", "list", "1@a@127.0.0.1:7004, ...", "first voter set: number@instance@address of the peers' listener, separated by commas", setVoters).required(),
-		duration(section, "tick", "50ms", 5*time.Millisecond, time.Second, "unit of election and heartbeat times", func(s *Settings) *time.Duration { return &s.Quorum.Tick }),
+		duration(section, "tick", "50ms", 5*time.Millisecond, time.Second, "unit of election and heartbeat times", func(s *Settings) *time.Duration { return &s.Quorum.TickInterval }),
 		number(section, "snapshotEntries", "1000", 10, 1000000, "log entries after which the log is compacted", func(s *Settings) *int { return &s.Quorum.SnapshotEntries }),
 		duration(section, "proposalTimeout", "5s", 100*time.Millisecond, time.Minute, "greatest wait for a commit", func(s *Settings) *time.Duration { return &s.Quorum.ProposalTimeout }),
 	}
@@ -121,7 +121,7 @@
 	const section = "upstreams"
 	return []Key{
 		secret(section, "tokenFile", "file with the token that authenticates announcements", func(s *Settings) *[]byte { return &s.Upstreams.Token }),
-		duration(section, "confirmationAge", "3s", 200*time.Millisecond, 3*time.Second, "greatest age of a confirmation for new work", func(s *Settings) *time.Duration { return &s.Upstreams.ConfirmationAge }),
+		duration(section, "confirmationAge", "3s", 200*time.Millisecond, 3*time.Second, "greatest age of a confirmation for new work", func(s *Settings) *time.Duration { return &s.Upstreams.HeartbeatTimeout }),
 		duration(section, "stepTimeout", "2s", 10*time.Millisecond, time.Minute, "greatest time of one step of an engine", func(s *Settings) *time.Duration { return &s.Upstreams.StepTimeout }),
 	}
 }
@@ -141,7 +141,7 @@
 func requestKeys() []Key {
 	const section = "requests"
 	return []Key{
-		duration(section, "deadline", "1m", 100*time.Millisecond, time.Hour, "time for an answer if the caller names none", func(s *Settings) *time.Duration { return &s.Requests.Deadline }),
+		duration(section, "deadline", "1m", 100*time.Millisecond, time.Hour, "time for an answer if the caller names none", func(s *Settings) *time.Duration { return &s.Requests.DefaultDeadline }),
 		duration(section, "maxDeadline", "10m", 100*time.Millisecond, 24*time.Hour, "greatest time that a caller may ask for", func(s *Settings) *time.Duration { return &s.Requests.MaxDeadline }),
 		number(section, "queueLength", "1000", 0, 1000000, "greatest number of waiting requests", func(s *Settings) *int { return &s.Requests.QueueLength }),
 	}
@@ -154,7 +154,7 @@
 		duration(section, "retention", "24h", 10*time.Minute, 10000*time.Hour, "time that the key of an order is kept", func(s *Settings) *time.Duration { return &s.Orders.Retention }),
 		number(section, "maxRecords", "50000", 1, 100000000, "greatest number of kept keys of a shard; at the bound new orders are refused", func(s *Settings) *int { return &s.Orders.MaxRecords }),
 		size(section, "maxBytes", "32MiB", 1<<20, 1<<40, "kept answers of a shard", func(s *Settings) *int64 { return &s.Orders.MaxBytes }),
-		size(section, "maxAnswer", "64KiB", 1<<10, 4<<20, "greatest answer of an order that is kept for replay", func(s *Settings) *int64 { return &s.Orders.MaxAnswer }),
+		size(section, "maxAnswer", "64KiB", 1<<10, 4<<20, "greatest answer of an order that is kept for replay", func(s *Settings) *int64 { return &s.Orders.MaxResponseBytes }),
 	}
 }
 
@@ -162,7 +162,7 @@
 	const section = "repair"
 	return []Key{
 		size(section, "layerBytes", "1GiB", 1, 1<<40, "size of the weights of one layer", func(s *Settings) *int64 { return &s.Repair.LayerBytes }),
-		size(section, "weightRate", "1GiB", 1, 1<<40, "what the engines of a data centre load from the weight store in a second", func(s *Settings) *int64 { return &s.Repair.WeightRate }),
+		size(section, "weightRate", "1GiB", 1, 1<<40, "what the engines of a data centre load from the weight store in a second", func(s *Settings) *int64 { return &s.Repair.WeightBytesPerSecond }),
 	}
 }
 
@@ -181,13 +181,13 @@
 }
 
 func setVoters(s *Settings, value string) error {
-	s.Quorum.Voters = nil
+	s.Quorum.InitialVoters = nil
 	for _, item := range splitList(value) {
 		v, err := parseVoter(item)
 		if err != nil {
 			return err
 		}
-		s.Quorum.Voters = append(s.Quorum.Voters, v)
+		s.Quorum.InitialVoters = append(s.Quorum.InitialVoters, v)
 	}
 	return nil
 }
--- a/internal/fleet/settings/load.go
+++ b/internal/fleet/settings/load.go
@@ -170,7 +170,7 @@
 
 func checkVoterSet(s Settings) (section, key, problem string) {
 	ids := make(map[any]bool)
-	for _, v := range s.Quorum.Voters {
+	for _, v := range s.Quorum.InitialVoters {
 		if ids[v.ID] || ids[v.Instance] || ids[v.Address] {
 			return "quorum", "voters", fmt.Sprintf("voter %d has the same number, instance or address as another voter", v.ID)
 		}
@@ -209,7 +209,7 @@
 }
 
 func checkDeadlines(s Settings) (section, key, problem string) {
-	if s.Requests.Deadline > s.Requests.MaxDeadline {
+	if s.Requests.DefaultDeadline > s.Requests.MaxDeadline {
 		return "requests", "deadline", "deadline is greater than maxDeadline"
 	}
 	return "", "", ""
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -75,10 +75,10 @@
 
 // Quorum configures the replicated logs.
 type Quorum struct {
-	// Voters is the initial voter set. Later changes are stored in the log.
-	Voters []Voter
-	// Tick is the duration of a tick, the unit of election and heartbeat timeouts.
-	Tick time.Duration
+	// InitialVoters is the initial voter set. Later changes are stored in the log.
+	InitialVoters []Voter
+	// TickInterval is the duration of a tick, the unit of election and heartbeat timeouts.
+	TickInterval time.Duration
 	// SnapshotEntries is the number of log entries after which the log is compacted.
 	SnapshotEntries int
 	// ProposalTimeout is the maximum wait for a commit.
@@ -107,17 +107,17 @@
 	// Token authenticates announcements. If it is empty, all announcements are
 	// accepted.
 	Token []byte
-	// ConfirmationAge is the maximum age of the last heartbeat of an upstream that is
+	// HeartbeatTimeout is the maximum age of the last heartbeat of an upstream that is
 	// given new work.
-	ConfirmationAge time.Duration
+	HeartbeatTimeout time.Duration
 	// StepTimeout is the maximum duration of one step of an engine.
 	StepTimeout time.Duration
 }
 
 // Requests configures the handling of callers' requests.
 type Requests struct {
-	// Deadline is the time limit for a response if the caller does not set one.
-	Deadline time.Duration
+	// DefaultDeadline is the time limit for a response if the caller does not set one.
+	DefaultDeadline time.Duration
 	// MaxDeadline is the maximum time limit that a caller may set.
 	MaxDeadline time.Duration
 	// QueueLength is the maximum number of queued requests.
@@ -136,7 +136,7 @@
 	MaxRecords int
 	// MaxBytes is the maximum total size of the responses kept in a shard,
 	// MaxResponseBytes the maximum size of one of them, both in bytes.
-	MaxBytes, MaxAnswer int64
+	MaxBytes, MaxResponseBytes int64
 }
 
 // Log configures the log output.
@@ -157,7 +157,7 @@
 type Repair struct {
 	// LayerBytes is the size of the weights of one layer.
 	LayerBytes int64
-	// WeightRate is the maximum rate at which the engines of a data centre load
+	// WeightBytesPerSecond is the maximum rate at which the engines of a data centre load
 	// weights from the weight store, in bytes per second.
-	WeightRate int64
+	WeightBytesPerSecond int64
 }
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -70,7 +70,7 @@
 	raw, err := os.ReadFile("../../../docs/configuration.md")
 	is.NoErr(err)
 	for _, k := range section.Keys() {
-		row := fmt.Sprintf("| `%s` | `%s` | %s | %s | %s |", k.Section, k.Name, k.Unit, defaultOf(k), k.Bound)
+		row := fmt.Sprintf("| `%s` | `%s` | %s | %s | %s |", k.Kind, k.Name, k.Unit, defaultOf(k), k.Constraint)
 		if !strings.Contains(string(raw), row) {
 			t.Errorf("docs/configuration.md has no row\n%s", row)
 		}
--- a/internal/fleet/systemclock/steady.go
+++ b/internal/fleet/systemclock/steady.go
@@ -12,8 +12,8 @@
 	sinceBoot   func() time.Duration
 }
 
-// NewSteady returns a BootClock that is set to the current wall-clock time.
-func NewSteady() BootClock { return newBootClock(Clock{}.Boot) }
+// NewBootClock returns a BootClock that is set to the current wall-clock time.
+func NewBootClock() BootClock { return newBootClock(Clock{}.Boot) }
 
 func newBootClock(sinceBoot func() time.Duration) BootClock {
 	return BootClock{start: time.Now(), bootAtStart: sinceBoot(), sinceBoot: sinceBoot}
--- a/internal/fleet/systemclock/steady_test.go
+++ b/internal/fleet/systemclock/steady_test.go
@@ -22,7 +22,7 @@
 // the system.
 func TestBootClockAdvances(t *testing.T) {
 	is := is.New(t)
-	s := NewSteady()
+	s := NewBootClock()
 	before := s.Now()
 	<-s.After(time.Millisecond)
 	is.True(s.Now().Sub(before) >= time.Millisecond)
--- a/internal/fleet/timeline/timeline.go
+++ b/internal/fleet/timeline/timeline.go
@@ -48,10 +48,10 @@
 	return t.SecondNewest.At
 }
 
-// From returns the start of a period that begins with a command of timestamp
+// PeriodStart returns the start of a period that begins with a command of timestamp
 // at. The start is not before Now, so that a delayed command or a slow clock does not
 // shorten the period.
-func (t *Timeline) From(at time.Time) time.Time { return later(t.Now(), at) }
+func (t *Timeline) PeriodStart(at time.Time) time.Time { return later(t.Now(), at) }
 
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
--- a/internal/fleet/timeline/timeline_test.go
+++ b/internal/fleet/timeline/timeline_test.go
@@ -25,7 +25,7 @@
 			if want := secondNewest(newestByInstance); !tl.Now().Equal(want) {
 				t.Fatalf("seed %d: Now returns %v, the second newest timestamp is %v", seed, tl.Now(), want)
 			}
-			if tl.From(at).Before(tl.Now()) {
+			if tl.PeriodStart(at).Before(tl.Now()) {
 				t.Fatalf("seed %d: a period starts before Now", seed)
 			}
 		}
--- a/internal/gateway/exchange/endless_test.go
+++ b/internal/gateway/exchange/endless_test.go
@@ -80,7 +80,7 @@
 			var x *exchange.Error
 			is.True(errors.As(err, &x))
 			is.True(x.Sent)
-			is.True(!x.Refused)
+			is.True(!x.ConnectFailed)
 			is.True(<-e.closedEarly)
 		})
 	}
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -87,25 +87,25 @@
 	Body   []byte
 	// ID identifies the request, and ResponseID returns the request ID that a response
 	// carries. If ResponseID is nil, any response is taken as the one to this request.
-	ID       fleet.RequestID
-	AnswerID func(h http.Header) fleet.RequestID
+	ID         fleet.RequestID
+	ResponseID func(h http.Header) fleet.RequestID
 	// BeforeWrite is called once a connection is open, right before the request is
 	// written, and may add headers. If it returns an error the request is not sent.
-	Prepare func(h http.Header) error
+	BeforeWrite func(h http.Header) error
 	// DedicatedConn requests a new connection that is closed after this request.
 	// Upstreams may send a late duplicate of a response. The ID doesn't distinguish the
 	// duplicate from the response if there is no ID, or if the request was sent to the
 	// same upstream before.
-	Single bool
+	DedicatedConn bool
 }
 
 // matches reports whether a response belongs to the request. A response without an ID
 // is an error on a reused connection.
 func (r Request) matches(h http.Header, fresh bool) (bool, error) {
-	if r.AnswerID == nil {
+	if r.ResponseID == nil {
 		return true, nil
 	}
-	id := r.AnswerID(h)
+	id := r.ResponseID(h)
 	if id == "" && r.ID != "" && !fresh {
 		return false, errors.New("received a response without a request ID on a reused connection")
 	}
@@ -118,8 +118,8 @@
 	// request.
 	Sent bool
 	// ConnectFailed reports that no connection could be opened.
-	Refused bool
-	cause   error
+	ConnectFailed bool
+	cause         error
 }
 
 // Error implements error.
@@ -136,9 +136,9 @@
 }
 
 // ConnectFailed reports whether an attempt failed because no connection could be opened.
-func Refused(err error) bool {
+func ConnectFailed(err error) bool {
 	var x *Error
-	return errors.As(err, &x) && x.Refused
+	return errors.As(err, &x) && x.ConnectFailed
 }
 
 // Client sends requests and keeps idle connections to all upstreams for reuse. It is
@@ -230,9 +230,9 @@
 // Send writes the request and reads the headers of the response. Until Keep or Close
 // is called, cancelling ctx closes the connection.
 func (c *Client) Send(ctx context.Context, t Target, r Request) (*Exchange, error) {
-	k, fresh, err := c.acquire(ctx, t, r.Single)
+	k, fresh, err := c.acquire(ctx, t, r.DedicatedConn)
 	if err != nil {
-		return nil, &Error{Refused: true, cause: err}
+		return nil, &Error{ConnectFailed: true, cause: err}
 	}
 	if err := r.beforeWrite(ctx); err != nil {
 		_ = k.Close()
@@ -243,7 +243,7 @@
 	if err == nil {
 		var p *http.Response
 		if p, err = k.readResponse(r, fresh); err == nil {
-			return &Exchange{Response: p, Fresh: fresh, client: c, target: t, conn: k, dedicated: r.Single, stop: stop}, nil
+			return &Exchange{Response: p, Fresh: fresh, client: c, target: t, conn: k, dedicated: r.DedicatedConn, stop: stop}, nil
 		}
 	}
 	stop()
@@ -351,10 +351,10 @@
 
 // beforeWrite calls BeforeWrite. It returns an error if the request must not be sent.
 func (r Request) beforeWrite(ctx context.Context) error {
-	if ctx.Err() != nil || r.Prepare == nil {
+	if ctx.Err() != nil || r.BeforeWrite == nil {
 		return ctx.Err()
 	}
-	return r.Prepare(r.Header)
+	return r.BeforeWrite(r.Header)
 }
 
 func (r Request) encode() []byte {
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -95,7 +95,7 @@
 func request(id string) exchange.Request {
 	return exchange.Request{
 		Method: http.MethodPost, URI: "/a?b=c", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte("body"),
-		ID: fleet.RequestID(id), AnswerID: func(h http.Header) fleet.RequestID { return fleet.RequestID(h.Get("Id")) },
+		ID: fleet.RequestID(id), ResponseID: func(h http.Header) fleet.RequestID { return fleet.RequestID(h.Get("Id")) },
 	}
 }
 
@@ -168,7 +168,7 @@
 	var x *exchange.Error
 	is.True(errors.As(err, &x))
 	is.True(x.Sent)
-	is.True(!x.Refused)
+	is.True(!x.ConnectFailed)
 	requests, _ := p.counts()
 	is.Equal(requests, 2)
 }
@@ -181,7 +181,7 @@
 	_, err := send(t, exchange.New(systemclock.Clock{}), p, "1")
 	var x *exchange.Error
 	is.True(errors.As(err, &x))
-	is.True(x.Refused)
+	is.True(x.ConnectFailed)
 	is.True(!x.Sent)
 }
 
@@ -269,7 +269,7 @@
 	_, err := send(t, c, p, "1")
 	is.NoErr(err)
 	r := request("1")
-	r.Single = true
+	r.DedicatedConn = true
 	x, err := c.Send(context.Background(), p.target(), r)
 	is.NoErr(err)
 	b, err := x.ReadBody(10)
--- a/internal/gateway/forward/drain_test.go
+++ b/internal/gateway/forward/drain_test.go
@@ -23,12 +23,12 @@
 		var w *testGateway
 		w = newTestGateway(t, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) {
 			if when == "during" {
-				w.handler.Close()
+				w.handler.StartDrain()
 			}
 			respond(rw, "id: 1\ndata: 1\n\n")
 		})
 		if when == "before" {
-			w.handler.Close()
+			w.handler.StartDrain()
 		}
 		status, header, _, complete := w.post(t, path, key)
 		connection := "kept"
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -72,7 +72,7 @@
 	clock          state.Clock
 	state          *state.State
 	client         *exchange.Client
-	codec          gateway.Dialect
+	codec          gateway.HeaderCodec
 	probes         *probeCache
 	metrics        *Metrics
 	logger         *zap.Logger
@@ -81,16 +81,16 @@
 }
 
 // New returns a Handler.
-func New(clock state.Clock, s *state.State, c *exchange.Client, d gateway.Dialect, p Prober, m *Metrics, l *zap.Logger) *Handler {
+func New(clock state.Clock, s *state.State, c *exchange.Client, d gateway.HeaderCodec, p Prober, m *Metrics, l *zap.Logger) *Handler {
 	return &Handler{
 		clock: clock, state: s, client: c, codec: d, metrics: m, logger: l.Named("forward"),
 		probes: &probeCache{clock: clock, prober: p, probes: make(map[string]*probe)},
 	}
 }
 
-// Close starts to drain the gateway: responses close their connections, so that the
+// StartDrain starts to drain the gateway: responses close their connections, so that the
 // platform routes the new connections of clients to other gateways.
-func (h *Handler) Close() { h.draining.Store(true) }
+func (h *Handler) StartDrain() { h.draining.Store(true) }
 
 // Active returns the number of requests in progress.
 func (h *Handler) Active() int64 { return h.activeRequests.Load() }
@@ -103,7 +103,7 @@
 	*Handler
 	w        http.ResponseWriter
 	r        *http.Request
-	headers  gateway.Call
+	headers  gateway.ClientHeaders
 	route    *release.Route
 	account  *release.Account
 	table    *table.Table
@@ -145,7 +145,7 @@
 		q.refuse(err)
 		return
 	}
-	if q.draining.Load() && q.route.Repeat == release.Stream && !q.route.Resumable {
+	if q.draining.Load() && q.route.Type == release.Stream && !q.route.Resumable {
 		// The stream would be lost if it were still running at the end of the grace
 		// period. Another gateway can serve it.
 		q.refuse(refusal.New(refusal.Stopping, "the gateway is draining and the stream cannot be resumed"))
@@ -158,8 +158,8 @@
 	ctx, cancel := context.WithTimeout(r.Context(), q.deadline.Sub(h.clock.Now()))
 	defer cancel()
 	q.setWriteDeadline()
-	q.pool.Budget.Deposit()
-	if q.route.Repeat == release.Stream {
+	q.pool.RetryBudget.Deposit()
+	if q.route.Type == release.Stream {
 		q.serveStream(ctx)
 		return
 	}
@@ -202,7 +202,7 @@
 // resolve decodes the headers of the client and finds the route, the account, the
 // deadline and the pool of the request.
 func (q *request) resolve() error {
-	headers, err := q.codec.ReadCall(q.r.Header)
+	headers, err := q.codec.DecodeClient(q.r.Header)
 	q.headers = headers
 	if err != nil {
 		return err
@@ -215,8 +215,8 @@
 	if n, limit := headBytes(q.r), t.Release.Limits.HeaderBytes; limit > 0 && n > limit {
 		return refusal.New(refusal.HeadTooLarge, "request head has %d bytes, limit is %d", n, limit)
 	}
-	if len(t.Release.Accounts) > 0 && !q.state.Leased() {
-		return refusal.New(refusal.NotReady, "the configuration was last confirmed %s ago", q.state.Age().Round(time.Millisecond))
+	if len(t.Release.Accounts) > 0 && !q.state.KeyLeaseValid() {
+		return refusal.New(refusal.NotReady, "the configuration was last confirmed %s ago", q.state.ConfirmationAge().Round(time.Millisecond))
 	}
 	route, ok := t.Route(q.r.Host, q.r.URL.Path)
 	if !ok {
@@ -258,7 +258,7 @@
 		q.body, err = io.ReadAll(io.LimitReader(q.r.Body, limit+1))
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return refusal.Because(refusal.NoUpstream, err, "request body not received before the deadline")
+		return refusal.WithCause(refusal.NoUpstream, err, "request body not received before the deadline")
 	}
 	if err == nil && int64(len(q.body)) > limit {
 		// Keep the read deadline, because net/http goes on reading the body before it
@@ -269,31 +269,31 @@
 		err = control.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
-		return refusal.Because(refusal.BadRequest, err, "read request body")
+		return refusal.WithCause(refusal.BadRequest, err, "read request body")
 	}
 	return nil
 }
 
 // upstreamRequest builds the request for an upstream.
-func (q *request) upstreamRequest(s gateway.Send) exchange.Request {
+func (q *request) upstreamRequest(s gateway.UpstreamHeaders) exchange.Request {
 	header := q.r.Header.Clone()
 	removeHopByHopHeaders(header)
 	header.Del("Content-Length")
 	if q.account != nil {
 		s.Account = q.account.ID
 	}
-	s.Urgency = q.priority()
+	s.Priority = q.priority()
 	selected := q.clock.Now()
 	return exchange.Request{
 		Method: q.r.Method, URI: q.r.RequestURI, Host: q.r.Host, Header: header, Body: q.body,
-		ID:       q.headers.ID,
-		AnswerID: func(h http.Header) fleet.RequestID { return q.codec.ReadReply(http.StatusOK, h).ID },
-		Single:   q.markTried(s.Upstream),
-		Prepare: func(h http.Header) error {
+		ID:            q.headers.ID,
+		ResponseID:    func(h http.Header) fleet.RequestID { return q.codec.DecodeResponse(http.StatusOK, h).ID },
+		DedicatedConn: q.markTried(s.Upstream),
+		BeforeWrite: func(h http.Header) error {
 			now := q.clock.Now()
-			s.Left = q.deadline.Sub(now)
-			q.codec.WriteSend(h, s)
-			return q.checkBeforeSend(now.Sub(selected), s.Left)
+			s.Remaining = q.deadline.Sub(now)
+			q.codec.EncodeUpstream(h, s)
+			return q.checkBeforeSend(now.Sub(selected), s.Remaining)
 		},
 	}
 }
@@ -310,8 +310,8 @@
 	if q.account == nil || q.possibleRuns > 0 {
 		return nil
 	}
-	if !q.state.Leased() {
-		return refusal.New(refusal.NotReady, "the configuration was last confirmed %s ago", q.state.Age().Round(time.Millisecond))
+	if !q.state.KeyLeaseValid() {
+		return refusal.New(refusal.NotReady, "the configuration was last confirmed %s ago", q.state.ConfirmationAge().Round(time.Millisecond))
 	}
 	t := q.state.Table()
 	if a, ok := t.Account(q.headers.Key); len(t.Release.Accounts) > 0 && (!ok || a.ID != q.account.ID) {
@@ -340,7 +340,7 @@
 
 // mayRepeat reports whether the request may run more than once.
 func (q *request) mayRepeat() bool {
-	return q.route.Repeat == release.Idempotent || q.route.Repeat == release.Stream && q.route.Resumable
+	return q.route.Type == release.Idempotent || q.route.Type == release.Stream && q.route.Resumable
 }
 
 // allowAttempt reports whether the limits of the route and the shared retry budget
@@ -366,7 +366,7 @@
 		return false
 	}
 	limit := q.maxUpstreams()
-	if q.route.Repeat == release.Stream {
+	if q.route.Type == release.Stream {
 		// For streams MaxAttempts limits the number of upstreams. More runs are
 		// allowed, since each continues where the previous one ended.
 		limit = max(limit, maxStreamRuns)
@@ -392,7 +392,7 @@
 }
 
 func (q *request) withdrawRetry() bool {
-	if q.pool.Budget.Withdraw() {
+	if q.pool.RetryBudget.Withdraw() {
 		return true
 	}
 	if !q.retryDenied.Swap(true) {
@@ -421,20 +421,20 @@
 	case q.r.Context().Err() != nil:
 		q.outcome = "clientGone"
 	case q.possibleRuns == 0 && ctx.Err() != nil:
-		q.refuse(refusal.Because(refusal.NoUpstream, q.lastErr, "no upstream accepted the request before the deadline"))
+		q.refuse(refusal.WithCause(refusal.NoUpstream, q.lastErr, "no upstream accepted the request before the deadline"))
 	case q.possibleRuns == 0:
-		q.refuse(refusal.Because(refusal.NoUpstream, q.lastErr, "no upstream accepted the request"))
+		q.refuse(refusal.WithCause(refusal.NoUpstream, q.lastErr, "no upstream accepted the request"))
 	case ctx.Err() != nil:
-		q.refuse(refusal.Because(refusal.Deadline, q.lastErr, "no response before the deadline"))
+		q.refuse(refusal.WithCause(refusal.Deadline, q.lastErr, "no response before the deadline"))
 	default:
-		q.refuse(refusal.Because(refusal.UpstreamFailed, q.lastErr, "no upstream returned a valid response"))
+		q.refuse(refusal.WithCause(refusal.UpstreamFailed, q.lastErr, "no upstream returned a valid response"))
 	}
 }
 
 // refuse sends an error response of the gateway itself.
 func (q *request) refuse(err error) {
 	kind := refusal.KindOf(err)
-	a := kind.Answer()
+	a := kind.Response()
 	q.lastErr = err
 	q.outcome = a.Code
 	q.status = a.Status
@@ -480,7 +480,7 @@
 		zap.String("request", string(q.headers.ID)), zap.String("route", route), zap.String("outcome", q.outcome),
 		zap.Int("status", q.status), zap.Duration("took", took), zap.Int("sends", q.attempts), zap.Int("runs", q.possibleRuns), zap.Duration("waited", q.waited),
 		zap.String("upstream", q.lastUpstream), zap.Uint64("version", uint64(q.state.Version())),
-		zap.Duration("confirmedAgo", q.state.Age()),
+		zap.Duration("confirmedAgo", q.state.ConfirmationAge()),
 	}
 	if q.retryDenied.Load() {
 		fields = append(fields, zap.Bool("retryDenied", true))
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -39,14 +39,14 @@
 // headerCodec implements gateway.HeaderCodec with a minimal set of headers.
 type headerCodec struct{}
 
-func (headerCodec) ReadCall(h http.Header) (gateway.Call, error) {
-	c := gateway.Call{ID: fleet.RequestID(h.Get("Id")), Key: h.Get("Key")}
+func (headerCodec) DecodeClient(h http.Header) (gateway.ClientHeaders, error) {
+	c := gateway.ClientHeaders{ID: fleet.RequestID(h.Get("Id")), Key: h.Get("Key")}
 	ms, _ := strconv.Atoi(h.Get("Budget"))
 	c.Budget = time.Duration(ms) * time.Millisecond
 	return c, nil
 }
 
-func (headerCodec) WriteSend(h http.Header, s gateway.Send) {
+func (headerCodec) EncodeUpstream(h http.Header, s gateway.UpstreamHeaders) {
 	h.Del("Key")
 	h.Set("Account", string(s.Account))
 	if s.HasLastEvent {
@@ -54,8 +54,8 @@
 	}
 }
 
-func (headerCodec) ReadReply(_ int, h http.Header) gateway.Reply {
-	return gateway.Reply{ID: fleet.RequestID(h.Get("Id")), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "", At: h.Get("At")}
+func (headerCodec) DecodeResponse(_ int, h http.Header) gateway.ResponseHeaders {
+	return gateway.ResponseHeaders{ID: fleet.RequestID(h.Get("Id")), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "", At: h.Get("At")}
 }
 
 // decoder ignores its input and returns the release that a test has set.
@@ -119,20 +119,20 @@
 // 1 ms. Those of "slow" and "single" are not resumable.
 func testRelease() *release.Release {
 	engine := &release.Engine{
-		Layers: 4, LayerMB: 1, UsualPrompt: 1, UsualAnswer: 1, TokenBytes: 1,
-		Cards: map[string]release.Card{"card": {MemoryMB: 100, Pace: 1, ReadFactor: 1}},
+		Layers: 4, LayerMB: 1, MeanPromptTokens: 1, MeanAnswerTokens: 1, TokenBytes: 1,
+		Cards: map[string]release.Card{"card": {MemoryMB: 100, StepFactor: 1, PrefillFactor: 1}},
 	}
 	plain := []release.Share{{Pool: "plain", Weight: 1}}
 	model := []release.Share{{Pool: "model", Weight: 1}}
 	return &release.Release{
 		Version: 1,
 		Routes: []release.Route{
-			{Name: "once", Host: "h", Prefix: "/once/", Repeat: release.Once, Timeout: testTimeout, Target: testTimeout, Split: plain, MaxAttempts: 1},
-			{Name: "again", Host: "h", Prefix: "/again/", Repeat: release.Idempotent, Timeout: testTimeout, Target: testTimeout, Split: plain, MaxAttempts: 2},
-			{Name: "stream", Host: "h", Prefix: "/stream/", Repeat: release.Stream, Timeout: testTimeout, Target: testTimeout, MaxGap: testTimeout, Split: model, MaxAttempts: 2, Resumable: true},
-			{Name: "brisk", Host: "h", Prefix: "/brisk/", Repeat: release.Stream, Timeout: testTimeout, Target: time.Millisecond, MaxGap: time.Millisecond, Split: model, MaxAttempts: 2, Resumable: true},
-			{Name: "slow", Host: "h", Prefix: "/slow/", Repeat: release.Stream, Timeout: testTimeout, Target: time.Millisecond, MaxGap: time.Millisecond, Split: model, MaxAttempts: 2},
-			{Name: "single", Host: "h", Prefix: "/single/", Repeat: release.Stream, Timeout: testTimeout, Target: testTimeout, MaxGap: testTimeout, Split: model, MaxAttempts: 2},
+			{Name: "once", Host: "h", Prefix: "/once/", Type: release.AtMostOnce, Timeout: testTimeout, TargetLatency: testTimeout, Split: plain, MaxAttempts: 1},
+			{Name: "again", Host: "h", Prefix: "/again/", Type: release.Idempotent, Timeout: testTimeout, TargetLatency: testTimeout, Split: plain, MaxAttempts: 2},
+			{Name: "stream", Host: "h", Prefix: "/stream/", Type: release.Stream, Timeout: testTimeout, TargetLatency: testTimeout, TargetGap: testTimeout, Split: model, MaxAttempts: 2, Resumable: true},
+			{Name: "brisk", Host: "h", Prefix: "/brisk/", Type: release.Stream, Timeout: testTimeout, TargetLatency: time.Millisecond, TargetGap: time.Millisecond, Split: model, MaxAttempts: 2, Resumable: true},
+			{Name: "slow", Host: "h", Prefix: "/slow/", Type: release.Stream, Timeout: testTimeout, TargetLatency: time.Millisecond, TargetGap: time.Millisecond, Split: model, MaxAttempts: 2},
+			{Name: "single", Host: "h", Prefix: "/single/", Type: release.Stream, Timeout: testTimeout, TargetLatency: testTimeout, TargetGap: testTimeout, Split: model, MaxAttempts: 2},
 		},
 		Services: []release.Service{{Pool: "plain"}, {Pool: "model", Engine: engine}},
 		Accounts: []release.Account{{ID: "acme", Keys: []string{"k1"}}},
@@ -167,9 +167,9 @@
 			t.Cleanup(s.Close)
 			w.upstreams = append(w.upstreams, s)
 			entries = append(entries, registry.Entry{
-				ID: fleet.UpstreamID(fmt.Sprintf("%s%d", pool, i)), Born: 1, Sequence: 1, Pool: pool, Slots: 10,
+				ID: fleet.UpstreamID(fmt.Sprintf("%s%d", pool, i)), Incarnation: 1, Sequence: 1, Pool: pool, Slots: 10,
 				Address: s.Listener.Addr().String(), State: registry.Ready, Card: "card",
-				Layers: upstream.LayerRange{To: 4}, Heard: time.Now(),
+				Layers: upstream.LayerRange{To: 4}, LastHeartbeat: time.Now(),
 			})
 		}
 	}
@@ -182,13 +182,13 @@
 		}
 		return exchange.DialTCP(ctx, address)
 	}))
-	st := state.New(clock, "dc1", decoder{&w.current}, state.Limits{Alive: time.Hour, Lease: configLease, Fresh: time.Hour, Retries: retries}, client, zap.NewNop())
+	st := state.New(clock, "dc1", decoder{&w.current}, state.Limits{HeartbeatTimeout: time.Hour, KeyLease: configLease, ReadinessTimeout: time.Hour, Retries: retries}, client, zap.NewNop())
 	command, err := store.Command(1, nil)
 	is.NoErr(err)
 	log := store.New()
 	log.Apply(1, command)
 	held, _ := log.Current()
-	u := feed.Update{Held: held, Entries: entries, Sums: &usage.Report{Gateways: 1}}
+	u := feed.Update{Release: held, Entries: entries, Sums: &usage.Report{Gateways: 1}}
 	if upstreams > 0 {
 		u.Confirmed, u.ConfirmedVersion = clock.Boot(), 1
 	}
@@ -198,7 +198,7 @@
 	w.heartbeat = func() {
 		for i := range u.Entries {
 			u.Entries[i].Sequence++
-			u.Entries[i].Heard = clock.Now()
+			u.Entries[i].LastHeartbeat = clock.Now()
 		}
 		w.receive(u)
 	}
@@ -206,7 +206,7 @@
 	h := forward.New(clock, st, client, headerCodec{}, prober{&w.probes}, forward.NewMetrics(prometheus.NewRegistry()), zap.New(core))
 	w.handler = h
 	w.setRetryCounts = func(c budget.Count) {
-		w.receive(feed.Update{Sums: &usage.Report{Gateways: 1, Sends: map[fleet.PoolID]budget.Count{"model": c}}})
+		w.receive(feed.Update{Sums: &usage.Report{Gateways: 1, Attempts: map[fleet.PoolID]budget.Count{"model": c}}})
 	}
 	w.server = httptest.NewServer(h)
 	t.Cleanup(w.server.Close)
@@ -527,5 +527,5 @@
 	log := store.New()
 	log.Apply(1, command)
 	held, _ := log.Current()
-	w.receive(feed.Update{Held: held, Confirmed: w.clock.Boot(), ConfirmedVersion: r.Version})
+	w.receive(feed.Update{Release: held, Confirmed: w.clock.Boot(), ConfirmedVersion: r.Version})
 }
--- a/internal/gateway/forward/plain.go
+++ b/internal/gateway/forward/plain.go
@@ -49,7 +49,7 @@
 func (q *request) serveUnary(ctx context.Context) {
 	var buffered *response
 	for q.allowAttempt(ctx) {
-		lease, err := q.pool.Upstreams.Pick(pool.Ask{Avoid: q.avoid})
+		lease, err := q.pool.Upstreams.Pick(pool.Request{Exclude: q.avoid})
 		if err != nil {
 			q.lastErr = err
 			break
@@ -64,7 +64,7 @@
 		if err != nil {
 			q.lastErr = err
 			q.logger.Info("A send failed.", zap.String("request", string(q.headers.ID)), zap.String("upstream", q.lastUpstream),
-				zap.Int("result", int(res)), zap.Duration("heardAgo", q.clock.Now().Sub(u.Confirmed)), zap.Error(err))
+				zap.Int("result", int(res)), zap.Duration("heardAgo", q.clock.Now().Sub(u.LastHeartbeat)), zap.Error(err))
 		}
 		if res != notRun {
 			q.possibleRuns++
@@ -86,7 +86,7 @@
 // mayTryAnother reports whether another upstream may be tried if the attempt in progress
 // takes too long.
 func (q *request) mayTryAnother() bool {
-	return q.route.Repeat == release.Idempotent && q.possibleRuns+1 < q.route.MaxAttempts
+	return q.route.Type == release.Idempotent && q.possibleRuns+1 < q.route.MaxAttempts
 }
 
 func leaseResult(res result, err error, client context.Context) pool.Result {
@@ -95,7 +95,7 @@
 		return pool.Succeeded
 	case client.Err() != nil:
 		return pool.Canceled
-	case exchange.Refused(err):
+	case exchange.ConnectFailed(err):
 		return pool.Unreachable
 	}
 	return pool.Failed
@@ -106,17 +106,17 @@
 func (q *request) attempt(ctx context.Context, t exchange.Target, earlyTimeout bool) (*response, result, error) {
 	if earlyTimeout {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, q.route.Target*earlyTimeoutNum/earlyTimeoutDen)
+		ctx, cancel = context.WithTimeout(ctx, q.route.TargetLatency*earlyTimeoutNum/earlyTimeoutDen)
 		defer cancel()
 	}
-	x, err := q.client.Send(ctx, t, q.upstreamRequest(gateway.Send{Upstream: t.ID}))
+	x, err := q.client.Send(ctx, t, q.upstreamRequest(gateway.UpstreamHeaders{Upstream: t.ID}))
 	if err != nil {
 		return nil, resultOf(err), err
 	}
 	defer x.Close()
-	reply := q.codec.ReadReply(x.Response.StatusCode, x.Response.Header)
+	reply := q.codec.DecodeResponse(x.Response.StatusCode, x.Response.Header)
 	if reply.NotRun {
-		return nil, notRun, refusal.Because(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request",
+		return nil, notRun, refusal.WithCause(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request",
 			t.ID, x.Response.StatusCode)
 	}
 	body, err := x.ReadBody(maxBufferedBytes)
@@ -136,7 +136,7 @@
 
 // verifyResponse returns an error if a response belongs to another request, bears no
 // seal of its upstream, or has a content encoding.
-func (q *request) verifyResponse(r gateway.Reply, p *http.Response, t exchange.Target) error {
+func (q *request) verifyResponse(r gateway.ResponseHeaders, p *http.Response, t exchange.Target) error {
 	if r.Sealed && r.ID == q.headers.ID && p.Header.Get("Content-Encoding") == "" {
 		return nil
 	}
--- a/internal/gateway/forward/stream.go
+++ b/internal/gateway/forward/stream.go
@@ -144,7 +144,7 @@
 // chooseDestination selects a path of engines, or an upstream of a service without
 // engines.
 func (s *relay) chooseDestination() (destination, error) {
-	if p := s.pool.Paths; p != nil {
+	if p := s.pool.Planner; p != nil {
 		hops, err := s.choosePath(p)
 		if err != nil {
 			return destination{}, err
@@ -182,13 +182,13 @@
 // these. If there is no such path, any path is allowed, since lost engines do not
 // count.
 func (s *relay) choosePath(p *path.Planner) ([]path.Hop, error) {
-	l := path.Limits{Avoid: s.avoid}
+	l := path.Constraints{Avoid: s.avoid}
 	if s.reachedMaxUpstreams() {
-		l = path.Limits{First: s.ranAt}
+		l = path.Constraints{First: s.ranAt}
 	}
 	hops, err := p.Choose(l)
 	if err != nil {
-		return p.Choose(path.Limits{})
+		return p.Choose(path.Constraints{})
 	}
 	return hops, nil
 }
@@ -196,9 +196,9 @@
 // pickUpstream selects an upstream of a service without engines under the same limits.
 func (s *relay) pickUpstream() (pool.Lease, error) {
 	if s.reachedMaxUpstreams() {
-		return s.pool.Upstreams.Pick(pool.Ask{Only: s.ranAt})
+		return s.pool.Upstreams.Pick(pool.Request{Eligible: s.ranAt})
 	}
-	return s.pool.Upstreams.Pick(pool.Ask{Avoid: s.avoid})
+	return s.pool.Upstreams.Pick(pool.Request{Exclude: s.avoid})
 }
 
 // runAttempt makes one attempt and reports whether the request is finished.
@@ -216,7 +216,7 @@
 	w := s.watch(ctx, cancel, t)
 	defer w.stop()
 	finished, res, err := s.forward(ctx, t, w)
-	refused := exchange.Refused(err)
+	refused := exchange.ConnectFailed(err)
 	s.reachedUpstream = s.reachedUpstream || !exchange.Unsent(err)
 	t.done(err == nil && res == answered, refused)
 	if err == nil {
@@ -244,17 +244,17 @@
 // forward sends the request and relays the events of its response.
 func (s *relay) forward(ctx context.Context, t destination, w *watcher) (bool, result, error) {
 	sent := s.clock.Now()
-	x, err := s.client.Send(ctx, t.target, s.upstreamRequest(gateway.Send{
+	x, err := s.client.Send(ctx, t.target, s.upstreamRequest(gateway.UpstreamHeaders{
 		Upstream: t.target.ID, Path: t.hops, LastEvent: s.lastEvent, HasLastEvent: s.resume,
 	}))
 	if err != nil {
 		return false, resultOf(err), err
 	}
 	defer x.Close()
-	reply := s.codec.ReadReply(x.Response.StatusCode, x.Response.Header)
+	reply := s.codec.DecodeResponse(x.Response.StatusCode, x.Response.Header)
 	if reply.NotRun {
 		s.recordRefusal(reply, x.Response.StatusCode, s.clock.Now().Sub(sent))
-		return false, notRun, refusal.Because(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request, engine at fault: %.64q",
+		return false, notRun, refusal.WithCause(refusal.NoUpstream, x.Drain(), "upstream %s responded with status %d without running the request, engine at fault: %.64q",
 			t.target.ID, x.Response.StatusCode, reply.At)
 	}
 	if err := s.verifyResponse(reply, x.Response, t.target); err != nil {
@@ -269,13 +269,13 @@
 // recordRefusal tells the planner which engine could not do its part. A refusal within
 // maxRefusalDelay means that the engine has no free memory or is releasing its layers.
 // A dead engine is noticed only after a timeout.
-func (s *relay) recordRefusal(r gateway.Reply, status int, took time.Duration) {
-	if r.At == "" || s.pool.Paths == nil {
+func (s *relay) recordRefusal(r gateway.ResponseHeaders, status int, took time.Duration) {
+	if r.At == "" || s.pool.Planner == nil {
 		return
 	}
 	if status == http.StatusServiceUnavailable && took < maxRefusalDelay {
 		s.refusals++
-		s.pool.Paths.Full(r.At)
+		s.pool.Planner.MarkFull(r.At)
 		return
 	}
 	s.markFailed(r.At)
@@ -343,11 +343,11 @@
 // of a path are working.
 func (s *relay) reportProgress(t destination) {
 	now := s.clock.Now()
-	if s.pool.Paths == nil || now.Sub(s.lastProgress) < progressInterval {
+	if s.pool.Planner == nil || now.Sub(s.lastProgress) < progressInterval {
 		return
 	}
 	s.lastProgress = now
-	s.pool.Paths.Served(t.hops)
+	s.pool.Planner.NoteProgress(t.hops)
 }
 
 // sendHead sends the status line and headers to the client, once per stream. Events of
@@ -382,8 +382,8 @@
 
 // markFailed makes the planner avoid the engine at an address for a while.
 func (s *relay) markFailed(address string) {
-	if s.pool.Paths != nil {
-		s.pool.Paths.Fail(address)
+	if s.pool.Planner != nil {
+		s.pool.Planner.MarkFailed(address)
 	}
 }
 
@@ -410,7 +410,7 @@
 
 func (s *relay) watch(ctx context.Context, cancel context.CancelCauseFunc, t destination) *watcher {
 	w := &watcher{relay: s, ctx: ctx, cancel: cancel, dest: t, possibleRuns: s.possibleRuns + 1, attempts: s.attempts}
-	w.timer = time.AfterFunc(stallTimeout(s.request.route.Target*firstCheckNum/firstCheckDen), w.check)
+	w.timer = time.AfterFunc(stallTimeout(s.request.route.TargetLatency*firstCheckNum/firstCheckDen), w.check)
 	return w
 }
 
@@ -419,7 +419,7 @@
 
 func (w *watcher) progress() {
 	w.events.Add(1)
-	w.timer.Reset(stallTimeout(w.relay.request.route.MaxGap * gapFactor))
+	w.timer.Reset(stallTimeout(w.relay.request.route.TargetGap * gapFactor))
 }
 
 func (w *watcher) stop() { w.timer.Stop() }
@@ -443,7 +443,7 @@
 	}
 	if w.events.Load() != w.checkedEvents {
 		// The stream made progress during the check.
-		w.timer.Reset(stallTimeout(s.request.route.MaxGap * gapFactor))
+		w.timer.Reset(stallTimeout(s.request.route.TargetGap * gapFactor))
 		return
 	}
 	if err != nil {
@@ -469,7 +469,7 @@
 		w.cancel(errors.New("stream made no progress"))
 		return
 	}
-	w.timer.Reset(stallTimeout(s.request.route.MaxGap * gapFactor))
+	w.timer.Reset(stallTimeout(s.request.route.TargetGap * gapFactor))
 }
 
 // allowFailover reports whether the stream may fail over, and charges the retry budget
@@ -481,16 +481,16 @@
 // probePaces asks engines of the path whose pace was not requested lately for it, so
 // that further streams avoid slow engines.
 func (w *watcher) probePaces() {
-	p := w.relay.pool.Paths
+	p := w.relay.pool.Planner
 	if p == nil {
 		return
 	}
 	var wg sync.WaitGroup
-	for _, h := range p.Unpaced(w.dest.hops) {
+	for _, h := range p.SlowdownDue(w.dest.hops) {
 		wg.Go(func() {
 			r, err := w.relay.probes.report(w.ctx, exchange.Target{ID: h.ID, Address: h.Address})
 			if err == nil {
-				p.SetPace(h.ID, r.Pace)
+				p.SetSlowdown(h.ID, r.Slowdown)
 			}
 		})
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -13,8 +13,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/gateway/path"
 )
 
-// Call holds the decoded headers of a client request.
-type Call struct {
+// ClientHeaders holds the decoded headers of a client request.
+type ClientHeaders struct {
 	ID fleet.RequestID
 	// Budget is how long the client waits for the response, or 0 if not given.
 	Budget time.Duration
@@ -26,25 +26,25 @@
 	HasLastEvent bool
 }
 
-// Send holds the values of the headers that the gateway sets in a request
+// UpstreamHeaders holds the values of the headers that the gateway sets in a request
 // to an upstream.
-type Send struct {
+type UpstreamHeaders struct {
 	// Upstream is the incarnation that must handle the request.
 	Upstream fleet.UpstreamID
 	Account  fleet.AccountID
-	// Left is the time until the deadline of the request.
-	Left time.Duration
-	Path []path.Hop
+	// Remaining is the time until the deadline of the request.
+	Remaining time.Duration
+	Path      []path.Hop
 	// LastEvent is the ID of the event after which the stream continues, if
 	// HasLastEvent is set.
 	LastEvent    uint64
 	HasLastEvent bool
-	// Urgency ranges from 0 for the most urgent requests to 9.
-	Urgency int
+	// Priority ranges from 0 for the most urgent requests to 9.
+	Priority int
 }
 
-// Reply holds the decoded headers of an upstream response.
-type Reply struct {
+// ResponseHeaders holds the decoded headers of an upstream response.
+type ResponseHeaders struct {
 	ID fleet.RequestID
 	// Sealed reports whether the response bears the seal of an upstream that ran the
 	// request.
@@ -56,14 +56,14 @@
 	At string
 }
 
-// Dialect converts between the headers of a platform and these types.
-type Dialect interface {
-	// ReadCall decodes the headers of a client request. Errors have the kind
+// HeaderCodec converts between the headers of a platform and these types.
+type HeaderCodec interface {
+	// DecodeClient decodes the headers of a client request. Errors have the kind
 	// refusal.BadRequest.
-	ReadCall(h http.Header) (Call, error)
-	// WriteSend replaces the headers that the gateway sets. h holds the headers of
+	DecodeClient(h http.Header) (ClientHeaders, error)
+	// EncodeUpstream replaces the headers that the gateway sets. h holds the headers of
 	// the client request.
-	WriteSend(h http.Header, s Send)
-	// ReadReply decodes the status and headers of an upstream response.
-	ReadReply(status int, h http.Header) Reply
+	EncodeUpstream(h http.Header, s UpstreamHeaders)
+	// DecodeResponse decodes the status and headers of an upstream response.
+	DecodeResponse(status int, h http.Header) ResponseHeaders
 }
--- a/internal/gateway/path/path.go
+++ b/internal/gateway/path/path.go
@@ -160,7 +160,7 @@
 			continue
 		}
 		k := old[e.ID]
-		if k == nil || k.entry.Born != e.Born {
+		if k == nil || k.entry.Incarnation != e.Incarnation {
 			k = &engine{}
 		}
 		k.entry = e
@@ -180,10 +180,10 @@
 
 // secondsPerLayer returns the time of a request of average size per layer.
 func secondsPerLayer(m *release.Engine, c release.Card) float64 {
-	decode := float64(m.UsualAnswer) * m.StepMS * c.Pace / 1e3
+	decode := float64(m.MeanAnswerTokens) * m.StepMS * c.StepFactor / 1e3
 	prefill := 0.0
-	if m.ReadPerSecond > 0 {
-		prefill = float64(m.UsualPrompt) / m.ReadPerSecond * c.ReadFactor
+	if m.PrefillPerSecond > 0 {
+		prefill = float64(m.MeanPromptTokens) / m.PrefillPerSecond * c.PrefillFactor
 	}
 	return (decode + prefill) / float64(m.Layers)
 }
@@ -200,7 +200,7 @@
 // that holds a number of layers.
 func streamCapacity(m *release.Engine, c release.Card, layers int) float64 {
 	freeBytes := (c.MemoryMB - float64(layers)*m.LayerMB) * 1e6
-	bytesPerStream := float64(m.UsualPrompt+m.UsualAnswer) * m.TokenBytes / float64(m.Layers) * float64(layers)
+	bytesPerStream := float64(m.MeanPromptTokens+m.MeanAnswerTokens) * m.TokenBytes / float64(m.Layers) * float64(layers)
 	if bytesPerStream <= 0 {
 		return math.Inf(1)
 	}
@@ -218,7 +218,7 @@
 }
 
 // Constraints restrict the choice of a path.
-type Limits struct {
+type Constraints struct {
 	// Avoid lists engines that must not be used.
 	Avoid []fleet.UpstreamID
 	// First lists the engines that the path may begin at. If empty, any engine may be
@@ -228,7 +228,7 @@
 
 // Choose returns the cheapest path within the constraints. The caller must call Done
 // with the path when the request ends. The error is of kind refusal.NoUpstream.
-func (p *Planner) Choose(l Limits) ([]Hop, error) {
+func (p *Planner) Choose(l Constraints) ([]Hop, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.model == nil {
@@ -254,7 +254,7 @@
 	var es []*engine
 	var costs []float64
 	for _, e := range p.engines {
-		stale := now.Sub(e.entry.Heard) > p.heartbeatTimeout && now.Sub(e.lastProgress) > maxProgressAge && now.Sub(e.lastOwnProgress) > maxProgressAge
+		stale := now.Sub(e.entry.LastHeartbeat) > p.heartbeatTimeout && now.Sub(e.lastProgress) > maxProgressAge && now.Sub(e.lastOwnProgress) > maxProgressAge
 		if stale || now.Before(e.excludedUntil) || slices.Contains(avoid, e.entry.ID) {
 			continue
 		}
@@ -278,7 +278,7 @@
 }
 
 // SetSlowdown records the factor by which an engine reports to be slower than its card.
-func (p *Planner) SetPace(id fleet.UpstreamID, slowdown float64) {
+func (p *Planner) SetSlowdown(id fleet.UpstreamID, slowdown float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.byID[id]; e != nil {
@@ -290,7 +290,7 @@
 // SlowdownDue returns the hops whose engines no gateway has recently asked for their
 // slowdown. The caller must ask them: they are not returned again for
 // maxSlowdownReportAge.
-func (p *Planner) Unpaced(hops []Hop) []Hop {
+func (p *Planner) SlowdownDue(hops []Hop) []Hop {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -334,11 +334,11 @@
 
 // Stats returns, for each engine with requests in progress or recent events, what this
 // gateway reports to the controller.
-func (p *Planner) Stats() []usage.Use {
+func (p *Planner) Stats() []usage.UpstreamStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	var us []usage.Use
+	var us []usage.UpstreamStats
 	for _, e := range p.engines {
 		failed := now.Sub(e.lastOwnFailure) < maxFailureReportAge
 		served := now.Sub(e.lastOwnProgress) < maxProgressAge
@@ -348,7 +348,7 @@
 		}
 		full := now.Sub(e.lastOwnRefusal) < maxRefusalReportAge
 		if e.active > 0 || failed || served || full || slowdown > 0 {
-			us = append(us, usage.Use{ID: e.entry.ID, Active: e.active, Failed: failed, Served: served, Full: full, Pace: slowdown})
+			us = append(us, usage.UpstreamStats{ID: e.entry.ID, Active: e.active, Failed: failed, Served: served, OutOfMemory: full, Slowdown: slowdown})
 		}
 	}
 	return us
@@ -356,7 +356,7 @@
 
 // SetFleetStats applies the sums over all gateways. Engines that failed for several
 // gateways are excluded here as well.
-func (p *Planner) SetFleetStats(us []usage.Use) {
+func (p *Planner) SetFleetStats(us []usage.UpstreamStats) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -373,11 +373,11 @@
 		if u.Served {
 			e.lastProgress = now
 		}
-		if u.Full {
+		if u.OutOfMemory {
 			e.lastRefusal = now
 		}
-		if u.Pace > 0 {
-			e.slowdown, e.slowdownTime = u.Pace, now
+		if u.Slowdown > 0 {
+			e.slowdown, e.slowdownTime = u.Slowdown, now
 		}
 		if u.Failed && !now.Before(e.excludedUntil) {
 			p.exclude(e, now)
@@ -470,7 +470,7 @@
 	case s.dataCentre != e.entry.DataCentre:
 		return midPathCrossingCost.Seconds()
 	}
-	return float64(p.model.UsualAnswer) * hopDelay.Seconds()
+	return float64(p.model.MeanAnswerTokens) * hopDelay.Seconds()
 }
 
 // Done records the end of a request on a path. ok reports that all engines completed
@@ -491,7 +491,7 @@
 }
 
 // NoteProgress records that a request made progress on a path.
-func (p *Planner) Served(hops []Hop) {
+func (p *Planner) NoteProgress(hops []Hop) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -503,7 +503,7 @@
 }
 
 // MarkFailed excludes the engine at an address temporarily.
-func (p *Planner) Fail(address string) {
+func (p *Planner) MarkFailed(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -524,7 +524,7 @@
 }
 
 // MarkFull excludes the engine at an address until some of its requests may have ended.
-func (p *Planner) Full(address string) {
+func (p *Planner) MarkFull(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
--- a/internal/gateway/path/path_test.go
+++ b/internal/gateway/path/path_test.go
@@ -19,11 +19,11 @@
 
 // model has 8 layers of 1000 MB and needs 1 MB of memory per token.
 var model = &release.Engine{
-	Layers: 8, LayerMB: 1000, TokenBytes: 1e6, StepMS: 1, ReadPerSecond: 100000, ActivationBytes: 20000,
-	PipeMbps: 8000, UsualPrompt: 600, UsualAnswer: 200,
+	Layers: 8, LayerMB: 1000, TokenBytes: 1e6, StepMS: 1, PrefillPerSecond: 100000, ActivationBytes: 20000,
+	LinkMbps: 8000, MeanPromptTokens: 600, MeanAnswerTokens: 200,
 	Cards: map[string]release.Card{
-		"fast": {MemoryMB: 12000, Pace: 1, ReadFactor: 1},
-		"slow": {MemoryMB: 8000, Pace: 10, ReadFactor: 10},
+		"fast": {MemoryMB: 12000, StepFactor: 1, PrefillFactor: 1},
+		"slow": {MemoryMB: 8000, StepFactor: 10, PrefillFactor: 10},
 	},
 }
 
@@ -49,20 +49,20 @@
 				p.SetFleetStats(parseStats(t, d))
 				return ""
 			case "fail":
-				p.Fail(address(t, d))
+				p.MarkFailed(address(t, d))
 				return ""
 			case "progress":
-				p.Served([]path.Hop{{ID: fleet.UpstreamID(address(t, d))}})
+				p.NoteProgress([]path.Hop{{ID: fleet.UpstreamID(address(t, d))}})
 				return ""
 			case "full":
-				p.Full(address(t, d))
+				p.MarkFull(address(t, d))
 				return ""
 			case "slowdown":
 				var x float64
 				if _, err := fmt.Sscan(d.CmdArgs[1].Vals[0], &x); err != nil {
 					d.Fatalf(t, "%v", err)
 				}
-				p.SetPace(fleet.UpstreamID(address(t, d)), x)
+				p.SetSlowdown(fleet.UpstreamID(address(t, d)), x)
 				return ""
 			case "advance":
 				n, err := time.ParseDuration(d.CmdArgs[0].Key)
@@ -84,8 +84,8 @@
 	return s
 }
 
-func constraints(d *datadriven.TestData) path.Limits {
-	var l path.Limits
+func constraints(d *datadriven.TestData) path.Constraints {
+	var l path.Constraints
 	for _, a := range d.CmdArgs {
 		switch a.Key {
 		case "avoid":
@@ -131,7 +131,7 @@
 		if _, err := fmt.Sscan(line, &id, &dc, &e.Card, &from, &to); err != nil {
 			d.Fatalf(t, "%q: %v", line, err)
 		}
-		e.ID, e.Address, e.DataCentre, e.Born, e.Heard = fleet.UpstreamID(id), id, fleet.DataCentreID(dc), 1, now
+		e.ID, e.Address, e.DataCentre, e.Incarnation, e.LastHeartbeat = fleet.UpstreamID(id), id, fleet.DataCentreID(dc), 1, now
 		e.Slots = slots
 		e.Layers = upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(to)}
 		es = append(es, e)
@@ -139,15 +139,15 @@
 	return es
 }
 
-func parseStats(t *testing.T, d *datadriven.TestData) []usage.Use {
-	var us []usage.Use
+func parseStats(t *testing.T, d *datadriven.TestData) []usage.UpstreamStats {
+	var us []usage.UpstreamStats
 	for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-		var u usage.Use
+		var u usage.UpstreamStats
 		var id, state string
 		if _, err := fmt.Sscan(line, &id, &u.Active, &state); err != nil {
 			d.Fatalf(t, "%q: %v", line, err)
 		}
-		u.ID, u.Failed, u.Full = fleet.UpstreamID(id), state == "failed", state == "full"
+		u.ID, u.Failed, u.OutOfMemory = fleet.UpstreamID(id), state == "failed", state == "full"
 		us = append(us, u)
 	}
 	return us
--- a/internal/gateway/state/state.go
+++ b/internal/gateway/state/state.go
@@ -54,11 +54,11 @@
 // Limits bound the age of the state that a gateway may use, and its retries.
 type Limits struct {
 	// HeartbeatTimeout is the age of the last heartbeat up to which an upstream is used.
-	Alive time.Duration
+	HeartbeatTimeout time.Duration
 	// KeyLease is how long after a confirmation account keys are accepted.
-	Lease time.Duration
+	KeyLease time.Duration
 	// ReadinessTimeout is the age of the confirmation up to which a gateway is ready.
-	Fresh time.Duration
+	ReadinessTimeout time.Duration
 	// Retries bounds the retries of all gateways to one pool. Every attempt beyond the
 	// first one of a request is a retry.
 	Retries budget.Limit
@@ -67,10 +67,10 @@
 // Pool is what a gateway needs to use the upstreams of one service.
 type Pool struct {
 	// Planner selects paths through pools of engines. It is nil for plain services.
-	Paths *path.Planner
+	Planner *path.Planner
 	// Upstreams selects upstreams of plain services.
-	Upstreams *pool.Pool
-	Budget    *budget.Fleet
+	Upstreams   *pool.Pool
+	RetryBudget *budget.Shared
 }
 
 // State implements feed.Receiver. It is safe for concurrent use.
@@ -100,18 +100,18 @@
 	}
 }
 
-// Stamp implements feed.Receiver.
-func (s *State) Stamp() time.Duration { return s.clock.Boot() }
+// ClockReading implements feed.Receiver.
+func (s *State) ClockReading() time.Duration { return s.clock.Boot() }
 
 // Report implements feed.Receiver.
 func (s *State) Report() usage.Report {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	r := usage.Report{Sends: make(map[fleet.PoolID]budget.Count, len(s.pools))}
+	r := usage.Report{Attempts: make(map[fleet.PoolID]budget.Count, len(s.pools))}
 	for id, p := range s.pools {
-		r.Sends[id] = p.Budget.Count()
-		if p.Paths != nil {
-			r.Uses = append(r.Uses, p.Paths.Stats()...)
+		r.Attempts[id] = p.RetryBudget.Count()
+		if p.Planner != nil {
+			r.Upstreams = append(r.Upstreams, p.Planner.Stats()...)
 		}
 	}
 	return r
@@ -158,9 +158,9 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for id, p := range s.pools {
-		p.Budget.SetSum(r.Sends[id], r.Gateways)
-		if p.Paths != nil {
-			p.Paths.SetFleetStats(r.Uses)
+		p.RetryBudget.SetSum(r.Attempts[id], r.Gateways)
+		if p.Planner != nil {
+			p.Planner.SetFleetStats(r.Upstreams)
 		}
 	}
 }
@@ -168,12 +168,12 @@
 // applyRelease makes a newer release the current one, and reports whether it did. A
 // release that cannot be decoded is ignored as a whole.
 func (s *State) applyRelease(u feed.Update) bool {
-	if u.Held.Version <= s.Version() {
+	if u.Release.Version <= s.Version() {
 		return false
 	}
-	r, err := u.Held.Read(s.decoder)
+	r, err := u.Release.Decode(s.decoder)
 	if err != nil {
-		s.logger.Error("Failed to decode release.", zap.Uint64("version", uint64(u.Held.Version)), zap.Error(err))
+		s.logger.Error("Failed to decode release.", zap.Uint64("version", uint64(u.Release.Version)), zap.Error(err))
 		return false
 	}
 	s.table.Store(table.New(r))
@@ -193,10 +193,10 @@
 	maxIdle := make(map[exchange.Target]int)
 	maxIdlePerUpstream := maxIdleConns(t.Release, gateways)
 	now := s.clock.Now()
-	for _, e := range s.catalog.All(servingFactor * s.limits.Alive) {
+	for _, e := range s.catalog.All(servingFactor * s.limits.HeartbeatTimeout) {
 		// The path planner itself skips engines that neither send heartbeats nor make
 		// progress.
-		if e.State != registry.Ready || e.Card == "" && now.Sub(e.Heard) > s.limits.Alive {
+		if e.State != registry.Ready || e.Card == "" && now.Sub(e.LastHeartbeat) > s.limits.HeartbeatTimeout {
 			continue
 		}
 		entries[e.Pool] = append(entries[e.Pool], e)
@@ -231,14 +231,14 @@
 	if old := s.pools[v.Pool]; old != nil {
 		*p = *old
 	} else {
-		p.Budget = budget.NewFleet(s.clock, s.limits.Retries, rand.Float64)
+		p.RetryBudget = budget.NewShared(s.clock, s.limits.Retries, rand.Float64)
 	}
 	s.pools[v.Pool] = p
 	if v.Engine != nil && v.Engine.Layers > 0 {
-		if p.Paths == nil {
-			p.Paths = path.New(s.clock, s.dataCentre, s.limits.Alive, rand.Float64)
+		if p.Planner == nil {
+			p.Planner = path.New(s.clock, s.dataCentre, s.limits.HeartbeatTimeout, rand.Float64)
 		}
-		p.Paths.Refresh(v.Engine, es, gateways)
+		p.Planner.Refresh(v.Engine, es, gateways)
 		return
 	}
 	if p.Upstreams == nil {
@@ -248,16 +248,16 @@
 	for i, e := range es {
 		us[i] = upstream.Upstream{
 			Announcement: upstream.Announcement{
-				ID: e.ID, Incarnation: e.Born, Sequence: e.Sequence, Kind: upstream.Service,
+				ID: e.ID, Incarnation: e.Incarnation, Sequence: e.Sequence, Kind: upstream.Service,
 				Address: e.Address, DataCentre: e.DataCentre, Pool: e.Pool, Slots: e.Slots,
 			},
-			Confirmed: e.Heard,
+			LastHeartbeat: e.LastHeartbeat,
 		}
 	}
 	p.Upstreams.Refresh(us, gateways-1)
 	for _, e := range es {
 		if e.DataCentre != s.dataCentre {
-			p.Upstreams.SetLink(e.ID, remoteLinkDelay)
+			p.Upstreams.SetLinkDelay(e.ID, remoteLinkDelay)
 		}
 	}
 }
@@ -271,14 +271,16 @@
 }
 
 // ConfirmationAge returns the time since a majority confirmed the current release.
-func (s *State) Age() time.Duration {
+func (s *State) ConfirmationAge() time.Duration {
 	return s.clock.Boot() - time.Duration(s.confirmedAt.Load())
 }
 
 // KeyLeaseValid reports whether account keys may be accepted.
-func (s *State) Leased() bool { return s.confirmedAt.Load() > 0 && s.Age() < s.limits.Lease }
+func (s *State) KeyLeaseValid() bool {
+	return s.confirmedAt.Load() > 0 && s.ConfirmationAge() < s.limits.KeyLease
+}
 
 // Ready reports whether the gateway should receive new connections.
 func (s *State) Ready() bool {
-	return s.table.Load() != nil && s.confirmedAt.Load() > 0 && s.Age() < s.limits.Fresh
+	return s.table.Load() != nil && s.confirmedAt.Load() > 0 && s.ConfirmationAge() < s.limits.ReadinessTimeout
 }
--- a/internal/gateway/state/state_test.go
+++ b/internal/gateway/state/state_test.go
@@ -35,7 +35,7 @@
 	is := is.New(t)
 	c := bootClock{fakeclock.New(fakeclock.Start)}
 	s := state.New(c, "dc1", decoder{}, state.Limits{
-		Alive: time.Hour, Lease: time.Hour, Fresh: time.Hour,
+		HeartbeatTimeout: time.Hour, KeyLease: time.Hour, ReadinessTimeout: time.Hour,
 		Retries: budget.Limit{Share: 0.2, Extra: 100, Window: 10 * time.Second},
 	}, exchange.New(c), zap.NewNop())
 	command, err := store.Command(1, nil)
@@ -47,13 +47,13 @@
 	sent := func(n budget.Count) map[fleet.PoolID]budget.Count {
 		return map[fleet.PoolID]budget.Count{"desk": n}
 	}
-	receive(feed.Update{Held: held, Sums: &usage.Report{Gateways: 10, Sends: sent(budget.Count{Attempts: 50, Retries: 2})}})
+	receive(feed.Update{Release: held, Sums: &usage.Report{Gateways: 10, Attempts: sent(budget.Count{Attempts: 50, Retries: 2})}})
 	p, ok := s.Pool("desk")
 	is.True(ok)
-	p.Budget.Deposit()
-	is.True(p.Budget.Withdraw())
-	is.Equal(s.Report().Sends, sent(budget.Count{Attempts: 1, Retries: 1}))
-	receive(feed.Update{Held: held, Sums: &usage.Report{Gateways: 10, Sends: sent(budget.Count{Attempts: 50, Retries: 110})}})
+	p.RetryBudget.Deposit()
+	is.True(p.RetryBudget.Withdraw())
+	is.Equal(s.Report().Attempts, sent(budget.Count{Attempts: 1, Retries: 1}))
+	receive(feed.Update{Release: held, Sums: &usage.Report{Gateways: 10, Attempts: sent(budget.Count{Attempts: 50, Retries: 110})}})
 	c.Advance(time.Second)
-	is.True(!p.Budget.Withdraw())
+	is.True(!p.RetryBudget.Withdraw())
 }
--- a/internal/membership/gossip/centres.go
+++ b/internal/membership/gossip/centres.go
@@ -100,8 +100,8 @@
 	return usagesOf[fleet.InstanceID](c, false)
 }
 
-// CentreUsages returns the account usages of all data centres, by data centre.
-func (c *Core) CentreUsages() map[fleet.DataCentreID][]byte {
+// DataCentreUsages returns the account usages of all data centres, by data centre.
+func (c *Core) DataCentreUsages() map[fleet.DataCentreID][]byte {
 	return usagesOf[fleet.DataCentreID](c, true)
 }
 
--- a/internal/membership/gossip/core.go
+++ b/internal/membership/gossip/core.go
@@ -220,10 +220,10 @@
 	return func(c *Core) { c.random = rand.New(rand.NewPCG(seed, 1)) }
 }
 
-// WithCombine sets the function that combines the account usages of the
+// WithUsageCombiner sets the function that combines the account usages of the
 // instances into the account usage of the data centre. Without it the usage of
 // the instance that publishes the summary of the data centre is used.
-func WithCombine(f func([][]byte) []byte) Option {
+func WithUsageCombiner(f func([][]byte) []byte) Option {
 	return func(c *Core) { c.combineUsages = f }
 }
 
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -102,7 +102,7 @@
 // than 5 s old.
 func (w *simulation) centreList(h *host) string {
 	var b strings.Builder
-	usages := h.core.CentreUsages()
+	usages := h.core.DataCentreUsages()
 	for _, c := range h.core.DataCentres(w.now) {
 		fmt.Fprintf(&b, "%s alive %d revisions %d to %d heartbeat recent %v usage %q\n", c.ID, c.Alive, c.LowestRevision, c.HighestRevision, c.HeartbeatAge < 5*time.Second, usages[c.ID])
 	}
--- a/internal/membership/gossip/schedule_test.go
+++ b/internal/membership/gossip/schedule_test.go
@@ -153,7 +153,7 @@
 	late.State = upstream.Serving
 	late.Sequence--
 	is.New(s.t).True(a.host.roster.Announce(late, s.now) != nil)
-	a.host.roster.Merge([]roster.Confirmation{{Announcement: late}}, s.now)
+	a.host.roster.Merge([]roster.AgedAnnouncement{{Announcement: late}}, s.now)
 }
 
 // restartUpstream restarts an upstream that left at least 5 s ago.
@@ -198,7 +198,7 @@
 // checkUpstream also checks frozen hosts, as if they were resumed at this moment.
 func (s *schedule) checkUpstream(h *host, a *simUpstream) {
 	age := s.now.Sub(a.lastAnnounced)
-	if age <= roster.MaxFreshness+maxUndetectedPause {
+	if age <= roster.MaxHeartbeatTimeout+maxUndetectedPause {
 		return
 	}
 	for _, u := range h.roster.Usable("p", s.now) {
--- a/internal/membership/gossip/world_test.go
+++ b/internal/membership/gossip/world_test.go
@@ -116,7 +116,7 @@
 		Gossip: h.address(), Peers: "127.0.0.1:1", Voter: h.index < 3,
 	}
 	h.core = gossip.New(self, []string{w.hosts[0].address(), w.hosts[1].address()}, gossip.WithRandom(uint64(h.index)))
-	h.roster.Listen(func(a upstream.Announcement, heartbeat, now time.Time) {
+	h.roster.OnAnnouncement(func(a upstream.Announcement, heartbeat, now time.Time) {
 		w.apply(h, h.core.Announce(a, heartbeat, now))
 	})
 }
@@ -212,10 +212,10 @@
 		}
 	}
 	if e.Resumed {
-		h.roster.Resume(w.now)
+		h.roster.RecordResume(w.now)
 	}
 	for _, a := range e.Announced {
-		h.roster.Merge([]roster.Confirmation{{Announcement: a.Announcement, Age: a.Age}}, w.now)
+		h.roster.Merge([]roster.AgedAnnouncement{{Announcement: a.Announcement, Age: a.Age}}, w.now)
 	}
 	for _, r := range e.Renewed {
 		h.roster.Renew([]roster.Renewal{roster.Renewal(r)}, w.now)
--- a/internal/membership/names.go
+++ b/internal/membership/names.go
@@ -9,7 +9,7 @@
 
 // UnmarshalText sets the value that has the given name.
 func (v *Status) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[Status](string(text), int(Left)+1)
+	parsed, err := fleet.ParseEnum[Status](string(text), int(Left)+1)
 	if err != nil {
 		return err
 	}
--- a/internal/membership/packet/node.go
+++ b/internal/membership/packet/node.go
@@ -117,12 +117,12 @@
 // are gossiped, and those of other instances are merged into it.
 func WithRoster(r *roster.Roster) Option { return func(n *Node) { n.roster = r } }
 
-// WithCut sets a function that selects received messages to drop, for tests.
-func WithCut(c DropFunc) Option { return func(n *Node) { n.drop = c } }
+// WithDropFunc sets a function that selects received messages to drop, for tests.
+func WithDropFunc(c DropFunc) Option { return func(n *Node) { n.drop = c } }
 
-// WithCombine sets the function that combines the account usages of the
+// WithUsageCombiner sets the function that combines the account usages of the
 // instances into the account usage of the data centre.
-func WithCombine(f func([][]byte) []byte) Option { return func(n *Node) { n.combineUsages = f } }
+func WithUsageCombiner(f func([][]byte) []byte) Option { return func(n *Node) { n.combineUsages = f } }
 
 // WithRevisionHook sets a function that is called with each new highest revision
 // that is active on any known instance. It must not block.
@@ -155,9 +155,9 @@
 		return nil, errors.Wrap(err, "listen for gossip")
 	}
 	self.Gossip = n.connection.LocalAddr().String()
-	n.core = gossip.New(self, n.seeds, gossip.WithCombine(n.combineUsages))
+	n.core = gossip.New(self, n.seeds, gossip.WithUsageCombiner(n.combineUsages))
 	if n.roster != nil {
-		n.roster.Listen(n.onAnnouncement)
+		n.roster.OnAnnouncement(n.onAnnouncement)
 	}
 	n.start()
 	return n, nil
@@ -283,7 +283,7 @@
 	now := n.clock.Now()
 	if e.Resumed {
 		n.logger.Warn("Process was paused; gossip resumes.")
-		n.roster.Resume(now)
+		n.roster.RecordResume(now)
 	}
 	if len(e.Announced) > 0 {
 		n.mergeAnnounced(e.Announced, now)
@@ -294,9 +294,9 @@
 }
 
 func (n *Node) mergeAnnounced(announced []gossip.Upstream, now time.Time) {
-	all := make([]roster.Confirmation, len(announced))
+	all := make([]roster.AgedAnnouncement, len(announced))
 	for i, a := range announced {
-		all[i] = roster.Confirmation{Announcement: a.Announcement, Age: a.Age}
+		all[i] = roster.AgedAnnouncement{Announcement: a.Announcement, Age: a.Age}
 	}
 	if refused := n.roster.Merge(all, now); refused > 0 {
 		n.logger.Warn("Roster rejected announcements from other instances.", zap.Int("refused", refused))
@@ -393,11 +393,11 @@
 	return n.core.InstanceUsages()
 }
 
-// CentreUsages returns the account usages of all data centres, by data centre.
-func (n *Node) CentreUsages() map[fleet.DataCentreID][]byte {
+// DataCentreUsages returns the account usages of all data centres, by data centre.
+func (n *Node) DataCentreUsages() map[fleet.DataCentreID][]byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.core.CentreUsages()
+	return n.core.DataCentreUsages()
 }
 
 // Stats returns the counters of the traffic.
--- a/internal/membership/packet/packet_test.go
+++ b/internal/membership/packet/packet_test.go
@@ -169,7 +169,7 @@
 	f := &testFleet{t: t, clock: fakeclock.New(fakeclock.Start)}
 	partitioned := make(chan bool, 1)
 	partitioned <- false
-	drop := packet.WithCut(func(from, to fleet.InstanceID) bool {
+	drop := packet.WithDropFunc(func(from, to fleet.InstanceID) bool {
 		c := <-partitioned
 		partitioned <- c
 		return c && (from == "i1" || to == "i1")
--- a/internal/order/desk/desk.go
+++ b/internal/order/desk/desk.go
@@ -72,7 +72,7 @@
 }
 
 // Executor runs orders for one instance. It is safe for concurrent use.
-type Desk struct {
+type Executor struct {
 	ledger   order.Ledger
 	clock    fleet.Clock
 	instance fleet.InstanceID
@@ -102,14 +102,14 @@
 // share it. response and err are valid once done is closed.
 type inFlightOrder struct {
 	done     chan struct{}
-	response upstream.Answer
+	response upstream.Response
 	err      error
 }
 
 // New returns an Executor for an instance.
-func New(ledger order.Ledger, clock fleet.Clock, instance fleet.InstanceID, log *zap.Logger) *Desk {
+func New(ledger order.Ledger, clock fleet.Clock, instance fleet.InstanceID, log *zap.Logger) *Executor {
 	workCtx, cancelWork := context.WithCancel(context.Background())
-	return &Desk{
+	return &Executor{
 		ledger:     ledger,
 		clock:      clock,
 		instance:   instance,
@@ -124,23 +124,23 @@
 // replays its recorded response. If ctx ends first, Run returns an error of kind
 // refusal.Deadline and the order continues. The response is shared and must not be
 // modified.
-func (e *Desk) Run(ctx context.Context, o Order) (upstream.Answer, error) {
+func (e *Executor) Run(ctx context.Context, o Order) (upstream.Response, error) {
 	f, err := e.joinOrStart(o)
 	if err != nil {
-		return upstream.Answer{}, err
+		return upstream.Response{}, err
 	}
 	select {
 	case <-f.done:
 		return f.response, f.err
 	case <-ctx.Done():
-		return upstream.Answer{}, refusal.Because(refusal.Deadline, ctx.Err(), "order is still in progress, ask again with the same key")
+		return upstream.Response{}, refusal.WithCause(refusal.Deadline, ctx.Err(), "order is still in progress, ask again with the same key")
 	}
 }
 
 // Close refuses new orders and waits until the orders in progress have finished
 // and their outcomes are recorded. If ctx ends first, it cancels the remaining
 // work and returns the error of ctx.
-func (e *Desk) Close(ctx context.Context) error {
+func (e *Executor) Close(ctx context.Context) error {
 	e.mu.Lock()
 	e.closed = true
 	e.mu.Unlock()
@@ -169,7 +169,7 @@
 }
 
 // Load returns the unfinished work, for metrics and for shutdown.
-func (e *Desk) Load() Load {
+func (e *Executor) Load() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return Load{Running: len(e.inFlight), PendingReleases: e.pendingReleases}
@@ -184,15 +184,15 @@
 	if err == nil {
 		return nil
 	}
-	properties := refusal.KindOf(err).Answer()
-	if !properties.NotRun || !properties.Resend {
+	properties := refusal.KindOf(err).Response()
+	if !properties.NotRun || !properties.ResendSafe {
 		return err
 	}
-	return refusal.Because(refusal.LedgerUnreachable, err, "this attempt was not run, the ledger was not asked about earlier ones")
+	return refusal.WithCause(refusal.LedgerUnreachable, err, "this attempt was not run, the ledger was not asked about earlier ones")
 }
 
 // joinOrStart returns the order in progress that matches o, or starts o.
-func (e *Desk) joinOrStart(o Order) (*inFlightOrder, error) {
+func (e *Executor) joinOrStart(o Order) (*inFlightOrder, error) {
 	k := inFlightKey{key: o.Key, digest: digestOf(o.Call)}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -213,8 +213,8 @@
 
 // execute runs an order. An order with a response stays in flight until the
 // response is recorded, so that requests with the same key get it before then.
-func (e *Desk) execute(k inFlightKey, f *inFlightOrder, o Order) {
-	t := &attempt{Desk: e, order: o, claim: order.Claim{
+func (e *Executor) execute(k inFlightKey, f *inFlightOrder, o Order) {
+	t := &attempt{Executor: e, order: o, claim: order.Claim{
 		Key:      o.Key,
 		Attempt:  order.AttemptID(fleet.NewRequestID()),
 		Digest:   k.digest,
@@ -241,7 +241,7 @@
 // pendingDelta is negative, it also removes the order in flight. The second call
 // for an order, with -1, must not remove it, because by then the entry may belong
 // to a later attempt.
-func (e *Desk) updateLoad(k inFlightKey, pendingDelta int) {
+func (e *Executor) updateLoad(k inFlightKey, pendingDelta int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if pendingDelta >= 0 {
@@ -252,7 +252,7 @@
 
 // withTimeout returns a context that is canceled after timeout by the clock of the
 // Executor, or when workCtx ends.
-func (e *Desk) withTimeout(timeout time.Duration) (context.Context, context.CancelFunc) {
+func (e *Executor) withTimeout(timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(e.workCtx)
 	timer := e.clock.After(timeout)
 	go func() {
@@ -267,19 +267,19 @@
 
 // attempt is one attempt to run an order.
 type attempt struct {
-	*Desk
+	*Executor
 	order Order
 	claim order.Claim
 	// pendingCall is a call to the ledger that failed and must be retried, or nil.
 	pendingCall func(context.Context) error
 }
 
-func (t *attempt) run() (upstream.Answer, error) {
+func (t *attempt) run() (upstream.Response, error) {
 	ctx, cancel := t.withTimeout(claimTimeout)
 	r, err := t.ledger.Claim(ctx, t.claim)
 	cancel()
 	if err != nil {
-		return upstream.Answer{}, t.claimError(err)
+		return upstream.Response{}, t.claimError(err)
 	}
 	if r.State != order.Claimed || !r.HeldByCaller {
 		return t.recordResult(r)
@@ -299,30 +299,30 @@
 		return Unconfirmed(err)
 	}
 	t.releaseClaim()
-	return refusal.Because(refusal.LedgerUnreachable, err, "outcome of the claim is unknown, nothing was sent by this attempt")
+	return refusal.WithCause(refusal.LedgerUnreachable, err, "outcome of the claim is unknown, nothing was sent by this attempt")
 }
 
 // recordResult returns the result for a record whose claim this attempt does not
 // hold.
-func (t *attempt) recordResult(r order.Record) (upstream.Answer, error) {
+func (t *attempt) recordResult(r order.Record) (upstream.Response, error) {
 	switch {
 	case r.DigestMismatch:
-		return upstream.Answer{}, refusal.New(refusal.KeyReused, "the key was used before for another order")
+		return upstream.Response{}, refusal.New(refusal.KeyReused, "the key was used before for another order")
 	case r.State == order.Free:
-		return upstream.Answer{}, refusal.New(refusal.Overloaded, "order was not run: the claim came too late")
+		return upstream.Response{}, refusal.New(refusal.Overloaded, "order was not run: the claim came too late")
 	case r.State == order.Done && r.Response != nil:
 		return *r.Response, nil
 	case r.State == order.Done:
-		return upstream.Answer{}, refusal.New(refusal.OutcomeUnknown, "the order ran, its answer was too large to be kept")
+		return upstream.Response{}, refusal.New(refusal.OutcomeUnknown, "the order ran, its answer was too large to be kept")
 	case t.clock.Now().Sub(r.Claim.At) < t.timeout()+MaxSendAge+outcomeMargin:
-		return upstream.Answer{}, refusal.New(refusal.InProgress, "the order is in progress").After(time.Second)
+		return upstream.Response{}, refusal.New(refusal.InProgress, "the order is in progress").WithRetryAfter(time.Second)
 	}
-	return upstream.Answer{}, refusal.New(refusal.OutcomeUnknown, "an attempt of the order has no answer, an operator must settle it")
+	return upstream.Response{}, refusal.New(refusal.OutcomeUnknown, "an attempt of the order has no answer, an operator must settle it")
 }
 
 // send calls up to maxPicks upstreams until one of them may have processed the
 // order.
-func (t *attempt) send() (upstream.Answer, error) {
+func (t *attempt) send() (upstream.Response, error) {
 	var lastErr error
 	for range maxPicks {
 		response, err := t.call()
@@ -333,27 +333,27 @@
 			t.recordResponse(response)
 			return response, nil
 		case refusal.KindOf(err) != refusal.NoUpstream:
-			return upstream.Answer{}, refusal.Because(refusal.OutcomeUnknown, err, "the order may have run, its answer is missing")
+			return upstream.Response{}, refusal.WithCause(refusal.OutcomeUnknown, err, "the order may have run, its answer is missing")
 		}
 		lastErr = err
 	}
 	t.releaseClaim()
-	return upstream.Answer{}, refusal.Because(refusal.NoUpstream, lastErr, "order was not run")
+	return upstream.Response{}, refusal.WithCause(refusal.NoUpstream, lastErr, "order was not run")
 }
 
 // call picks an upstream and sends the order to it. The kind of the error is
 // refusal.NoUpstream when nothing was sent.
-func (t *attempt) call() (upstream.Answer, error) {
+func (t *attempt) call() (upstream.Response, error) {
 	ctx, cancel := t.withTimeout(t.timeout())
 	defer cancel()
 	// The instance may have been suspended since it made the claim, and an operator
 	// may have settled the claim in the meantime.
 	if t.clock.Now().Sub(t.claim.At) > MaxSendAge {
-		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "claim is older than %v", MaxSendAge)
+		return upstream.Response{}, refusal.New(refusal.NoUpstream, "claim is older than %v", MaxSendAge)
 	}
 	client, err := t.order.Pick(ctx)
 	if err != nil {
-		return upstream.Answer{}, refusal.Because(refusal.NoUpstream, err, "no upstream")
+		return upstream.Response{}, refusal.WithCause(refusal.NoUpstream, err, "no upstream")
 	}
 	return client.Call(ctx, t.order.Call)
 }
@@ -366,7 +366,7 @@
 }
 
 // recordResponse records the response in the ledger.
-func (t *attempt) recordResponse(response upstream.Answer) {
+func (t *attempt) recordResponse(response upstream.Response) {
 	t.callLedger(func(ctx context.Context) error {
 		return t.ledger.Finish(ctx, t.claim.Key, t.claim.Attempt, response)
 	})
@@ -436,7 +436,7 @@
 
 // notProcessed reports whether the status of a response guarantees that the
 // upstream did not process the request.
-func notProcessed(response upstream.Answer) bool {
+func notProcessed(response upstream.Response) bool {
 	return response.Status == http.StatusMisdirectedRequest || response.Status == http.StatusTooEarly
 }
 
--- a/internal/order/desk/desk_test.go
+++ b/internal/order/desk/desk_test.go
@@ -38,7 +38,7 @@
 	clock := &stepClock{}
 	f := &faultyProposer{random: random, machine: ledger.New()}
 	s := &faultyService{random: random, runs: make(map[string]int), lostResponses: make(map[string]int)}
-	var executors []*Desk
+	var executors []*Executor
 	for i := range 3 {
 		id := fleet.InstanceID(fmt.Sprint("i", i))
 		client := ledger.NewClient(f, instantClock{clock}, id, ledger.WithMaxProposals(3))
@@ -55,7 +55,7 @@
 			t.Fatalf("seed %d: key %s ran %d times", seed, name, total)
 		}
 		kind := refusal.KindOf(err)
-		if err != nil && kind.Answer().NotRun && (s.runs[body] > 0 || total > 0 && kind != refusal.KeyReused) {
+		if err != nil && kind.Response().NotRun && (s.runs[body] > 0 || total > 0 && kind != refusal.KeyReused) {
 			t.Fatalf("seed %d: key %s ran, but the error says that it did not: %v", seed, name, err)
 		}
 		if err == nil {
@@ -117,7 +117,7 @@
 		"slow":       {State: order.Claimed, Claim: c, HeldByCaller: true},
 		"recent":     {State: order.Claimed, Claim: recent},
 		"old":        {State: order.Claimed, Claim: old},
-		"done":       {State: order.Done, Claim: old, Response: &upstream.Answer{Status: 201}},
+		"done":       {State: order.Done, Claim: old, Response: &upstream.Response{Status: 201}},
 		"noResponse": {State: order.Done, Claim: old},
 		"reused":     {State: order.Done, Claim: old, DigestMismatch: true},
 		"released":   {State: order.Free},
@@ -133,14 +133,14 @@
 
 func (s *scriptedFake) scriptedError(code string) error {
 	for _, k := range refusal.Kinds() {
-		if k.Answer().Code == code {
+		if k.Response().Code == code {
 			return refusal.New(k, "scripted")
 		}
 	}
 	return nil
 }
 
-func (s *scriptedFake) Finish(context.Context, order.Key, order.AttemptID, upstream.Answer) error {
+func (s *scriptedFake) Finish(context.Context, order.Key, order.AttemptID, upstream.Response) error {
 	return s.update("finish")
 }
 
@@ -155,13 +155,13 @@
 	return err
 }
 
-func (s *scriptedFake) Call(context.Context, upstream.Call) (upstream.Answer, error) {
+func (s *scriptedFake) Call(context.Context, upstream.Call) (upstream.Response, error) {
 	s.calls = append(s.calls, "send")
 	var status int
 	if _, err := fmt.Sscan(s.callResult, &status); err == nil {
-		return upstream.Answer{Status: status}, nil
+		return upstream.Response{Status: status}, nil
 	}
-	return upstream.Answer{}, s.scriptedError(s.callResult)
+	return upstream.Response{}, s.scriptedError(s.callResult)
 }
 
 // TestKinds guards against wrong error kinds, calls without a claim, releases of
@@ -179,8 +179,8 @@
 				return s, nil
 			}
 			response, err := executor.Run(context.Background(), o)
-			for s.clock.quiesce([]*Desk{executor}); s.clock.step(); {
-				s.clock.quiesce([]*Desk{executor})
+			for s.clock.quiesce([]*Executor{executor}); s.clock.step(); {
+				s.clock.quiesce([]*Executor{executor})
 			}
 			if err := executor.Close(context.Background()); err != nil {
 				t.Fatal(err)
@@ -189,7 +189,7 @@
 				fmt.Fprintf(&out, "%s: response %d, %s\n", line, response.Status, strings.Join(s.calls, " "))
 				continue
 			}
-			kind := refusal.KindOf(err).Answer()
+			kind := refusal.KindOf(err).Response()
 			fmt.Fprintf(&out, "%s: %s notRun=%v, %s\n", line, kind.Code, kind.NotRun, strings.Join(s.calls, " "))
 		}
 		return out.String()
@@ -204,17 +204,17 @@
 	calls   int
 }
 
-func (s *blockingService) Call(ctx context.Context, _ upstream.Call) (upstream.Answer, error) {
+func (s *blockingService) Call(ctx context.Context, _ upstream.Call) (upstream.Response, error) {
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
 	close(s.entered)
 	select {
 	case <-ctx.Done():
-		return upstream.Answer{}, refusal.New(refusal.UpstreamFailed, "interrupted")
+		return upstream.Response{}, refusal.New(refusal.UpstreamFailed, "interrupted")
 	case <-s.proceed:
 	}
-	return upstream.Answer{Status: 200, Body: []byte("once")}, nil
+	return upstream.Response{Status: 200, Body: []byte("once")}, nil
 }
 
 // TestSharing guards against a second call by concurrent requests with the same
@@ -263,7 +263,7 @@
 	is.Equal(string(r.Response.Body), "once")
 }
 
-func isClosed(e *Desk) bool {
+func isClosed(e *Executor) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.closed
@@ -277,7 +277,7 @@
 	e := New(s, s.clock, "i", zap.NewNop())
 	_, err := e.Run(context.Background(), orderOf("k", "x", s))
 	is.Equal(refusal.KindOf(err), refusal.LedgerUnreachable)
-	s.clock.quiesce([]*Desk{e})
+	s.clock.quiesce([]*Executor{e})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.Equal(e.Close(ctx), context.Canceled)
--- a/internal/order/desk/fake_test.go
+++ b/internal/order/desk/fake_test.go
@@ -74,21 +74,21 @@
 	runs, lostResponses map[string]int
 }
 
-func (s *faultyService) Call(_ context.Context, c upstream.Call) (upstream.Answer, error) {
+func (s *faultyService) Call(_ context.Context, c upstream.Call) (upstream.Response, error) {
 	body := string(c.Body)
 	fault := s.random.Intn(5)
 	switch {
 	case !s.noFaults && fault == 0:
-		return upstream.Answer{}, refusal.New(refusal.NoUpstream, "connection refused")
+		return upstream.Response{}, refusal.New(refusal.NoUpstream, "connection refused")
 	case !s.noFaults && fault == 1:
-		return upstream.Answer{Status: 425}, nil
+		return upstream.Response{Status: 425}, nil
 	case !s.noFaults && fault == 2:
 		s.runs[body] += s.random.Intn(2)
 		s.lostResponses[body]++
-		return upstream.Answer{}, refusal.New(refusal.UpstreamFailed, "connection reset")
+		return upstream.Response{}, refusal.New(refusal.UpstreamFailed, "connection reset")
 	}
 	s.runs[body]++
-	return upstream.Answer{Status: 200, Body: []byte(fmt.Sprintf("%s run %d", body, s.runs[body]))}, nil
+	return upstream.Response{Status: 200, Body: []byte(fmt.Sprintf("%s run %d", body, s.runs[body]))}, nil
 }
 
 // stepClock is a clock whose timers for backoff fire one at a time, at each step.
@@ -130,7 +130,7 @@
 }
 
 // quiesce waits until all unfinished orders wait for a backoff timer.
-func (c *stepClock) quiesce(executors []*Desk) {
+func (c *stepClock) quiesce(executors []*Executor) {
 	for {
 		unfinished := 0
 		for _, e := range executors {
--- a/internal/order/ledger/client.go
+++ b/internal/order/ledger/client.go
@@ -101,12 +101,12 @@
 // Finish implements order.Ledger. The error has kind refusal.Conflict when the
 // attempt does not hold the claim. Of a response larger than
 // Limits.MaxResponseBytes only the fact that the order ran is kept.
-func (c *Client) Finish(ctx context.Context, k order.Key, attempt order.AttemptID, response upstream.Answer) error {
+func (c *Client) Finish(ctx context.Context, k order.Key, attempt order.AttemptID, response upstream.Response) error {
 	data, err := json.Marshal(response)
 	if err != nil {
-		return refusal.Because(refusal.Internal, err, "encode answer of an order")
+		return refusal.WithCause(refusal.Internal, err, "encode answer of an order")
 	}
-	if len(data) > c.limits.MaxAnswer {
+	if len(data) > c.limits.MaxResponseBytes {
 		data = nil
 	}
 	return c.submit(ctx, command{Kind: finishKind, Key: k, Attempt: attempt, Response: data})
@@ -121,13 +121,13 @@
 // Settle ends the claim that s identifies, with the outcome that an operator
 // states. If the order ran, callers get response from then on. The error has kind
 // refusal.Conflict when the attempt does not hold an open claim.
-func (c *Client) Settle(ctx context.Context, s Settlement, response upstream.Answer) error {
+func (c *Client) Settle(ctx context.Context, s Settlement, response upstream.Response) error {
 	if s.Operator == "" {
 		return refusal.New(refusal.BadRequest, "settlement needs the name of an operator")
 	}
 	data, err := json.Marshal(response)
 	if err != nil {
-		return refusal.Because(refusal.Internal, err, "encode answer of an order")
+		return refusal.WithCause(refusal.Internal, err, "encode answer of an order")
 	}
 	return c.submit(ctx, command{
 		Kind:     settleKind,
@@ -142,7 +142,7 @@
 
 // OpenClaims returns at most limit claims of an account that have no response, the
 // oldest first.
-func (c *Client) OpenClaims(ctx context.Context, account fleet.AccountID, limit int) ([]Open, error) {
+func (c *Client) OpenClaims(ctx context.Context, account fleet.AccountID, limit int) ([]OpenClaim, error) {
 	p, err := c.query(ctx, command{Kind: openClaimsKind, Key: order.Key{Account: account}, Limit: limit})
 	return p.OpenClaims, err
 }
@@ -185,7 +185,7 @@
 	cmd.Version, cmd.Limits, cmd.At = version, c.limits, cmd.At.UTC()
 	data, err := json.Marshal(cmd)
 	if err != nil {
-		return reply{}, false, refusal.Because(refusal.Internal, err, "encode command of the ledger")
+		return reply{}, false, refusal.WithCause(refusal.Internal, err, "encode command of the ledger")
 	}
 	mayBeApplied := false
 	var lastErr error
@@ -205,7 +205,7 @@
 	if mayBeApplied {
 		kind = refusal.LedgerUnreachable
 	}
-	return reply{}, mayBeApplied, refusal.Because(kind, lastErr, "order ledger did not answer")
+	return reply{}, mayBeApplied, refusal.WithCause(kind, lastErr, "order ledger did not answer")
 }
 
 // waitRetry waits before proposal n, counted from 0. It returns false if ctx ends
@@ -227,11 +227,11 @@
 	cmd.Version = version
 	data, err := json.Marshal(cmd)
 	if err != nil {
-		return reply{}, refusal.Because(refusal.Internal, err, "encode query of the ledger")
+		return reply{}, refusal.WithCause(refusal.Internal, err, "encode query of the ledger")
 	}
 	replyData, err := c.proposer.Read(ctx, GroupOf(cmd.Key.Account, c.shards), data)
 	if err != nil {
-		return reply{}, refusal.Because(refusal.LedgerUnreachable, err, "order ledger can't be read")
+		return reply{}, refusal.WithCause(refusal.LedgerUnreachable, err, "order ledger can't be read")
 	}
 	return decodeReply(replyData)
 }
@@ -242,10 +242,10 @@
 func decodeReply(data []byte) (reply, error) {
 	var p reply
 	if err := json.Unmarshal(data, &p); err != nil {
-		return p, refusal.Because(refusal.LedgerUnreachable, err, "decode reply of the ledger")
+		return p, refusal.WithCause(refusal.LedgerUnreachable, err, "decode reply of the ledger")
 	}
 	if p.Error != "" {
-		return p, refusal.Because(refusal.LedgerUnreachable, errors.New(p.Error), "ledger refused the command")
+		return p, refusal.WithCause(refusal.LedgerUnreachable, errors.New(p.Error), "ledger refused the command")
 	}
 	return p, nil
 }
@@ -261,9 +261,9 @@
 	if len(p.Record.Response) == 0 {
 		return r, nil
 	}
-	r.Response = new(upstream.Answer)
+	r.Response = new(upstream.Response)
 	if err := json.Unmarshal(p.Record.Response, r.Response); err != nil {
-		return r, refusal.Because(refusal.LedgerUnreachable, err, "decode recorded answer")
+		return r, refusal.WithCause(refusal.LedgerUnreachable, err, "decode recorded answer")
 	}
 	return r, nil
 }
--- a/internal/order/ledger/codec.go
+++ b/internal/order/ledger/codec.go
@@ -65,7 +65,7 @@
 	// NotHeld reports that the attempt does not hold the claim.
 	NotHeld     bool         `json:"lost,omitempty"`
 	Settlement  *Settlement  `json:"settled,omitempty"`
-	OpenClaims  []Open       `json:"open,omitempty"`
+	OpenClaims  []OpenClaim  `json:"open,omitempty"`
 	Settlements []Settlement `json:"settlements,omitempty"`
 	Usage       *Usage       `json:"usage,omitempty"`
 }
@@ -99,7 +99,7 @@
 }
 
 // OpenClaim is a claim without a response.
-type Open struct {
+type OpenClaim struct {
 	Key      order.Key        `json:"key"`
 	Attempt  order.AttemptID  `json:"attempt"`
 	Request  fleet.RequestID  `json:"request"`
@@ -107,7 +107,7 @@
 	At       time.Time        `json:"at"`
 }
 
-var _ quorum.Reader = (*Machine)(nil)
+var _ quorum.QueryableStateMachine = (*Machine)(nil)
 
 // Apply implements quorum.StateMachine.
 func (m *Machine) Apply(_ quorum.Index, data []byte) []byte {
@@ -151,14 +151,14 @@
 
 // openClaims returns the claims of an account without a response, the oldest
 // first.
-func (m *Machine) openClaims(c command) []Open {
-	var list []Open
+func (m *Machine) openClaims(c command) []OpenClaim {
+	var list []OpenClaim
 	for k, r := range m.records {
 		if k.Account == c.Key.Account && r.State == order.Claimed {
-			list = append(list, Open{Key: k, Attempt: r.Attempt, Request: r.Request, Instance: r.Instance, At: r.At})
+			list = append(list, OpenClaim{Key: k, Attempt: r.Attempt, Request: r.Request, Instance: r.Instance, At: r.At})
 		}
 	}
-	slices.SortFunc(list, func(a, b Open) int {
+	slices.SortFunc(list, func(a, b OpenClaim) int {
 		return cmp.Or(a.At.Compare(b.At), strings.Compare(a.Key.Name, b.Key.Name))
 	})
 	return list[:min(len(list), max(c.Limit, 0), MaxPageEntries)]
--- a/internal/order/ledger/ledger.go
+++ b/internal/order/ledger/ledger.go
@@ -45,15 +45,15 @@
 	MaxBytes int `json:"maxBytes"`
 	// MaxResponseBytes is the maximum size of an encoded response that is kept
 	// for replay. Of a larger one only the fact that the order ran is kept.
-	MaxAnswer int `json:"maxAnswer"`
+	MaxResponseBytes int `json:"maxAnswer"`
 }
 
 // DefaultLimits are the limits of a Client without WithLimits.
 var DefaultLimits = Limits{
-	Retention:  24 * time.Hour,
-	MaxRecords: 200_000,
-	MaxBytes:   128 << 20,
-	MaxAnswer:  64 << 10,
+	Retention:        24 * time.Hour,
+	MaxRecords:       200_000,
+	MaxBytes:         128 << 20,
+	MaxResponseBytes: 64 << 10,
 }
 
 const (
@@ -160,7 +160,7 @@
 		Request:  c.Request,
 		Instance: c.Instance,
 		At:       c.At,
-		Reserved: c.Limits.MaxAnswer,
+		Reserved: c.Limits.MaxResponseBytes,
 	}
 	m.records[c.Key] = r
 	m.addTotals(c.Key.Account, 1, r.size())
@@ -182,7 +182,7 @@
 // reachedLimit returns a text that names the limit that a new claim would exceed,
 // or "" if there is none.
 func (m *Machine) reachedLimit(c command) string {
-	limits, reserved := c.Limits, c.Limits.MaxAnswer
+	limits, reserved := c.Limits, c.Limits.MaxResponseBytes
 	account := m.accounts[c.Key.Account]
 	switch {
 	case m.total.records >= limits.MaxRecords:
@@ -220,7 +220,7 @@
 		response = nil
 	}
 	r.State, r.Response, r.Reserved = order.Done, response, 0
-	r.Expires = m.time.From(c.At).Add(max(c.Limits.Retention, MaxClaimAge))
+	r.Expires = m.time.PeriodStart(c.At).Add(max(c.Limits.Retention, MaxClaimAge))
 	m.addTotals(c.Key.Account, 0, r.size()-oldSize)
 	heap.Push(&m.expiries, expiry{at: r.Expires, key: c.Key})
 }
@@ -247,7 +247,7 @@
 	if _, known := m.released[c.Attempt]; !known {
 		m.addTotals(c.Key.Account, 1, 0)
 	}
-	until := m.time.From(c.At).Add(MaxClaimAge)
+	until := m.time.PeriodStart(c.At).Add(MaxClaimAge)
 	m.released[c.Attempt] = released{Account: c.Key.Account, Until: until}
 	heap.Push(&m.expiries, expiry{at: until, attempt: c.Attempt})
 }
