--- a/internal/order/ledger/ledger_test.go
+++ b/internal/order/ledger/ledger_test.go
@@ -27,7 +27,7 @@
 		f.noFaults = true
 		clock := &manualClock{}
 		ctx := context.Background()
-		limits := Limits{Retention: time.Hour, MaxRecords: 8, MaxBytes: 1600, MaxAnswer: 200}
+		limits := Limits{Retention: time.Hour, MaxRecords: 8, MaxBytes: 1600, MaxResponseBytes: 200}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			account, key, attempt, instance, digest, body, operator := "a", "k", "", "i1", "x", "", ""
 			advanceBy, age, ran := "0s", "0s", false
@@ -42,13 +42,13 @@
 				skewed.offset += 48 * time.Hour
 			}
 			client := NewClient(f, skewed, fleet.InstanceID(instance), WithLimits(limits))
-			response := upstream.Answer{Status: 200, Header: http.Header{"Order": {"7"}}, Body: []byte(body)}
+			response := upstream.Response{Status: 200, Header: http.Header{"Order": {"7"}}, Body: []byte(body)}
 			switch d.Cmd {
 			case "claim":
 				claimAge, _ := time.ParseDuration(age)
 				r, err := client.Claim(ctx, order.Claim{Key: k, Attempt: id, Digest: [32]byte{digest[0]}, Instance: fleet.InstanceID(instance), At: skewed.Now().Add(-claimAge)})
 				if err != nil {
-					return fmt.Sprintf("%s: %v\n", refusal.KindOf(err).Answer().Code, err)
+					return fmt.Sprintf("%s: %v\n", refusal.KindOf(err).Response().Code, err)
 				}
 				out := fmt.Sprintf("%v by=%s held=%v digestMismatch=%v", r.State, r.Claim.Attempt, r.HeldByCaller, r.DigestMismatch)
 				if r.Response != nil {
@@ -91,7 +91,7 @@
 
 func formatResult(err error) string {
 	if err != nil {
-		return fmt.Sprintf("%s: %v\n", refusal.KindOf(err).Answer().Code, err)
+		return fmt.Sprintf("%s: %v\n", refusal.KindOf(err).Response().Code, err)
 	}
 	return "ok\n"
 }
@@ -127,7 +127,7 @@
 			mustNotHold[id] = c.Release(ctx, k, id) == nil
 		case r.HeldByCaller:
 			runs[k]++
-			_ = c.Finish(ctx, k, id, upstream.Answer{Status: 200})
+			_ = c.Finish(ctx, k, id, upstream.Response{Status: 200})
 		}
 		if runs[k] > 1 {
 			t.Fatalf("seed %d: key %s ran %d times", seed, k.Name, runs[k])
@@ -206,8 +206,8 @@
 // BenchmarkClaim measures a claim and its finish in one state machine.
 func BenchmarkClaim(b *testing.B) {
 	m := New()
-	limits := Limits{Retention: time.Hour, MaxRecords: 1 << 30, MaxBytes: 1 << 40, MaxAnswer: 1 << 16}
-	response, _ := json.Marshal(upstream.Answer{Status: 200, Header: http.Header{"Content-Type": {"application/json"}}, Body: make([]byte, 200)})
+	limits := Limits{Retention: time.Hour, MaxRecords: 1 << 30, MaxBytes: 1 << 40, MaxResponseBytes: 1 << 16}
+	response, _ := json.Marshal(upstream.Response{Status: 200, Header: http.Header{"Content-Type": {"application/json"}}, Body: make([]byte, 200)})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/order/names.go
+++ b/internal/order/names.go
@@ -10,7 +10,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler. It accepts the name of a
 // state.
 func (v *State) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[State](string(text), int(Done)+1)
+	parsed, err := fleet.ParseEnum[State](string(text), int(Done)+1)
 	if err != nil {
 		return err
 	}
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -52,9 +52,9 @@
 
 // Record is the Ledger's entry for a key.
 type Record struct {
-	State    State            `json:"state"`
-	Claim    Claim            `json:"claim"`
-	Response *upstream.Answer `json:"answer,omitempty"`
+	State    State              `json:"state"`
+	Claim    Claim              `json:"claim"`
+	Response *upstream.Response `json:"answer,omitempty"`
 	// HeldByCaller reports whether the calling attempt made the recorded claim.
 	HeldByCaller bool `json:"mine"`
 	// DigestMismatch reports whether the key was used before with another digest.
@@ -69,7 +69,7 @@
 	// returns the record.
 	Claim(ctx context.Context, c Claim) (Record, error)
 	// Finish records the response of an attempt.
-	Finish(ctx context.Context, k Key, a AttemptID, response upstream.Answer) error
+	Finish(ctx context.Context, k Key, a AttemptID, response upstream.Response) error
 	// Release gives up the claim of an attempt that has certainly sent nothing.
 	Release(ctx context.Context, k Key, a AttemptID) error
 }
--- a/internal/pipeline/courier/courier.go
+++ b/internal/pipeline/courier/courier.go
@@ -55,8 +55,8 @@
 	ObserveTransfer(u upstream.Upstream, bytes int, elapsed time.Duration)
 }
 
-// Courier implements pipeline.Executor. It is safe for concurrent use.
-type Courier struct {
+// Executor implements pipeline.Executor. It is safe for concurrent use.
+type Executor struct {
 	planner         pipeline.Planner
 	dialer          upstream.Dialer
 	clock           fleet.Clock
@@ -75,42 +75,44 @@
 }
 
 // Option configures an Executor.
-type Option func(*Courier)
+type Option func(*Executor)
 
 // WithClock sets the clock, by default that of the operating system.
-func WithClock(clock fleet.Clock) Option { return func(c *Courier) { c.clock = clock } }
+func WithClock(clock fleet.Clock) Option { return func(c *Executor) { c.clock = clock } }
 
 // WithSpeeds sets the estimates on which timeouts and recoveries are based. Without
 // it all timeouts are the minimum, and no KV cache is imported.
-func WithSpeeds(s pipeline.SpeedEstimator) Option { return func(c *Courier) { c.speeds = s } }
+func WithSpeeds(s pipeline.SpeedEstimator) Option { return func(c *Executor) { c.speeds = s } }
 
 // WithObserver sets the observer of steps and transfers.
-func WithObserver(o Observer) Option { return func(c *Courier) { c.observer = o } }
+func WithObserver(o Observer) Option { return func(c *Executor) { c.observer = o } }
 
 // WithRoster sets the roster that shows which engines are leaving.
-func WithRoster(r upstream.Roster) Option { return func(c *Courier) { c.roster = r } }
+func WithRoster(r upstream.Roster) Option { return func(c *Executor) { c.roster = r } }
 
 // WithTrail sets the trail in which decisions are recorded under the request ID.
-func WithTrail(t report.Trail) Option { return func(c *Courier) { c.trail = t } }
+func WithTrail(t report.Trail) Option { return func(c *Executor) { c.trail = t } }
 
-// WithGauge sets the counter of the sequences on each upstream.
-func WithGauge(g pipeline.SequenceCounter) Option { return func(c *Courier) { c.sequences = g } }
+// WithSequenceCounter sets the counter of the sequences on each upstream.
+func WithSequenceCounter(g pipeline.SequenceCounter) Option {
+	return func(c *Executor) { c.sequences = g }
+}
 
 // WithTimeouts sets the bounds of the timeout of a step.
 func WithTimeouts(minimum, maximum time.Duration) Option {
-	return func(c *Courier) { c.minTimeout, c.maxTimeout = minimum, maximum }
+	return func(c *Executor) { c.minTimeout, c.maxTimeout = minimum, maximum }
 }
 
 // WithOverloadBackoff sets the pause before a step is sent again to an engine that
 // was overloaded.
-func WithOverloadBackoff(d time.Duration) Option { return func(c *Courier) { c.overloadBackoff = d } }
+func WithOverloadBackoff(d time.Duration) Option { return func(c *Executor) { c.overloadBackoff = d } }
 
 // WithKVEntryBytes sets the size of the KV cache of one layer and position.
-func WithKVEntryBytes(n int) Option { return func(c *Courier) { c.kvEntryBytes = n } }
+func WithKVEntryBytes(n int) Option { return func(c *Executor) { c.kvEntryBytes = n } }
 
 // New returns an Executor that obtains chains from planner.
-func New(planner pipeline.Planner, dialer upstream.Dialer, options ...Option) *Courier {
-	c := &Courier{
+func New(planner pipeline.Planner, dialer upstream.Dialer, options ...Option) *Executor {
+	c := &Executor{
 		planner: planner, dialer: dialer,
 		clock:      systemclock.Clock{},
 		speeds:     noEstimates{},
@@ -124,11 +126,11 @@
 }
 
 // Close waits until the memory of all ended requests has been freed.
-func (c *Courier) Close() { c.releases.Wait() }
+func (c *Executor) Close() { c.releases.Wait() }
 
 // Run implements pipeline.Executor. An error after the first token is of kind
 // refusal.StreamBroken or refusal.Deadline, unless emit returned it.
-func (c *Courier) Run(ctx context.Context, g pipeline.Generation, emit func(pipeline.Piece) error) (pipeline.FinishReason, error) {
+func (c *Executor) Run(ctx context.Context, g pipeline.GenerationRequest, emit func(pipeline.Token) error) (pipeline.FinishReason, error) {
 	if len(g.Prompt) == 0 {
 		return 0, refusal.New(refusal.BadRequest, "prompt is empty")
 	}
@@ -144,42 +146,42 @@
 		if err != nil {
 			return 0, r.callerError(ctx, index, err)
 		}
-		if err := emit(pipeline.Piece{Index: index, Text: result.Token}); err != nil {
+		if err := emit(pipeline.Token{Index: index, Text: result.Token}); err != nil {
 			return 0, err
 		}
 		if result.End {
-			return pipeline.Stopped, nil
+			return pipeline.FinishStop, nil
 		}
 		input = result.Output[len(result.Output)-1:]
 	}
-	return pipeline.LengthReached, nil
+	return pipeline.FinishLength, nil
 }
 
 // callerError converts an error to the kind that is reported to the caller. A kind
 // that says "not run" is kept only when no layer can have run.
 func (r *run) callerError(ctx context.Context, index int, err error) error {
 	if ctx.Err() != nil {
-		return refusal.Because(refusal.Deadline, err, "request ended after %d tokens", index)
+		return refusal.WithCause(refusal.Deadline, err, "request ended after %d tokens", index)
 	}
 	if index > 0 {
-		return refusal.Because(refusal.StreamBroken, err, "answer ended after %d tokens", index)
+		return refusal.WithCause(refusal.StreamBroken, err, "answer ended after %d tokens", index)
 	}
-	if r.mayHaveRun && refusal.KindOf(err).Answer().NotRun {
-		return refusal.Because(refusal.UpstreamFailed, err, "request was lost before its first token")
+	if r.mayHaveRun && refusal.KindOf(err).Response().NotRun {
+		return refusal.WithCause(refusal.UpstreamFailed, err, "request was lost before its first token")
 	}
 	return err
 }
 
-func (c *Courier) record(r fleet.RequestID, e report.Entry) {
+func (c *Executor) record(r fleet.RequestID, e report.Entry) {
 	if c.trail == nil {
 		return
 	}
 	e.At = c.clock.Now()
-	e.Part = "courier"
+	e.Component = "courier"
 	c.trail.Add(string(r), e)
 }
 
-func (c *Courier) countSequences(id fleet.UpstreamID, n int) {
+func (c *Executor) countSequences(id fleet.UpstreamID, n int) {
 	if c.sequences != nil {
 		c.sequences.Add(id, n)
 	}
@@ -188,7 +190,7 @@
 // release frees the memory of a request on an engine in the background, even after
 // ctx has ended. It cancels only one epoch if the client can do so, because the
 // engine may already serve a newer epoch when the call arrives.
-func (c *Courier) release(ctx context.Context, r fleet.RequestID, e fleet.Epoch, client upstream.EngineClient) {
+func (c *Executor) release(ctx context.Context, r fleet.RequestID, e fleet.Epoch, client upstream.EngineClient) {
 	c.releases.Add(1)
 	go func() {
 		defer c.releases.Done()
@@ -204,7 +206,7 @@
 }
 
 // timeout returns the timeout of a call that is expected to take the given time.
-func (c *Courier) timeout(expected time.Duration) time.Duration {
+func (c *Executor) timeout(expected time.Duration) time.Duration {
 	return min(max(timeoutFactor*expected, c.minTimeout), c.maxTimeout)
 }
 
@@ -212,7 +214,7 @@
 
 // callWithTimeout calls f and cancels its context after d by the clock of c. It
 // calls f on the same goroutine, which saves a goroutine switch per step.
-func callWithTimeout[V any](ctx context.Context, c *Courier, d time.Duration, f func(context.Context) (V, error)) (V, error) {
+func callWithTimeout[V any](ctx context.Context, c *Executor, d time.Duration, f func(context.Context) (V, error)) (V, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	expired := c.clock.After(d)
--- a/internal/pipeline/courier/courier_test.go
+++ b/internal/pipeline/courier/courier_test.go
@@ -85,14 +85,14 @@
 	return upstream.Upstream{Announcement: s.Describe()}, true
 }
 
-func (f *httpFleet) newExecutor(dialer upstream.Dialer, layers fleet.Layer) *courier.Courier {
-	learned := speeds.New(pipeline.Speed{Fixed: time.Millisecond, Layer: time.Millisecond, Position: time.Microsecond})
+func (f *httpFleet) newExecutor(dialer upstream.Dialer, layers fleet.Layer) *courier.Executor {
+	learned := speeds.New(pipeline.Speed{FixedTime: time.Millisecond, LayerTime: time.Millisecond, PositionTime: time.Microsecond})
 	models := func(fleet.ModelID) (document.Model, bool) {
 		return document.Model{ID: "ledger", Version: "1", Layers: layers}, true
 	}
 	p := planner.New(f, models, learned, systemclock.Clock{}, planner.WithCounts(&f.counts), planner.WithRefreshInterval(0))
 	return courier.New(p, dialer, courier.WithSpeeds(learned), courier.WithObserver(learned),
-		courier.WithRoster(f), courier.WithGauge(&f.counts), courier.WithTimeouts(3*time.Second, time.Minute))
+		courier.WithRoster(f), courier.WithSequenceCounter(&f.counts), courier.WithTimeouts(3*time.Second, time.Minute))
 }
 
 // activeEngine returns an engine that serves the request and whose ID has a prefix.
@@ -118,23 +118,23 @@
 	c := f.newExecutor(dialer, 8)
 	prompt := []uint64{5, 7, 11}
 	want, wantReason := standin.Generate("ledger", "1", "", 8, prompt, 60)
-	for wantReason != pipeline.LengthReached {
+	for wantReason != pipeline.FinishLength {
 		prompt[0]++ // a text that ends early would see few of the faults
 		want, wantReason = standin.Generate("ledger", "1", "", 8, prompt, 60)
 	}
 	var frozen fleet.UpstreamID
 	var text strings.Builder
-	g := pipeline.Generation{Request: "r1", Model: "ledger", Prompt: prompt, MaxTokens: 60}
-	reason, err := c.Run(context.Background(), g, func(p pipeline.Piece) error {
+	g := pipeline.GenerationRequest{RequestID: "r1", Model: "ledger", Prompt: prompt, MaxTokens: 60}
+	reason, err := c.Run(context.Background(), g, func(p pipeline.Token) error {
 		text.WriteString(p.Text)
 		switch p.Index {
 		case 3:
 			for _, s := range f.standins {
-				s.SetFaults(standin.Faults{LoseAnswers: 1})
+				s.SetFaults(standin.Faults{DropResponses: 1})
 			}
 		case 8:
 			for _, s := range f.standins {
-				s.SetFaults(standin.Faults{StaleAnswers: 1})
+				s.SetFaults(standin.Faults{StaleResponses: 1})
 			}
 		case 12:
 			frozen = f.activeEngine(t, "b")
@@ -187,8 +187,8 @@
 							f.runDirect(b, dialer, ranges, &tokens)
 							continue
 						}
-						g := pipeline.Generation{Request: fleet.NewRequestID(), Model: "ledger", Prompt: []uint64{rand.Uint64()}, MaxTokens: 50}
-						_, err := c.Run(context.Background(), g, func(pipeline.Piece) error {
+						g := pipeline.GenerationRequest{RequestID: fleet.NewRequestID(), Model: "ledger", Prompt: []uint64{rand.Uint64()}, MaxTokens: 50}
+						_, err := c.Run(context.Background(), g, func(pipeline.Token) error {
 							tokens.Add(1)
 							return nil
 						})
@@ -242,8 +242,8 @@
 		b.ReportAllocs()
 		// The model ends some texts early. Then another request follows.
 		for done := 0; done < b.N; {
-			g := pipeline.Generation{Request: fleet.NewRequestID(), Model: "ledger", Prompt: []uint64{uint64(done)}, MaxTokens: b.N - done}
-			_, err := c.Run(context.Background(), g, func(pipeline.Piece) error {
+			g := pipeline.GenerationRequest{RequestID: fleet.NewRequestID(), Model: "ledger", Prompt: []uint64{uint64(done)}, MaxTokens: b.N - done}
+			_, err := c.Run(context.Background(), g, func(pipeline.Token) error {
 				done++
 				return nil
 			})
--- a/internal/pipeline/courier/local_test.go
+++ b/internal/pipeline/courier/local_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func (w *simulation) newExecutor(options ...courier.Option) *courier.Courier {
+func (w *simulation) newExecutor(options ...courier.Option) *courier.Executor {
 	models := func(fleet.ModelID) (document.Model, bool) {
 		return document.Model{ID: "m", Version: "1", Layers: fleet.Layer(w.layers)}, true
 	}
@@ -142,7 +142,7 @@
 	p := planner.New(w, models, w, w.clock, planner.WithCounts(&w.counts), planner.WithRandIntN(firstEngine), planner.WithRefreshInterval(0))
 	return courier.New(p, w, append([]courier.Option{
 		courier.WithClock(w.clock), courier.WithSpeeds(w), courier.WithRoster(w), courier.WithTrail(w),
-		courier.WithGauge(&w.counts), courier.WithTimeouts(time.Millisecond, time.Hour), courier.WithKVEntryBytes(kvEntryBytes), courier.WithOverloadBackoff(0),
+		courier.WithSequenceCounter(&w.counts), courier.WithTimeouts(time.Millisecond, time.Hour), courier.WithKVEntryBytes(kvEntryBytes), courier.WithOverloadBackoff(0),
 	}, options...)...)
 }
 
@@ -212,7 +212,7 @@
 	w.frozenSteps = append(w.frozenSteps, func() { _, _ = e.run(context.Background(), s) })
 	w.clock.Advance(w.clock.newestDeadline().Sub(w.clock.Now()))
 	<-ctx.Done()
-	return upstream.StepResult{}, refusal.Because(refusal.UpstreamFailed, ctx.Err(), "frozen")
+	return upstream.StepResult{}, refusal.WithCause(refusal.UpstreamFailed, ctx.Err(), "frozen")
 }
 
 func (e *simEngine) stepWithFault(ctx context.Context, s upstream.Step, fault string) (upstream.StepResult, error) {
@@ -248,7 +248,7 @@
 func (e *simEngine) run(_ context.Context, s upstream.Step) (upstream.StepResult, error) {
 	var result upstream.StepResult
 	err := e.post(http.MethodPost, "/v1/steps", s, &result)
-	elapsed := e.speed.Fixed + time.Duration(s.Layers.Len())*(e.speed.Layer+time.Duration(len(s.Input)-1)*e.speed.Position)
+	elapsed := e.speed.FixedTime + time.Duration(s.Layers.Len())*(e.speed.LayerTime+time.Duration(len(s.Input)-1)*e.speed.PositionTime)
 	e.simulation.clock.Advance(elapsed)
 	e.lastResult = result
 	return result, err
@@ -285,23 +285,23 @@
 	return e.post(http.MethodPost, fmt.Sprintf("/v1/requests/%s/cancel?epoch=%d", r, epoch), nil, new(struct{}))
 }
 
-func (e *simEngine) Export(_ context.Context, r fleet.RequestID) (upstream.KV, error) {
-	var kv upstream.KV
+func (e *simEngine) Export(_ context.Context, r fleet.RequestID) (upstream.KVCache, error) {
+	var kv upstream.KVCache
 	err := e.post(http.MethodGet, "/v1/requests/"+string(r)+"/kv", nil, &kv)
 	e.advanceTransfer(kv)
 	return kv, err
 }
 
-func (e *simEngine) Import(_ context.Context, epoch fleet.Epoch, kv upstream.KV) error {
+func (e *simEngine) Import(_ context.Context, epoch fleet.Epoch, kv upstream.KVCache) error {
 	e.advanceTransfer(kv)
 	return e.post(http.MethodPut, fmt.Sprintf("/v1/requests/%s/kv?epoch=%d", kv.Request, epoch), kv, new(struct{}))
 }
 
 // advanceTransfer advances the clock by the time of the transfer of kv.
-func (e *simEngine) advanceTransfer(kv upstream.KV) {
+func (e *simEngine) advanceTransfer(kv upstream.KVCache) {
 	size := float64(kv.Layers.Len() * int(kv.Positions) * kvEntryBytes)
 	if e.speed.BytesPerSecond > 0 {
-		e.simulation.clock.Advance(e.speed.Fixed + time.Duration(size/e.speed.BytesPerSecond*float64(time.Second)))
+		e.simulation.clock.Advance(e.speed.FixedTime + time.Duration(size/e.speed.BytesPerSecond*float64(time.Second)))
 	}
 }
 
--- a/internal/pipeline/courier/recovery.go
+++ b/internal/pipeline/courier/recovery.go
@@ -24,7 +24,7 @@
 	}
 	r.recoveries++
 	if r.recoveries > maxRecoveries {
-		return refusal.Because(refusal.KindOf(cause), cause, "request %s was recovered %d times in vain", r.request.Request, maxRecoveries)
+		return refusal.WithCause(refusal.KindOf(cause), cause, "request %s was recovered %d times in vain", r.request.RequestID, maxRecoveries)
 	}
 	old := r.chain.Stages[i]
 	r.excluded = append(r.excluded, old.Upstream.ID)
@@ -84,7 +84,7 @@
 		chosen = "compute again on the same engine"
 	}
 	r.startEpoch(r.chain, cachedPositions)
-	r.executor.record(r.request.Request, report.Entry{
+	r.executor.record(r.request.RequestID, report.Entry{
 		Known:  fmt.Sprintf("stage %s failed: %v", r.chain.Stages[i].Upstream.ID, cause),
 		Chosen: chosen, Reason: planErr.Error(),
 	})
@@ -176,19 +176,19 @@
 	s := r.chain.Stages[o.stage]
 	importTime, recomputeTime := r.estimate(s, o)
 	e := report.Entry{
-		Known:   fmt.Sprintf("%s; %d positions of layers %d:%d", cause, o.positions, s.Layers.From, s.Layers.To),
-		Weighed: fmt.Sprintf("import not possible, compute again on %s: %v", s.Upstream.ID, recomputeTime),
-		Chosen:  fmt.Sprintf("compute again, epoch %d", r.epoch),
-		Reason:  "shorter expected time", Next: "another engine under a new epoch",
+		Known:        fmt.Sprintf("%s; %d positions of layers %d:%d", cause, o.positions, s.Layers.From, s.Layers.To),
+		Alternatives: fmt.Sprintf("import not possible, compute again on %s: %v", s.Upstream.ID, recomputeTime),
+		Chosen:       fmt.Sprintf("compute again, epoch %d", r.epoch),
+		Reason:       "shorter expected time", Next: "another engine under a new epoch",
 	}
 	if importTime < infinite {
-		e.Weighed = fmt.Sprintf("import from %s: %v, compute again on %s: %v", o.from.ID, importTime, s.Upstream.ID, recomputeTime)
+		e.Alternatives = fmt.Sprintf("import from %s: %v, compute again on %s: %v", o.from.ID, importTime, s.Upstream.ID, recomputeTime)
 	}
 	if importTime < recomputeTime {
 		e.Chosen = fmt.Sprintf("import, epoch %d", r.epoch)
 		e.Next = "compute again"
 	}
-	r.executor.record(r.request.Request, e)
+	r.executor.record(r.request.RequestID, e)
 	if importTime < recomputeTime && r.transferCache(ctx, o) != nil {
 		r.cachedPositions[o.stage] = 0
 	}
@@ -207,16 +207,16 @@
 // bytes.
 func expectedTransferTime(from, to pipeline.Speed, size int) time.Duration {
 	seconds := float64(size)/from.BytesPerSecond + float64(size)/to.BytesPerSecond
-	return from.Fixed + to.Fixed + time.Duration(seconds*float64(time.Second))
+	return from.FixedTime + to.FixedTime + time.Duration(seconds*float64(time.Second))
 }
 
 // transferCache copies the KV cache of an old stage to a new one.
 func (r *run) transferCache(ctx context.Context, o restoration) error {
-	c, s, request, k := r.executor, r.chain.Stages[o.stage], r.request.Request, o.stage
+	c, s, request, k := r.executor, r.chain.Stages[o.stage], r.request.RequestID, o.stage
 	size := s.Layers.Len() * o.positions * c.kvEntryBytes
 	expected := expectedTransferTime(c.speeds.Speed(o.from), c.speeds.Speed(s.Upstream), size)
 	startedAt := c.clock.Now()
-	kv, err := callWithTimeout(ctx, c, c.timeout(expected), func(ctx context.Context) (upstream.KV, error) {
+	kv, err := callWithTimeout(ctx, c, c.timeout(expected), func(ctx context.Context) (upstream.KVCache, error) {
 		return o.client.Export(ctx, request)
 	})
 	if err != nil {
@@ -250,7 +250,7 @@
 			used = used || s.Upstream.ID == o.Upstream.ID
 		}
 		if !used {
-			r.executor.release(ctx, r.request.Request, r.epoch-1, clients[i])
+			r.executor.release(ctx, r.request.RequestID, r.epoch-1, clients[i])
 		}
 	}
 }
--- a/internal/pipeline/courier/recovery_test.go
+++ b/internal/pipeline/courier/recovery_test.go
@@ -31,10 +31,10 @@
 // runAndCheck runs a request. It checks that the caller got the expected text, that
 // the engines ran each layer once for each position, and that no sequence is still
 // counted.
-func (w *simulation) runAndCheck(c *courier.Courier, prompt, maxTokens int) (string, error) {
+func (w *simulation) runAndCheck(c *courier.Executor, prompt, maxTokens int) (string, error) {
 	var got []string
-	g := pipeline.Generation{Request: "r", Model: "m", Prompt: newPrompt(prompt), MaxTokens: maxTokens}
-	reason, err := c.Run(context.Background(), g, func(p pipeline.Piece) error {
+	g := pipeline.GenerationRequest{RequestID: "r", Model: "m", Prompt: newPrompt(prompt), MaxTokens: maxTokens}
+	reason, err := c.Run(context.Background(), g, func(p pipeline.Token) error {
 		if p.Index != len(got) {
 			return fmt.Errorf("token %d was emitted as number %d", p.Index, len(got))
 		}
@@ -101,10 +101,10 @@
 				outcome, err := w.runAndCheck(w.newExecutor(), prompt, most)
 				text := outcome + "\n"
 				if err != nil {
-					text = fmt.Sprintf("error %s: %v\n", refusal.KindOf(err).Answer().Code, err)
+					text = fmt.Sprintf("error %s: %v\n", refusal.KindOf(err).Response().Code, err)
 				}
 				for _, e := range w.entries {
-					text += strings.Join([]string{e.Chosen, e.Weighed, e.Known, e.Reason}, " | ") + "\n"
+					text += strings.Join([]string{e.Chosen, e.Alternatives, e.Known, e.Reason}, " | ") + "\n"
 				}
 				return text
 			}
@@ -118,8 +118,8 @@
 func newSpeed(fixed, layer, position, rate int) pipeline.Speed {
 	us := time.Microsecond
 	return pipeline.Speed{
-		Fixed: time.Duration(fixed) * us, Layer: time.Duration(layer) * us,
-		Position: time.Duration(position) * us, BytesPerSecond: float64(rate) * 1000,
+		FixedTime: time.Duration(fixed) * us, LayerTime: time.Duration(layer) * us,
+		PositionTime: time.Duration(position) * us, BytesPerSecond: float64(rate) * 1000,
 	}
 }
 
@@ -241,11 +241,11 @@
 	best := time.Duration(1 << 62)
 	for _, id := range []fleet.UpstreamID{"y", "z"} {
 		s := w.engines[id].speed
-		single := s.Fixed + 2*s.Layer
-		best = min(best, single+2*time.Duration(position)*s.Position)
+		single := s.FixedTime + 2*s.LayerTime
+		best = min(best, single+2*time.Duration(position)*s.PositionTime)
 		if cause == "leave" || cause == "stop" {
 			size := float64(2 * int(position) * kvEntryBytes)
-			best = min(best, single+2*s.Fixed+2*time.Duration(size/s.BytesPerSecond*float64(time.Second)))
+			best = min(best, single+2*s.FixedTime+2*time.Duration(size/s.BytesPerSecond*float64(time.Second)))
 		}
 	}
 	return best
@@ -306,9 +306,9 @@
 	w.add("a", 0, 4, newSpeed(1, 1, 1, 1))
 	ctx, cancel := context.WithCancel(context.Background())
 	c := w.newExecutor()
-	g := pipeline.Generation{Request: "r", Model: "m", Prompt: newPrompt(5), MaxTokens: 30}
+	g := pipeline.GenerationRequest{RequestID: "r", Model: "m", Prompt: newPrompt(5), MaxTokens: 30}
 	count := 0
-	_, err := c.Run(ctx, g, func(pipeline.Piece) error {
+	_, err := c.Run(ctx, g, func(pipeline.Token) error {
 		count++
 		if count == 3 {
 			cancel()
@@ -318,5 +318,5 @@
 	c.Close()
 	is.Equal(refusal.KindOf(err), refusal.Deadline)
 	is.Equal(count, 3)
-	is.Equal(w.engines["a"].standin.Busy(), 0)
+	is.Equal(w.engines["a"].standin.ActiveRequests(), 0)
 }
--- a/internal/pipeline/courier/run.go
+++ b/internal/pipeline/courier/run.go
@@ -15,8 +15,8 @@
 
 // run is one request in progress. It is not safe for concurrent use.
 type run struct {
-	executor *Courier
-	request  pipeline.Generation
+	executor *Executor
+	request  pipeline.GenerationRequest
 	chain    pipeline.Chain
 	epoch    fleet.Epoch
 	// clients and cachedPositions have one element for each stage of chain: the client
@@ -37,12 +37,12 @@
 	lastLeaveReplan time.Time
 }
 
-func newRun(c *Courier, g pipeline.Generation, chain pipeline.Chain) *run {
+func newRun(c *Executor, g pipeline.GenerationRequest, chain pipeline.Chain) *run {
 	r := &run{executor: c, request: g, layerInputs: make(map[fleet.Layer][]uint64)}
 	r.startEpoch(chain, make([]fleet.Position, len(chain.Stages)))
-	c.record(g.Request, report.Entry{
-		Weighed: fmt.Sprintf("chain for model %s version %s", chain.Model, chain.Version),
-		Chosen:  formatChain(chain), Reason: "shortest expected time to the next token",
+	c.record(g.RequestID, report.Entry{
+		Alternatives: fmt.Sprintf("chain for model %s version %s", chain.Model, chain.Version),
+		Chosen:       formatChain(chain), Reason: "shortest expected time to the next token",
 	})
 	return r
 }
@@ -66,7 +66,7 @@
 func (r *run) finish(ctx context.Context) {
 	for i, s := range r.chain.Stages {
 		r.executor.countSequences(s.Upstream.ID, -1)
-		r.executor.release(ctx, r.request.Request, r.epoch, r.clients[i])
+		r.executor.release(ctx, r.request.RequestID, r.epoch, r.clients[i])
 	}
 }
 
@@ -83,7 +83,7 @@
 	for layer := fleet.Layer(0); layer == 0 || layer < r.endLayer(); {
 		i := r.stageAt(layer)
 		if i < 0 {
-			return result, refusal.New(refusal.Internal, "chain of request %s has no stage at layer %d", r.request.Request, layer)
+			return result, refusal.New(refusal.Internal, "chain of request %s has no stage at layer %d", r.request.RequestID, layer)
 		}
 		var err error
 		result, err = r.step(ctx, i)
@@ -106,7 +106,7 @@
 	s := r.chain.Stages[i]
 	input := r.layerInputs[s.Layers.From][r.cachedPositions[i]:]
 	step := upstream.Step{
-		Request: r.request.Request, Epoch: r.epoch, Position: r.cachedPositions[i],
+		Request: r.request.RequestID, Epoch: r.epoch, Position: r.cachedPositions[i],
 		Model: r.chain.Model, Version: r.chain.Version, Adapter: r.chain.Adapter,
 		Layers: s.Layers, Priority: r.request.Priority, Input: input,
 	}
@@ -138,7 +138,7 @@
 	result, err := callWithTimeout(ctx, c, c.timeout(expected), func(ctx context.Context) (upstream.StepResult, error) {
 		return r.clients[i].Step(ctx, step)
 	})
-	r.mayHaveRun = r.mayHaveRun || err == nil || !refusal.KindOf(err).Answer().NotRun
+	r.mayHaveRun = r.mayHaveRun || err == nil || !refusal.KindOf(err).Response().NotRun
 	if err != nil {
 		return upstream.StepResult{}, err
 	}
@@ -174,7 +174,7 @@
 
 // expectedStepTime returns the expected time of a step without load.
 func expectedStepTime(s pipeline.Speed, layers, positions int) time.Duration {
-	return s.Fixed + time.Duration(layers)*s.Layer + time.Duration(layers*(positions-1))*s.Position
+	return s.FixedTime + time.Duration(layers)*s.LayerTime + time.Duration(layers*(positions-1))*s.PositionTime
 }
 
 func formatChain(c pipeline.Chain) string {
--- a/internal/pipeline/estimate.go
+++ b/internal/pipeline/estimate.go
@@ -12,11 +12,11 @@
 type Speed struct {
 	// FixedTime is the part of the time of a step that does not depend on its
 	// layers: the round trip over the link and the overhead of a batch.
-	Fixed time.Duration
+	FixedTime time.Duration
 	// LayerTime is the time of one layer for one position.
-	Layer time.Duration
+	LayerTime time.Duration
 	// PositionTime is the time of one layer for each additional position of a step.
-	Position time.Duration
+	PositionTime time.Duration
 	// BytesPerSecond is the throughput of the link. Zero means unknown.
 	BytesPerSecond float64
 }
--- a/internal/pipeline/finishreason_string.go
+++ b/internal/pipeline/finishreason_string.go
@@ -8,8 +8,8 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[Stopped-0]
-	_ = x[LengthReached-1]
+	_ = x[FinishStop-0]
+	_ = x[FinishLength-1]
 }
 
 const _FinishReason_name = "stoplength"
--- a/internal/pipeline/inflight/inflight.go
+++ b/internal/pipeline/inflight/inflight.go
@@ -15,7 +15,7 @@
 
 // Counts implements pipeline.SequenceCounter.
 type Counts struct {
-	counters board.Shards[fleet.UpstreamID, *atomic.Int64]
+	counters board.ShardedMap[fleet.UpstreamID, *atomic.Int64]
 }
 
 // Counter returns the counter of an upstream. It returns the same counter until
--- a/internal/pipeline/names.go
+++ b/internal/pipeline/names.go
@@ -9,7 +9,7 @@
 
 // UnmarshalText sets the value that has the given name.
 func (v *FinishReason) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[FinishReason](string(text), int(LengthReached)+1)
+	parsed, err := fleet.ParseEnum[FinishReason](string(text), int(FinishLength)+1)
 	if err != nil {
 		return err
 	}
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -30,17 +30,17 @@
 	Plan(model fleet.ModelID, exclude []fleet.UpstreamID) (Chain, error)
 }
 
-// Generation is a request to generate tokens.
-type Generation struct {
-	Request   fleet.RequestID
+// GenerationRequest is a request to generate tokens.
+type GenerationRequest struct {
+	RequestID fleet.RequestID
 	Model     fleet.ModelID
 	Priority  fleet.Priority
 	Prompt    []uint64
 	MaxTokens int
 }
 
-// Piece is one token of the generated text.
-type Piece struct {
+// Token is one token of the generated text.
+type Token struct {
 	// Index is the position in the generated text, starting at 0.
 	Index int
 	Text  string
@@ -52,14 +52,14 @@
 // The finish reasons.
 const (
 	// FinishStop means that the model ended the text.
-	Stopped FinishReason = iota // stop
+	FinishStop FinishReason = iota // stop
 	// FinishLength means that MaxTokens was reached.
-	LengthReached // length
+	FinishLength // length
 )
 
-// Courier runs a generation request over a chain.
-type Courier interface {
+// Executor runs a generation request over a chain.
+type Executor interface {
 	// Run calls emit for every token in order, exactly once each, and returns
 	// when the generation is complete. An error of emit ends the generation.
-	Run(ctx context.Context, g Generation, emit func(Piece) error) (FinishReason, error)
+	Run(ctx context.Context, g GenerationRequest, emit func(Token) error) (FinishReason, error)
 }
--- a/internal/pipeline/planner/planner.go
+++ b/internal/pipeline/planner/planner.go
@@ -58,7 +58,7 @@
 	refreshInterval time.Duration
 	randIntN        func(n int) int
 
-	views    board.Shards[fleet.ModelID, *viewCell]
+	views    board.ShardedMap[fleet.ModelID, *viewCell]
 	suspects board.Cell[[]suspect]
 	scratch  sync.Pool
 }
@@ -170,7 +170,7 @@
 				}
 			}
 		}
-		if p.suspects.Advance(&next, func(current *[]suspect) bool { return current == old }) {
+		if p.suspects.StoreIf(&next, func(current *[]suspect) bool { return current == old }) {
 			return
 		}
 	}
@@ -248,7 +248,7 @@
 	defer cell.mu.Unlock()
 	v = newView(model, p.roster.Usable(model.Pool, now), now, p.speeds, p.counts)
 	v.buildDuration = p.clock.Now().Sub(now)
-	cell.view.Advance(v, func(*view) bool { return true })
+	cell.view.StoreIf(v, func(*view) bool { return true })
 	return v, nil
 }
 
--- a/internal/pipeline/planner/planner_test.go
+++ b/internal/pipeline/planner/planner_test.go
@@ -54,7 +54,7 @@
 		ID: fleet.UpstreamID(fmt.Sprintf("e%d", len(f.engines))), Kind: upstream.Engine,
 		Model: "m", Version: "1", Slots: 8, Layers: upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(to)},
 	}}
-	f.speeds[u.ID] = pipeline.Speed{Fixed: fixed, Layer: layer}
+	f.speeds[u.ID] = pipeline.Speed{FixedTime: fixed, LayerTime: layer}
 	f.engines = append(f.engines, u)
 	return u
 }
@@ -89,7 +89,7 @@
 		for cut := from + 1; cut <= min(int(u.Layers.To), to); cut++ {
 			rest, ok := f.bestCost(cut, to)
 			s := f.speeds[u.ID]
-			cost := s.Fixed + time.Duration(cut-from)*s.Layer + rest
+			cost := s.FixedTime + time.Duration(cut-from)*s.LayerTime + rest
 			if ok && (!found || cost < best) {
 				best, found = cost, true
 			}
@@ -196,7 +196,7 @@
 			for from := int(u.Layers.From); from < l && l <= int(u.Layers.To); from++ {
 				s := f.speeds[u.ID]
 				if best[from] < none {
-					best[l] = min(best[l], best[from]+s.Fixed+time.Duration(l-from)*s.Layer)
+					best[l] = min(best[l], best[from]+s.FixedTime+time.Duration(l-from)*s.LayerTime)
 				}
 			}
 		}
@@ -271,7 +271,7 @@
 	// With many positions to compute, the engine with the faster prefill is chosen,
 	// although it is slower for one token.
 	quick := f.add(2, 4, 0, 9*time.Millisecond)
-	f.speeds["e3"] = pipeline.Speed{Layer: 3 * time.Millisecond, Position: time.Millisecond}
+	f.speeds["e3"] = pipeline.Speed{LayerTime: 3 * time.Millisecond, PositionTime: time.Millisecond}
 	f.clock.Advance(planner.DefaultRefreshInterval)
 	long, err := p.Replace(c, []fleet.UpstreamID{"e1"}, 100)
 	is.NoErr(err)
@@ -357,7 +357,7 @@
 	before, err := p.Plan("m", nil)
 	is.NoErr(err)
 	is.Equal(before.Stages[0].Upstream.ID, fleet.UpstreamID("e0"))
-	f.speeds["e0"] = pipeline.Speed{Layer: 100 * time.Millisecond}
+	f.speeds["e0"] = pipeline.Speed{LayerTime: 100 * time.Millisecond}
 	f.clock.Advance(planner.DefaultRefreshInterval)
 	after, err := p.Plan("m", nil)
 	is.NoErr(err)
--- a/internal/pipeline/planner/view.go
+++ b/internal/pipeline/planner/view.go
@@ -78,7 +78,7 @@
 func newCandidate(u upstream.Upstream, speeds pipeline.SpeedEstimator, counts *inflight.Counts) *candidate {
 	s := speeds.Speed(u)
 	m := &candidate{upstream: u, cost: cost{
-		fixed: float64(s.Fixed), layer: float64(s.Layer), position: float64(s.Position),
+		fixed: float64(s.FixedTime), layer: float64(s.LayerTime), position: float64(s.PositionTime),
 		slots: float64(max(u.Slots, 1)), inFlight: counts.Counter(u.ID),
 	}}
 	reported := float64(u.Load.Running + u.Load.Waiting)
--- a/internal/pipeline/speeds/speeds.go
+++ b/internal/pipeline/speeds/speeds.go
@@ -23,7 +23,7 @@
 type Estimator struct {
 	initial      pipeline.Speed
 	accelerators map[string]pipeline.Speed
-	corrections  board.Shards[fleet.UpstreamID, correction]
+	corrections  board.ShardedMap[fleet.UpstreamID, correction]
 }
 
 // correction holds the observations of one engine: the ratios of observed to
@@ -59,9 +59,9 @@
 	if !ok {
 		return s
 	}
-	s.Fixed = scale(s.Fixed, f.decode)
-	s.Layer = scale(s.Layer, f.decode)
-	s.Position = scale(s.Position, f.prefill)
+	s.FixedTime = scale(s.FixedTime, f.decode)
+	s.LayerTime = scale(s.LayerTime, f.decode)
+	s.PositionTime = scale(s.PositionTime, f.prefill)
 	if f.linkRate > 0 {
 		s.BytesPerSecond = f.linkRate
 	}
@@ -71,8 +71,8 @@
 // Observe records the time of a step on an engine.
 func (l *Estimator) Observe(u upstream.Upstream, layers, positions int, elapsed time.Duration) {
 	s := l.initialSpeed(u.Accelerator)
-	expectedDecode := s.Fixed + time.Duration(layers)*s.Layer
-	expectedPrefill := time.Duration(layers*(positions-1)) * s.Position
+	expectedDecode := s.FixedTime + time.Duration(layers)*s.LayerTime
+	expectedPrefill := time.Duration(layers*(positions-1)) * s.PositionTime
 	l.corrections.Update(u.ID, func(f correction, ok bool) (correction, bool) {
 		if !ok {
 			f = correction{decode: 1, prefill: 1}
--- a/internal/pipeline/speeds/speeds_test.go
+++ b/internal/pipeline/speeds/speeds_test.go
@@ -16,27 +16,27 @@
 func TestEstimator(t *testing.T) {
 	is := is.New(t)
 	const ms = time.Millisecond
-	l := speeds.New(pipeline.Speed{Fixed: ms, Layer: ms, Position: ms},
-		speeds.WithAccelerator("fast", pipeline.Speed{Fixed: ms, Layer: ms / 2}))
+	l := speeds.New(pipeline.Speed{FixedTime: ms, LayerTime: ms, PositionTime: ms},
+		speeds.WithAccelerator("fast", pipeline.Speed{FixedTime: ms, LayerTime: ms / 2}))
 	var u, fast upstream.Upstream
 	u.ID, fast.ID, fast.Accelerator = "u", "f", "fast"
-	is.Equal(l.Speed(fast).Layer, ms/2)
+	is.Equal(l.Speed(fast).LayerTime, ms/2)
 
 	l.Observe(u, 4, 1, 50*ms) // ten times as long as expected
-	is.True(l.Speed(u).Layer < 3*ms)
+	is.True(l.Speed(u).LayerTime < 3*ms)
 	for range 40 {
 		l.Observe(u, 4, 1, 50*ms)
 	}
-	is.True(l.Speed(u).Layer > 9*ms && l.Speed(u).Layer <= 10*ms)
-	is.Equal(l.Speed(u).Position, ms) // steps of one position do not change it
+	is.True(l.Speed(u).LayerTime > 9*ms && l.Speed(u).LayerTime <= 10*ms)
+	is.Equal(l.Speed(u).PositionTime, ms) // steps of one position do not change it
 
 	for range 40 {
 		l.Observe(u, 4, 11, 130*ms) // 50 ms, and 2 ms for each of 4 layers × 10 additional positions
 	}
-	is.True(l.Speed(u).Position > 19*ms/10 && l.Speed(u).Position < 21*ms/10)
+	is.True(l.Speed(u).PositionTime > 19*ms/10 && l.Speed(u).PositionTime < 21*ms/10)
 	is.Equal(l.Speed(u).BytesPerSecond, 0.0)
 	l.ObserveTransfer(u, 1000, time.Second)
 	is.Equal(l.Speed(u).BytesPerSecond, 1000.0)
 	l.Forget("u")
-	is.Equal(l.Speed(u).Layer, ms)
+	is.Equal(l.Speed(u).LayerTime, ms)
 }
--- a/internal/placement/cover/cover.go
+++ b/internal/placement/cover/cover.go
@@ -117,16 +117,16 @@
 		}
 		e := &g.engines[k]
 		n := min(run.Len(), g.layersFor(*e))
-		e.Holds = upstream.LayerRange{From: run.From, To: run.From + fleet.Layer(n)}
+		e.Layers = upstream.LayerRange{From: run.From, To: run.From + fleet.Layer(n)}
 		e.Pinned = true
-		assignments = append(assignments, placement.Assignment{ID: e.ID, Layers: e.Holds})
+		assignments = append(assignments, placement.Assignment{ID: e.ID, Layers: e.Layers})
 	}
 }
 
 func (g *group) coverage() []int {
 	count := make([]int, g.layers)
 	for _, e := range g.engines {
-		for l := e.Holds.From; l < e.Holds.To && int(l) < g.layers; l++ {
+		for l := e.Layers.From; l < e.Layers.To && int(l) < g.layers; l++ {
 			count[l]++
 		}
 	}
@@ -159,7 +159,7 @@
 func (g *group) bestEmpty(length int) int {
 	best := -1
 	for i, e := range g.engines {
-		if e.Pinned || e.Holds.Len() > 0 || g.layersFor(e) == 0 {
+		if e.Pinned || e.Layers.Len() > 0 || g.layersFor(e) == 0 {
 			continue
 		}
 		if best < 0 || g.fitsBetter(e, g.engines[best], length) {
@@ -180,8 +180,8 @@
 	if na >= length && na != nb {
 		return na < nb
 	}
-	if a.Pace != b.Pace {
-		return a.Pace < b.Pace
+	if a.StepFactor != b.StepFactor {
+		return a.StepFactor < b.StepFactor
 	}
 	return na > nb
 }
@@ -192,10 +192,10 @@
 	least := count[run.From]
 	best, most := -1, 0
 	for i, e := range g.engines {
-		if e.Pinned || e.Holds.Len() == 0 || g.layersFor(e) == 0 {
+		if e.Pinned || e.Layers.Len() == 0 || g.layersFor(e) == 0 {
 			continue
 		}
-		lowest := slices.Min(count[e.Holds.From:min(int(e.Holds.To), g.layers)])
+		lowest := slices.Min(count[e.Layers.From:min(int(e.Layers.To), g.layers)])
 		if lowest >= least+minCoverageGap && (best < 0 || lowest > most || lowest == most && g.fitsBetter(e, g.engines[best], run.Len())) {
 			best, most = i, lowest
 		}
--- a/internal/placement/cover/cover_test.go
+++ b/internal/placement/cover/cover_test.go
@@ -42,11 +42,11 @@
 		var e placement.Engine
 		var id, dc string
 		var from, to int
-		if _, err := fmt.Sscan(line, &id, &dc, &e.MaxLayers, &e.UsableLayers, &e.Pace, &from, &to); err != nil {
+		if _, err := fmt.Sscan(line, &id, &dc, &e.MaxLayers, &e.UsableLayers, &e.StepFactor, &from, &to); err != nil {
 			d.Fatalf(t, "%q: %v", line, err)
 		}
 		e.ID, e.DataCentre = fleet.UpstreamID(id), fleet.DataCentreID(dc)
-		e.Holds = upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(to)}
+		e.Layers = upstream.LayerRange{From: fleet.Layer(from), To: fleet.Layer(to)}
 		es = append(es, e)
 	}
 	return es
@@ -57,7 +57,7 @@
 	after := make(map[fleet.UpstreamID]upstream.LayerRange)
 	maxLayers := make(map[fleet.UpstreamID]int)
 	for _, e := range engines {
-		after[e.ID], maxLayers[e.ID] = e.Holds, e.MaxLayers
+		after[e.ID], maxLayers[e.ID] = e.Layers, e.MaxLayers
 	}
 	for _, o := range cover.Plan(layers, engines) {
 		fmt.Fprintf(&b, "%s %d-%d\n", o.ID, o.Layers.From, o.Layers.To)
--- a/internal/placement/names_string.go
+++ b/internal/placement/names_string.go
@@ -10,7 +10,7 @@
 	var x [1]struct{}
 	_ = x[Unanswered-0]
 	_ = x[Accepted-1]
-	_ = x[Held-2]
+	_ = x[AlreadyHeld-2]
 	_ = x[Refused-3]
 	_ = x[Fenced-4]
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -17,14 +17,14 @@
 type Engine struct {
 	ID         fleet.UpstreamID
 	DataCentre fleet.DataCentreID
-	// Holds is the range that the engine has loaded, or will have loaded once its
+	// Layers is the range that the engine has loaded, or will have loaded once its
 	// pending order is done.
-	Holds upstream.LayerRange
+	Layers upstream.LayerRange
 	// MaxLayers is the number of layers that fit if requests need little memory, and
 	// UsableLayers the number that leaves memory for the reserved streams.
 	MaxLayers, UsableLayers int
-	// Pace is the step time of its card relative to the fastest card.
-	Pace float64
+	// StepFactor is the step time of its card relative to the fastest card.
+	StepFactor float64
 	// Pinned is set if the engine has an order in progress, was assigned a range by
 	// this plan, or may not be called yet. Its layers count, but it isn't reassigned.
 	Pinned bool
@@ -61,7 +61,7 @@
 		return 0, 0
 	}
 	maxLayers = min(int(c.MemoryMB/e.LayerMB), e.Layers)
-	tokens := float64(streams * (e.UsualPrompt + e.UsualAnswer))
+	tokens := float64(streams * (e.MeanPromptTokens + e.MeanAnswerTokens))
 	perLayer := tokens * e.TokenBytes / float64(e.Layers) / 1e6
 	usableLayers = min(int(c.MemoryMB/(e.LayerMB+perLayer)), e.Layers)
 	if usableLayers == 0 && maxLayers > 1 {
@@ -77,12 +77,12 @@
 	for name, n := range cards {
 		_, usableLayers := Capacity(e, e.Cards[name], reservedStreams)
 		chains += float64(n*usableLayers) / float64(max(1, e.Layers))
-		slowest = max(slowest, e.Cards[name].Pace)
+		slowest = max(slowest, e.Cards[name].StepFactor)
 	}
 	streams := make(map[string]int, len(cards))
 	for name := range cards {
 		streams[name] = reservedStreams
-		if chains >= minSharingChains && e.Cards[name].Pace <= fastStepRatio*slowest {
+		if chains >= minSharingChains && e.Cards[name].StepFactor <= fastStepRatio*slowest {
 			streams[name] = sharedReservedStreams
 		}
 	}
@@ -91,13 +91,13 @@
 
 // Report is the state that an engine reports.
 type Report struct {
-	Holds upstream.LayerRange
+	Layers upstream.LayerRange
 	// Busy is set while an order is in progress.
 	Busy bool
-	// Orders is the number of orders that the engine has accepted.
-	Orders uint64
-	// Pace is the factor by which the engine is slower than its kind of card.
-	Pace float64
+	// AcceptedOrders is the number of orders that the engine has accepted.
+	AcceptedOrders uint64
+	// Slowdown is the factor by which the engine is slower than its kind of card.
+	Slowdown float64
 	// Stalled lists the streams that wait for another engine of their path.
 	Stalled []Stalled
 }
@@ -111,10 +111,10 @@
 // Command is an order as it is sent to one engine.
 type Command struct {
 	Layers upstream.LayerRange
-	// Orders is the precondition: the number of orders that the engine must have
+	// ExpectedOrders is the precondition: the number of orders that the engine must have
 	// accepted so far.
-	Orders uint64
-	Fence  fleet.Fence
+	ExpectedOrders uint64
+	Fence          fleet.FencingToken
 	// Valid reports whether the order may still be sent. It is called once the
 	// connection is open, right before the order is written.
 	Valid func() bool
@@ -140,8 +140,8 @@
 	Unanswered Outcome = iota // unanswered
 	// Accepted means that the engine has started to carry out the order.
 	Accepted // accepted
-	// Held means that the engine already holds the range.
-	Held // held
+	// AlreadyHeld means that the engine already holds the range.
+	AlreadyHeld // held
 	// Refused means that the order is not carried out.
 	Refused // refused
 	// Fenced means that the engine refused the order because it has one from a newer leader.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,10 +10,10 @@
 )
 
 var model = &release.Engine{
-	Layers: 80, LayerMB: 1750, TokenBytes: 459000, UsualPrompt: 772, UsualAnswer: 154,
+	Layers: 80, LayerMB: 1750, TokenBytes: 459000, MeanPromptTokens: 772, MeanAnswerTokens: 154,
 	Cards: map[string]release.Card{
-		"fast": {MemoryMB: 36000, Pace: 3.1},
-		"slow": {MemoryMB: 21600, Pace: 16},
+		"fast": {MemoryMB: 36000, StepFactor: 3.1},
+		"slow": {MemoryMB: 21600, StepFactor: 16},
 	},
 }
 
--- a/internal/placement/placer/placer.go
+++ b/internal/placement/placer/placer.go
@@ -49,12 +49,12 @@
 
 // Leadership reports whether this instance is the leader now, and with which fence.
 type Leadership interface {
-	Leading() (fleet.Fence, bool)
+	Leading() (fleet.FencingToken, bool)
 }
 
 // Releases returns the active release, or nil.
 type Releases interface {
-	InForce() *release.Release
+	ActiveRelease() *release.Release
 }
 
 // Suspects returns the engines at which requests of several gateways recently failed.
@@ -80,7 +80,7 @@
 	mu            sync.Mutex
 	engines       map[engineKey]*engineState
 	failedAt      map[fleet.UpstreamID]time.Time // when gateways last reported a failure
-	fence         fleet.Fence
+	fence         fleet.FencingToken
 	settlingSince time.Time // start of the leadership, or when its first engine was seen
 }
 
@@ -130,7 +130,7 @@
 
 // reconcile compares the registry with the plan once and starts the calls that are due.
 func (p *Placer) reconcile(ctx context.Context) {
-	r := p.releases.InForce()
+	r := p.releases.ActiveRelease()
 	if r == nil {
 		return
 	}
@@ -167,7 +167,7 @@
 func (p *Placer) liveEntries(now time.Time) []registry.Entry {
 	serving := p.suspects.Serving()
 	return slices.DeleteFunc(p.catalog.All(servingTimeoutFactor*p.heartbeatTimeout), func(e registry.Entry) bool {
-		return now.Sub(e.Heard) > p.heartbeatTimeout && !slices.Contains(serving, e.ID)
+		return now.Sub(e.LastHeartbeat) > p.heartbeatTimeout && !slices.Contains(serving, e.ID)
 	})
 }
 
@@ -179,7 +179,7 @@
 	}
 	return slices.DeleteFunc(es, func(e registry.Entry) bool {
 		at, ok := p.failedAt[e.ID]
-		return ok && at.After(e.Heard) && now.Sub(e.Heard) > p.heartbeatTimeout*overdueNum/overdueDen
+		return ok && at.After(e.LastHeartbeat) && now.Sub(e.LastHeartbeat) > p.heartbeatTimeout*overdueNum/overdueDen
 	})
 }
 
@@ -226,14 +226,14 @@
 	c := m.Cards[e.Card]
 	maxLayers, usableLayers := placement.Capacity(m, c, reservedStreams)
 	v := placement.Engine{
-		ID: e.ID, DataCentre: e.DataCentre, Holds: e.Layers, MaxLayers: maxLayers, UsableLayers: usableLayers, Pace: c.Pace,
+		ID: e.ID, DataCentre: e.DataCentre, Layers: e.Layers, MaxLayers: maxLayers, UsableLayers: usableLayers, StepFactor: c.StepFactor,
 	}
-	k, ok := p.engines[engineKey{e.ID, e.Born}]
+	k, ok := p.engines[engineKey{e.ID, e.Incarnation}]
 	if !ok {
 		return v
 	}
 	if now.Before(k.targetUntil) {
-		v.Holds = k.target
+		v.Layers = k.target
 		v.Pinned = e.Layers != k.target
 	}
 	v.Pinned = v.Pinned || k.calling || now.Before(k.nextCall)
@@ -243,7 +243,7 @@
 // sendOrder starts a call that sends an order to an engine. It first fetches the number
 // of accepted orders if that is not known.
 func (p *Placer) sendOrder(ctx context.Context, m *release.Engine, e registry.Entry, r upstream.LayerRange, now time.Time) {
-	key := engineKey{e.ID, e.Born}
+	key := engineKey{e.ID, e.Incarnation}
 	k := p.engines[key]
 	if k == nil {
 		k = &engineState{}
@@ -265,14 +265,14 @@
 				p.finishCall(k, fence, func() { k.nextCall = p.clock.Now().Add(retryBackoff) })
 				return
 			}
-			orders = report.Orders
+			orders = report.AcceptedOrders
 		}
 		outcome, err := p.commander.Place(ctx, e.ID, e.Address, placement.Command{
-			Layers: r, Orders: orders, Fence: fence, Valid: func() bool { return p.stillLeads(fence) },
+			Layers: r, ExpectedOrders: orders, Fence: fence, Valid: func() bool { return p.stillLeads(fence) },
 		})
 		p.logger.Info("Placement order attempted.", zap.String("upstream", string(e.ID)),
 			zap.Int("from", int(r.From)), zap.Int("to", int(r.To)), zap.Uint64("fence", uint64(fence)),
-			zap.Uint64("orders", orders), zap.Duration("heardAgo", p.clock.Now().Sub(e.Heard)),
+			zap.Uint64("orders", orders), zap.Duration("heardAgo", p.clock.Now().Sub(e.LastHeartbeat)),
 			zap.Stringer("outcome", outcome), zap.Error(err))
 		p.finishCall(k, fence, func() { p.recordOutcome(k, m, r, orders, outcome) })
 	})
@@ -280,13 +280,13 @@
 
 // stillLeads reports whether this instance is still the leader with a fence. The process
 // may have been paused since the order was planned, and another instance may lead now.
-func (p *Placer) stillLeads(fence fleet.Fence) bool {
+func (p *Placer) stillLeads(fence fleet.FencingToken) bool {
 	f, ok := p.leadership.Leading()
 	return ok && f == fence
 }
 
 // finishCall applies the result of a call, unless the fence has changed since.
-func (p *Placer) finishCall(k *engineState, fence fleet.Fence, apply func()) {
+func (p *Placer) finishCall(k *engineState, fence fleet.FencingToken, apply func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k.calling = false
@@ -302,7 +302,7 @@
 	case placement.Accepted:
 		k.acceptedOrders, k.ordersKnown = orders+1, true
 		k.target, k.targetUntil = r, now.Add(loadTime+p.heartbeatTimeout+orderGracePeriod)
-	case placement.Held:
+	case placement.AlreadyHeld:
 		k.acceptedOrders, k.ordersKnown = orders, true
 		k.target, k.targetUntil = r, now.Add(p.heartbeatTimeout)
 	case placement.Unanswered:
--- a/internal/placement/placer/placer_test.go
+++ b/internal/placement/placer/placer_test.go
@@ -21,16 +21,16 @@
 // leadership is a Leadership whose fence a test can change. Fence 0 means not leading.
 type leadership struct {
 	mu    sync.Mutex
-	fence fleet.Fence
+	fence fleet.FencingToken
 }
 
-func (l *leadership) Leading() (fleet.Fence, bool) {
+func (l *leadership) Leading() (fleet.FencingToken, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fence, l.fence > 0
 }
 
-func (l *leadership) set(f fleet.Fence) {
+func (l *leadership) set(f fleet.FencingToken) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fence = f
@@ -39,10 +39,10 @@
 // testReleases returns a release with one service whose model has four layers.
 type testReleases struct{}
 
-func (testReleases) InForce() *release.Release {
+func (testReleases) ActiveRelease() *release.Release {
 	return &release.Release{Services: []release.Service{{Pool: "model", Engine: &release.Engine{
-		Layers: 4, LayerMB: 1, UsualPrompt: 1, UsualAnswer: 1, TokenBytes: 1,
-		Cards: map[string]release.Card{"card": {MemoryMB: 100, Pace: 1, ReadFactor: 1}},
+		Layers: 4, LayerMB: 1, MeanPromptTokens: 1, MeanAnswerTokens: 1, TokenBytes: 1,
+		Cards: map[string]release.Card{"card": {MemoryMB: 100, StepFactor: 1, PrefillFactor: 1}},
 	}}}}
 }
 
@@ -72,11 +72,11 @@
 
 // orderValidAfterChange lets a placer plan its first order, changes the fence to next, and
 // returns whether the order is then still valid.
-func orderValidAfterChange(t *testing.T, next fleet.Fence) bool {
+func orderValidAfterChange(t *testing.T, next fleet.FencingToken) bool {
 	clock := fakeclock.New(fakeclock.Start)
 	registryCatalog := catalog.New(clock)
 	entry := registry.Entry{
-		ID: "e1", Born: 1, Pool: "model", Address: "127.0.0.1:1", State: registry.Ready, Card: "card", Slots: 10,
+		ID: "e1", Incarnation: 1, Pool: "model", Address: "127.0.0.1:1", State: registry.Ready, Card: "card", Slots: 10,
 	}
 	l := &leadership{fence: 3}
 	m := &commander{beforeOrder: func() { l.set(next) }, valid: make(chan bool, 1)}
@@ -84,7 +84,7 @@
 	defer p.Stop()
 	for {
 		entry.Sequence++
-		entry.Heard = clock.Now()
+		entry.LastHeartbeat = clock.Now()
 		registryCatalog.Put(entry, true)
 		select {
 		case valid := <-m.valid:
--- a/internal/quiet/governor/governor.go
+++ b/internal/quiet/governor/governor.go
@@ -137,9 +137,9 @@
 	return func() { g.finish(r) }, true
 }
 
-// Retry returns the time for which no work can start at all, even if all running
+// RetryAfter returns the time for which no work can start at all, even if all running
 // work ends, or zero.
-func (g *Governor) Retry(now time.Time) time.Duration {
+func (g *Governor) RetryAfter(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
@@ -167,10 +167,10 @@
 	return g.excess(now)
 }
 
-// Move asks running work to leave until no more than the limit remains, starting with
+// Evict asks running work to leave until no more than the limit remains, starting with
 // the latest expected end. A controller calls it a few times per second. It returns
 // the number of tasks that it asked.
-func (g *Governor) Move(now time.Time) int {
+func (g *Governor) Evict(now time.Time) int {
 	asked := g.selectForMove(now)
 	for _, r := range asked {
 		if r.move != nil {
--- a/internal/quiet/governor/governor_test.go
+++ b/internal/quiet/governor/governor_test.go
@@ -146,14 +146,14 @@
 	}
 	is.Equal(g.Excess(before), 0)
 	is.Equal(g.Excess(windowStart), 20)
-	is.Equal(g.Move(windowStart), 20)
-	is.Equal(g.Move(windowStart), 0) // each task is asked only once
+	is.Equal(g.Evict(windowStart), 20)
+	is.Equal(g.Evict(windowStart), 0) // each task is asked only once
 	is.Equal(moved, 20)
 	_, ok := g.Start(windowStart, time.Second, nil)
 	is.True(!ok)
-	is.Equal(g.Retry(windowStart), time.Duration(0)) // work may start as soon as enough running work has ended
+	is.Equal(g.RetryAfter(windowStart), time.Duration(0)) // work may start as soon as enough running work has ended
 
 	// An instance with a share of zero cannot start work during the whole window.
 	g.SetFleet("a", 11, []fleet.InstanceID{"a"})
-	is.Equal(g.Retry(windowStart.Add(time.Second)), 5*time.Minute)
+	is.Equal(g.RetryAfter(windowStart.Add(time.Second)), 5*time.Minute)
 }
--- a/internal/quorum/journal/journal.go
+++ b/internal/quorum/journal/journal.go
@@ -116,23 +116,23 @@
 	return nil
 }
 
-// Prepared is a snapshot that is stored but does not replace the log yet.
-type Prepared struct {
+// PreparedSnapshot is a snapshot that is stored but does not replace the log yet.
+type PreparedSnapshot struct {
 	Snapshot replica.Snapshot
 	name     string
 }
 
-// Prepare stores a snapshot of the local state machine under a temporary name. It
+// PrepareSnapshot stores a snapshot of the local state machine under a temporary name. It
 // may run concurrently with other methods, so that a large snapshot does not
 // block the log.
-func (j *Journal) Prepare(s replica.Snapshot) (Prepared, error) {
+func (j *Journal) PrepareSnapshot(s replica.Snapshot) (PreparedSnapshot, error) {
 	return j.writeSnapshot(s, preparedName, false)
 }
 
 // Compact makes a prepared snapshot the current one and drops all entries except
 // the retained ones, which must extend from the snapshot or earlier to the end of
 // the log.
-func (j *Journal) Compact(p Prepared, retained []replica.Entry) error {
+func (j *Journal) Compact(p PreparedSnapshot, retained []replica.Entry) error {
 	base := position{p.Snapshot.Index, p.Snapshot.Term}
 	if len(retained) > 0 {
 		base = position{index: retained[0].Index - 1}
@@ -140,9 +140,9 @@
 	return j.activateSnapshot(p, base, retained)
 }
 
-// Install replaces the whole log with a snapshot from the leader and stores the
+// InstallSnapshot replaces the whole log with a snapshot from the leader and stores the
 // state.
-func (j *Journal) Install(s replica.Snapshot, st replica.State) error {
+func (j *Journal) InstallSnapshot(s replica.Snapshot, st replica.State) error {
 	if j.failure != nil {
 		return j.failure
 	}
@@ -163,21 +163,21 @@
 	return j.file.Close()
 }
 
-func (j *Journal) writeSnapshot(s replica.Snapshot, name string, installed bool) (Prepared, error) {
+func (j *Journal) writeSnapshot(s replica.Snapshot, name string, installed bool) (PreparedSnapshot, error) {
 	content, err := appendFrame(nil, &peerv1.JournalSnapshot{Snapshot: replica.SnapshotToProto(&s), Installed: installed})
 	if err != nil {
-		return Prepared{}, err
+		return PreparedSnapshot{}, err
 	}
 	f, err := replaceFile(j.disk, j.dir, name, content)
 	if err != nil {
-		return Prepared{}, errors.Wrapf(err, "snapshot in %s", j.dir)
+		return PreparedSnapshot{}, errors.Wrapf(err, "snapshot in %s", j.dir)
 	}
-	return Prepared{Snapshot: s, name: name}, f.Close()
+	return PreparedSnapshot{Snapshot: s, name: name}, f.Close()
 }
 
 // activateSnapshot makes a prepared snapshot the current one and starts a segment
 // that holds the retained entries.
-func (j *Journal) activateSnapshot(p Prepared, base position, retained []replica.Entry) error {
+func (j *Journal) activateSnapshot(p PreparedSnapshot, base position, retained []replica.Entry) error {
 	if j.failure != nil {
 		return j.failure
 	}
--- a/internal/quorum/journal/journal_test.go
+++ b/internal/quorum/journal/journal_test.go
@@ -38,7 +38,7 @@
 }
 
 func compact(j *journal.Journal) error {
-	p, err := j.Prepare(replica.Snapshot{Index: 15, Term: 1, State: []byte("state")})
+	p, err := j.PrepareSnapshot(replica.Snapshot{Index: 15, Term: 1, State: []byte("state")})
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 			d.FailAfter(k)
 			err := compact(j)
 			if err == nil {
-				err = j.Install(replica.Snapshot{Index: 50, Term: 3}, replica.State{Term: 4, Commit: 50})
+				err = j.InstallSnapshot(replica.Snapshot{Index: 50, Term: 3}, replica.State{Term: 4, Commit: 50})
 			}
 			d.FailAfter(-1)
 			d.PowerLoss(rand.New(rand.NewPCG(seed, 1)))
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -50,8 +50,8 @@
 	Read(ctx context.Context, group GroupID, query []byte) (reply []byte, err error)
 }
 
-// Reader is a StateMachine that also answers queries.
-type Reader interface {
+// QueryableStateMachine is a StateMachine that also answers queries.
+type QueryableStateMachine interface {
 	StateMachine
 	// Query returns the reply to a query. It must not change the state.
 	Query(query []byte) (reply []byte)
--- a/internal/quorum/quorumtest/disk.go
+++ b/internal/quorum/quorumtest/disk.go
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Lie sets whether syncs report success without making anything durable.
-func (d *Disk) Lie(on bool) {
+// IgnoreSyncs sets whether syncs report success without making anything durable.
+func (d *Disk) IgnoreSyncs(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ignoreSyncs = on
--- a/internal/quorum/quorumtest/quorumtest.go
+++ b/internal/quorum/quorumtest/quorumtest.go
@@ -25,7 +25,7 @@
 }
 
 type group struct {
-	machine quorum.Reader
+	machine quorum.QueryableStateMachine
 	index   quorum.Index
 	faults  []Fault
 }
@@ -46,7 +46,7 @@
 }
 
 // Register makes m the state machine of a group.
-func (p *Proposer) Register(id quorum.GroupID, m quorum.Reader) {
+func (p *Proposer) Register(id quorum.GroupID, m quorum.QueryableStateMachine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.groups[id] = &group{machine: m}
@@ -94,7 +94,7 @@
 
 func (p *Proposer) group(ctx context.Context, id quorum.GroupID) (*group, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, refusal.Because(refusal.NotReady, err, "group %q did not receive the request", id)
+		return nil, refusal.WithCause(refusal.NotReady, err, "group %q did not receive the request", id)
 	}
 	g, ok := p.groups[id]
 	if !ok {
--- a/internal/quorum/replica/leader.go
+++ b/internal/quorum/replica/leader.go
@@ -194,10 +194,10 @@
 	r.reads, r.deferredReads = nil, nil
 }
 
-// Transfer starts a leadership transfer to a voter, which takes over once its log
+// TransferLeadership starts a leadership transfer to a voter, which takes over once its log
 // is up-to-date. The transfer is abandoned after an election timeout; until then
 // no proposals are accepted.
-func (r *Replica) Transfer(to quorum.VoterID) error {
+func (r *Replica) TransferLeadership(to quorum.VoterID) error {
 	if r.role != Leader {
 		return ErrNotLeader
 	}
--- a/internal/quorum/replica/replica.go
+++ b/internal/quorum/replica/replica.go
@@ -40,17 +40,17 @@
 	ErrMajorityUnreachable = errors.New("too few of the voters would be reachable")
 )
 
-// LostError reports that a replica no longer holds entries that it had
+// LostEntriesError reports that a replica no longer holds entries that it had
 // acknowledged, because its folder was restored to an older state or its disk lost
 // synced data. The votes of such a replica can't be trusted either.
-type LostError struct {
+type LostEntriesError struct {
 	Voter              quorum.VoterID
 	Acknowledged, Last quorum.Index
 }
 
 // Error returns a message with the voter, the acknowledged index and the last
 // index.
-func (e *LostError) Error() string {
+func (e *LostEntriesError) Error() string {
 	return fmt.Sprintf("voter %d acknowledged entry %d, but its log ended at %d after a restart; "+
 		"remove its data folder so that it joins anew", e.Voter, e.Acknowledged, e.Last)
 }
@@ -181,10 +181,10 @@
 	}
 }
 
-// Gap reports to the replica that its owner did not run for a number of ticks. A
+// MissedTicks reports to the replica that its owner did not run for a number of ticks. A
 // leader that was suspended for an election timeout resigns, because the other
 // voters may have elected a new leader.
-func (r *Replica) Gap(ticks int) {
+func (r *Replica) MissedTicks(ticks int) {
 	if r.role == Leader && ticks >= r.options.ElectionTicks {
 		r.becomeFollower(r.term, 0)
 		return
@@ -221,7 +221,7 @@
 	case HeartbeatReply:
 		r.handleHeartbeatReply(m)
 	case LostEntries:
-		return &LostError{Voter: m.To, Acknowledged: m.LogIndex, Last: m.Hint}
+		return &LostEntriesError{Voter: m.To, Acknowledged: m.LogIndex, Last: m.Hint}
 	case TimeoutNow:
 		if m.From == r.leader && r.canCampaign() {
 			r.campaign(transferContext)
@@ -389,7 +389,7 @@
 func (r *Replica) sendImmediate(m Message) {
 	m.From = r.options.ID
 	m.Term = r.term
-	r.pending.Early = append(r.pending.Early, m)
+	r.pending.ImmediateMessages = append(r.pending.ImmediateMessages, m)
 }
 
 func (o Options) withDefaults() Options {
--- a/internal/quorum/replica/types.go
+++ b/internal/quorum/replica/types.go
@@ -142,9 +142,9 @@
 // Effects holds the actions that the owner of a Replica must execute, in the
 // order of the fields.
 type Effects struct {
-	// Early holds messages that may be sent before Snapshot, State and Entries are
+	// ImmediateMessages holds messages that may be sent before Snapshot, State and Entries are
 	// synced.
-	Early []Message
+	ImmediateMessages []Message
 	// Snapshot replaces the log and the state of the state machine, unless it is
 	// nil.
 	Snapshot *Snapshot
@@ -169,7 +169,7 @@
 
 // Empty reports whether there is nothing to do.
 func (e Effects) Empty() bool {
-	return len(e.Early) == 0 && e.Snapshot == nil && len(e.Entries) == 0 && !e.SaveState &&
+	return len(e.ImmediateMessages) == 0 && e.Snapshot == nil && len(e.Entries) == 0 && !e.SaveState &&
 		len(e.Messages) == 0 && len(e.Committed) == 0 && len(e.Reads) == 0 && len(e.FailedReads) == 0
 }
 
--- a/internal/quorum/voter/bench_test.go
+++ b/internal/quorum/voter/bench_test.go
@@ -23,11 +23,11 @@
 
 func newBenchCluster(b *testing.B) (*testCluster, *Client) {
 	tc := newTestCluster(b, 3)
-	tc.machine = func() quorum.Reader { return noopMachine{} }
+	tc.machine = func() quorum.QueryableStateMachine { return noopMachine{} }
 	for i := range 3 {
 		tc.start(i)
 	}
-	c, err := NewClient(Instance("client", ""), Initial(tc.peers...))
+	c, err := NewClient(Instance("client", ""), InitialVoters(tc.peers...))
 	tc.is.NoErr(err)
 	b.Cleanup(c.Close)
 	_, err = c.Propose(context.Background(), quorum.ConfigGroup, make([]byte, 256))
--- a/internal/quorum/voter/client.go
+++ b/internal/quorum/voter/client.go
@@ -103,7 +103,7 @@
 	if err == nil {
 		err = ctx.Err()
 	}
-	return nil, refusal.Because(refusal.NotReady, err, "group %q has no leader in reach", req.group)
+	return nil, refusal.WithCause(refusal.NotReady, err, "group %q has no leader in reach", req.group)
 }
 
 // tryVoters sends a request to the last known leader and then to all voters, until
@@ -221,7 +221,7 @@
 	}
 	conn, err := c.conns.ready(ctx, p.Address)
 	if err != nil {
-		return nil, refusal.Because(refusal.NotReady, err, "group %q", req.group)
+		return nil, refusal.WithCause(refusal.NotReady, err, "group %q", req.group)
 	}
 	reply, refused, err := invoke(ctx, conn, req)
 	if err == nil && c.config.cut(p.Instance, c.config.instance) {
@@ -247,16 +247,16 @@
 // call was certainly not run only if the peer does not implement the method.
 func transportError(g quorum.GroupID, err error) error {
 	if status.Code(err) == codes.Unimplemented {
-		return refusal.Because(refusal.NotReady, err, "group %q", g)
+		return refusal.WithCause(refusal.NotReady, err, "group %q", g)
 	}
-	return refusal.Because(refusal.OutcomeUnknown, err, "group %q", g)
+	return refusal.WithCause(refusal.OutcomeUnknown, err, "group %q", g)
 }
 
 func refusalToProto(err error) *peerv1.Refusal {
 	if err == nil {
 		return nil
 	}
-	r := &peerv1.Refusal{Code: refusal.KindOf(err).Answer().Code, Message: err.Error()}
+	r := &peerv1.Refusal{Code: refusal.KindOf(err).Response().Code, Message: err.Error()}
 	var hint *leaderHint
 	if errors.As(err, &hint) {
 		r.Leader, r.LeaderInstance = hint.address, string(hint.instance)
@@ -277,7 +277,7 @@
 
 func kindFromCode(code string) refusal.Kind {
 	for _, k := range refusal.Kinds() {
-		if k.Answer().Code == code {
+		if k.Response().Code == code {
 			return k
 		}
 	}
--- a/internal/quorum/voter/client_test.go
+++ b/internal/quorum/voter/client_test.go
@@ -63,14 +63,14 @@
 	leaderPeer := serve(t, is, leader)
 	follower := &fakePeer{propose: func() (*peerv1.ProposeReply, error) {
 		return &peerv1.ProposeReply{Refusal: &peerv1.Refusal{
-			Code: refusal.NotReady.Answer().Code, Leader: leaderPeer.Address, LeaderInstance: string(leaderPeer.Instance),
+			Code: refusal.NotReady.Response().Code, Leader: leaderPeer.Address, LeaderInstance: string(leaderPeer.Instance),
 		}}, nil
 	}}
 	unreachable := Peer{Instance: "dead", Address: "127.0.0.1:1"}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 
-	c, err := NewClient(Instance("client", ""), Initial(unreachable, serve(t, is, disconnecting), leaderPeer))
+	c, err := NewClient(Instance("client", ""), InitialVoters(unreachable, serve(t, is, disconnecting), leaderPeer))
 	is.NoErr(err)
 	defer c.Close()
 	_, err = c.Propose(ctx, quorum.ConfigGroup, []byte("command"))
@@ -81,7 +81,7 @@
 	is.NoErr(err)
 	is.Equal(string(reply), "value")
 
-	c, err = NewClient(Instance("client", ""), Initial(unreachable, serve(t, is, follower)))
+	c, err = NewClient(Instance("client", ""), InitialVoters(unreachable, serve(t, is, follower)))
 	is.NoErr(err)
 	defer c.Close()
 	reply, err = c.Propose(ctx, quorum.ConfigGroup, []byte("command"))
@@ -96,7 +96,7 @@
 // command was certainly not applied.
 func TestNoLeader(t *testing.T) {
 	is := is.New(t)
-	c, err := NewClient(Instance("client", ""), Initial(Peer{Instance: "dead", Address: "127.0.0.1:1"}))
+	c, err := NewClient(Instance("client", ""), InitialVoters(Peer{Instance: "dead", Address: "127.0.0.1:1"}))
 	is.NoErr(err)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -129,7 +129,7 @@
 	for i := range 3 {
 		tc.start(i)
 	}
-	c, err := NewClient(Instance("client", ""), Initial(tc.peers...))
+	c, err := NewClient(Instance("client", ""), InitialVoters(tc.peers...))
 	tc.is.NoErr(err)
 	defer c.Close()
 	for i := range 3 {
--- a/internal/quorum/voter/group.go
+++ b/internal/quorum/voter/group.go
@@ -126,7 +126,7 @@
 	select {
 	case g.inbox <- func(m *member) { f(m, d) }:
 	case <-ctx.Done():
-		return nil, refusal.Because(refusal.NotReady, ctx.Err(), "group %q is busy", g.id)
+		return nil, refusal.WithCause(refusal.NotReady, ctx.Err(), "group %q is busy", g.id)
 	case <-g.stopped:
 		return nil, refusal.New(refusal.Stopping, "voter is stopping")
 	}
@@ -194,7 +194,7 @@
 
 func (g *group) transferTo(ctx context.Context, to quorum.VoterID) error {
 	_, err := g.do(ctx, func(m *member, d doneFunc) {
-		if err := m.replica.Transfer(to); err != nil {
+		if err := m.replica.TransferLeadership(to); err != nil {
 			d(nil, m.rejected(err))
 			return
 		}
--- a/internal/quorum/voter/member.go
+++ b/internal/quorum/voter/member.go
@@ -42,7 +42,7 @@
 	group   quorum.GroupID
 	options replica.Options
 	initial []replica.Voter
-	machine quorum.Reader
+	machine quorum.QueryableStateMachine
 	disk    journal.Disk
 	dir     string
 	// send must not block. It may drop messages.
@@ -115,7 +115,7 @@
 		return
 	}
 	if n >= gapTicks {
-		m.replica.Gap(n)
+		m.replica.MissedTicks(n)
 		return
 	}
 	for range n {
@@ -192,7 +192,7 @@
 }
 
 func (m *member) execute(e replica.Effects) error {
-	m.sendAll(e.Early)
+	m.sendAll(e.ImmediateMessages)
 	if err := m.save(e); err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 
 func (m *member) save(e replica.Effects) error {
 	if s := e.Snapshot; s != nil {
-		if err := m.journal.Install(*s, e.State); err != nil {
+		if err := m.journal.InstallSnapshot(*s, e.State); err != nil {
 			return err
 		}
 		if err := m.restore(s); err != nil {
@@ -289,14 +289,14 @@
 	m.storingSnapshot = true
 	m.appliedBytes = 0
 	m.background(func() func() {
-		p, err := m.journal.Prepare(s)
+		p, err := m.journal.PrepareSnapshot(s)
 		return func() { m.finishSnapshot(p, err) }
 	})
 	return nil
 }
 
 // finishSnapshot makes a prepared snapshot current and compacts the log before it.
-func (m *member) finishSnapshot(p journal.Prepared, err error) {
+func (m *member) finishSnapshot(p journal.PreparedSnapshot, err error) {
 	// Flush first: the retained log must not contain entries that were not saved.
 	// storingSnapshot stays set meanwhile, so that the flush does not start another
 	// snapshot, which would replace this one before it is current.
@@ -550,7 +550,7 @@
 
 // notRunning returns the error of requests after the replica has failed.
 func (m *member) notRunning() error {
-	return refusal.Because(refusal.NotReady, m.failure, "group %q does not run here", m.group)
+	return refusal.WithCause(refusal.NotReady, m.failure, "group %q does not run here", m.group)
 }
 
 // rejected returns the error of a request that was certainly not run. It names the
@@ -560,7 +560,7 @@
 	if errors.Is(err, replica.ErrBusy) {
 		kind = refusal.Overloaded
 	}
-	e := refusal.Because(kind, err, "group %q", m.group)
+	e := refusal.WithCause(kind, err, "group %q", m.group)
 	if v, ok := m.replica.Voter(m.replica.Leader()); ok && v.ID != m.options.ID {
 		return &leaderHint{refusal: e, address: v.Address, instance: v.Instance}
 	}
--- a/internal/quorum/voter/options.go
+++ b/internal/quorum/voter/options.go
@@ -60,7 +60,7 @@
 	initial          []Peer
 	contacts         []Peer
 	allowJoin        bool
-	stateMachines    map[quorum.GroupID]quorum.Reader
+	stateMachines    map[quorum.GroupID]quorum.QueryableStateMachine
 	groupOrder       []quorum.GroupID
 	tickInterval     time.Duration
 	replicaOptions   replica.Options
@@ -88,7 +88,7 @@
 
 // InitialVoters sets the first voters of all groups. It must be the same on all of
 // them. Later changes of the members are read from the log.
-func Initial(ps ...Peer) Option { return func(c *config) { c.initial = ps } }
+func InitialVoters(ps ...Peer) Option { return func(c *config) { c.initial = ps } }
 
 // Contacts sets addresses at which voters may be found, in addition to the initial
 // voters and to those that have sent messages to this one. They need not be
@@ -97,10 +97,10 @@
 
 // AllowJoin lets instances without a voter join the groups. A new instance replaces
 // a voter that is unavailable, or becomes an additional voter.
-func Open() Option { return func(c *config) { c.allowJoin = true } }
+func AllowJoin() Option { return func(c *config) { c.allowJoin = true } }
 
 // Group adds a group and its state machine.
-func Group(id quorum.GroupID, m quorum.Reader) Option {
+func Group(id quorum.GroupID, m quorum.QueryableStateMachine) Option {
 	return func(c *config) {
 		c.stateMachines[id] = m
 		c.groupOrder = append(c.groupOrder, id)
@@ -109,7 +109,7 @@
 
 // TickInterval sets the duration of a tick, the unit of election timeouts and
 // heartbeat intervals.
-func Tick(d time.Duration) Option { return func(c *config) { c.tickInterval = d } }
+func TickInterval(d time.Duration) Option { return func(c *config) { c.tickInterval = d } }
 
 // ReplicaOptions sets the options of the replicas. The Voter sets ID, and also Seed
 // if it is 0.
@@ -131,7 +131,7 @@
 
 // DialOptions adds gRPC options for connections to other voters, such as
 // credentials.
-func Dial(options ...grpc.DialOption) Option {
+func DialOptions(options ...grpc.DialOption) Option {
 	return func(c *config) { c.extraDialOptions = append(c.extraDialOptions, options...) }
 }
 
@@ -153,7 +153,7 @@
 func newConfig(options []Option) (*config, error) {
 	c := &config{
 		disk: journal.OS{}, clock: systemclock.Clock{}, tickInterval: DefaultTickInterval,
-		stateMachines:   make(map[quorum.GroupID]quorum.Reader),
+		stateMachines:   make(map[quorum.GroupID]quorum.QueryableStateMachine),
 		snapshotEntries: DefaultSnapshotEntries, keepEntries: DefaultKeepEntries,
 		attemptTimeout: DefaultAttemptTimeout,
 		cut:            func(_, _ fleet.InstanceID) bool { return false },
--- a/internal/quorum/voter/process_test.go
+++ b/internal/quorum/voter/process_test.go
@@ -41,8 +41,8 @@
 	var s processSettings
 	check(json.Unmarshal([]byte(text), &s))
 	own := s.Peers[s.Self]
-	v, err := New(Instance(own.Instance, own.Address), Folder(s.Folder), Initial(s.Peers...),
-		Group(quorum.ConfigGroup, &recordingMachine{}), Tick(10*time.Millisecond), SnapshotEntries(50, 10))
+	v, err := New(Instance(own.Instance, own.Address), Folder(s.Folder), InitialVoters(s.Peers...),
+		Group(quorum.ConfigGroup, &recordingMachine{}), TickInterval(10*time.Millisecond), SnapshotEntries(50, 10))
 	check(err)
 	l, err := net.Listen("tcp", own.Address)
 	check(err)
@@ -119,7 +119,7 @@
 			_ = c.Wait()
 		}
 	})
-	c, err := NewClient(Instance("client", ""), Initial(tc.peers...))
+	c, err := NewClient(Instance("client", ""), InitialVoters(tc.peers...))
 	tc.is.NoErr(err)
 	defer c.Close()
 	tc.proposeSome(c)
--- a/internal/quorum/voter/schedule_test.go
+++ b/internal/quorum/voter/schedule_test.go
@@ -186,7 +186,7 @@
 		p.slowClock = !p.slowClock
 	case k < 90 && sim.canLose(p) && p.member != nil:
 		p.syncsIgnored = true
-		p.disk.Lie(true)
+		p.disk.IgnoreSyncs(true)
 	case k < 95 && p.syncsIgnored:
 		p.kill(true)
 		p.restart()
--- a/internal/quorum/voter/script_test.go
+++ b/internal/quorum/voter/script_test.go
@@ -67,7 +67,7 @@
 		p.read()
 		s.drain()
 	case "transfer":
-		if err := p.member.replica.Transfer(to.id); err != nil {
+		if err := p.member.replica.TransferLeadership(to.id); err != nil {
 			s.printf("%v", err)
 		}
 		p.flush()
@@ -221,4 +221,4 @@
 	return "(" + strings.Join(names, ", ") + ")"
 }
 
-var _ quorum.Reader = (*hashChain)(nil)
+var _ quorum.QueryableStateMachine = (*hashChain)(nil)
--- a/internal/quorum/voter/silent_test.go
+++ b/internal/quorum/voter/silent_test.go
@@ -37,7 +37,7 @@
 	frozen, elected := &stallingPeer{}, &stallingPeer{}
 	c, err := NewClient(
 		Instance("client", ""),
-		Initial(Peer{ID: 1, Instance: "a", Address: servePeer(t, frozen)}, Peer{ID: 2, Instance: "b", Address: servePeer(t, elected)}),
+		InitialVoters(Peer{ID: 1, Instance: "a", Address: servePeer(t, frozen)}, Peer{ID: 2, Instance: "b", Address: servePeer(t, elected)}),
 		AttemptTimeout(200*time.Millisecond),
 	)
 	is.NoErr(err)
--- a/internal/quorum/voter/voter.go
+++ b/internal/quorum/voter/voter.go
@@ -357,7 +357,7 @@
 // recordDamage stores in the identity that the folder lost entries, so that it
 // can't be used after a restart.
 func (v *Voter) recordDamage(err error) {
-	var lost *replica.LostError
+	var lost *replica.LostEntriesError
 	if !errors.As(err, &lost) {
 		return
 	}
--- a/internal/quorum/voter/voter_test.go
+++ b/internal/quorum/voter/voter_test.go
@@ -73,7 +73,7 @@
 	peers     []Peer
 	instances []*testInstance
 	// machine returns a new state machine.
-	machine func() quorum.Reader
+	machine func() quorum.QueryableStateMachine
 	cut     atomic.Pointer[map[[2]fleet.InstanceID]bool]
 }
 
@@ -85,7 +85,7 @@
 }
 
 func newTestCluster(t testing.TB, n int) *testCluster {
-	tc := &testCluster{is: is.New(t), dir: t.TempDir(), machine: func() quorum.Reader { return &recordingMachine{} }}
+	tc := &testCluster{is: is.New(t), dir: t.TempDir(), machine: func() quorum.QueryableStateMachine { return &recordingMachine{} }}
 	tc.cut.Store(&map[[2]fleet.InstanceID]bool{})
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,8 +109,8 @@
 	inst := tc.instances[i]
 	var err error
 	inst.voter, err = New(
-		Instance(tc.peers[i].Instance, tc.peers[i].Address), Folder(tc.folder(i)), Initial(tc.peers...),
-		Group(quorum.ConfigGroup, tc.machine()), Tick(10*time.Millisecond), SnapshotEntries(50, 10),
+		Instance(tc.peers[i].Instance, tc.peers[i].Address), Folder(tc.folder(i)), InitialVoters(tc.peers...),
+		Group(quorum.ConfigGroup, tc.machine()), TickInterval(10*time.Millisecond), SnapshotEntries(50, 10),
 		Cut(func(from, to fleet.InstanceID) bool { return (*tc.cut.Load())[[2]fleet.InstanceID{from, to}] }),
 	)
 	tc.is.NoErr(err)
@@ -159,7 +159,7 @@
 	for i := range 3 {
 		tc.start(i)
 	}
-	c, err := NewClient(Instance("client", ""), Initial(tc.peers...))
+	c, err := NewClient(Instance("client", ""), InitialVoters(tc.peers...))
 	tc.is.NoErr(err)
 	defer c.Close()
 	for i := range 60 {
--- a/internal/quorum/voter/world_test.go
+++ b/internal/quorum/voter/world_test.go
@@ -220,7 +220,7 @@
 func (p *simPeer) flush() {
 	p.member.flush()
 	if err := p.member.failure; err != nil {
-		var lost *replica.LostError
+		var lost *replica.LostEntriesError
 		if !errors.Is(err, quorumtest.ErrDisk) && !errors.As(err, &lost) {
 			p.sim.violate("voter %d failed: %v", p.id, err)
 		}
@@ -407,7 +407,7 @@
 func (p *simPeer) restart() {
 	if p.syncsIgnored {
 		p.syncsIgnored = false
-		p.disk.Lie(false)
+		p.disk.IgnoreSyncs(false)
 		p.term = 0
 		syncedState := p.syncedState
 		err := p.open()
@@ -555,7 +555,7 @@
 	if err == nil {
 		return "done"
 	}
-	return refusal.KindOf(err).Answer().Code
+	return refusal.KindOf(err).Response().Code
 }
 
 func boolToInt(b bool) int {
--- a/internal/registry/catalog/catalog.go
+++ b/internal/registry/catalog/catalog.go
@@ -71,7 +71,7 @@
 	if ok && !e.Newer(old.entry) {
 		return false
 	}
-	if ok && e.Born == old.entry.Born && old.entry.State == registry.Leaving && e.State == registry.Ready {
+	if ok && e.Incarnation == old.entry.Incarnation && old.entry.State == registry.Leaving && e.State == registry.Ready {
 		e.State = registry.Leaving
 	}
 	if ok && e.State == registry.Gone {
@@ -105,13 +105,13 @@
 // mergeGone completes an entry that says only that an upstream is gone with the fields
 // that are known.
 func mergeGone(e, known registry.Entry) registry.Entry {
-	if e.Pool != "" || e.Born != known.Born {
+	if e.Pool != "" || e.Incarnation != known.Incarnation {
 		return e
 	}
-	lastHeartbeat := e.Heard
+	lastHeartbeat := e.LastHeartbeat
 	sequence := max(e.Sequence, known.Sequence)
 	e = known
-	e.State, e.Heard, e.Sequence = registry.Gone, lastHeartbeat, sequence
+	e.State, e.LastHeartbeat, e.Sequence = registry.Gone, lastHeartbeat, sequence
 	return e
 }
 
@@ -126,7 +126,7 @@
 		if id == e.ID || it.entry.Address != e.Address || it.entry.State == registry.Gone {
 			continue
 		}
-		if it.entry.Born > e.Born {
+		if it.entry.Incarnation > e.Incarnation {
 			return true
 		}
 		c.revision++
@@ -147,9 +147,9 @@
 		return false
 	}
 	if incarnation == 0 {
-		incarnation = old.entry.Born
+		incarnation = old.entry.Incarnation
 	}
-	c.Put(registry.Entry{ID: id, Born: incarnation, State: registry.Gone, Heard: c.clock.Now()}, true)
+	c.Put(registry.Entry{ID: id, Incarnation: incarnation, State: registry.Gone, LastHeartbeat: c.clock.Now()}, true)
 	return true
 }
 
@@ -169,7 +169,7 @@
 	now := c.clock.Now()
 	n := Delta{Revision: c.revision}
 	for id, it := range c.records {
-		if now.Sub(it.entry.Heard) > retention {
+		if now.Sub(it.entry.LastHeartbeat) > retention {
 			delete(c.records, id)
 			continue
 		}
@@ -196,7 +196,7 @@
 }
 
 func (i *record) renewal() registry.Renewal {
-	return registry.Renewal{ID: i.entry.ID, Born: i.entry.Born, Sequence: i.entry.Sequence, Digest: i.digest, Heard: i.entry.Heard}
+	return registry.Renewal{ID: i.entry.ID, Incarnation: i.entry.Incarnation, Sequence: i.entry.Sequence, Digest: i.digest, LastHeartbeat: i.entry.LastHeartbeat}
 }
 
 // Renew merges a renewal. It returns false if the upstream is unknown or the renewal is
@@ -212,7 +212,7 @@
 	e, digest := it.entry, it.digest
 	c.mu.Unlock()
 	known := e
-	e.Born, e.Sequence, e.Heard = r.Born, r.Sequence, r.Heard
+	e.Incarnation, e.Sequence, e.LastHeartbeat = r.Incarnation, r.Sequence, r.LastHeartbeat
 	if !e.Newer(known) {
 		return true
 	}
@@ -241,7 +241,7 @@
 	now := c.clock.Now()
 	es := make([]registry.Entry, 0, len(c.records))
 	for _, it := range c.records {
-		if now.Sub(it.entry.Heard) <= maxAge {
+		if now.Sub(it.entry.LastHeartbeat) <= maxAge {
 			es = append(es, it.entry)
 		}
 	}
--- a/internal/registry/catalog/catalog_test.go
+++ b/internal/registry/catalog/catalog_test.go
@@ -60,8 +60,8 @@
 					digest++
 				}
 				return fmt.Sprintf("matches %t\n%s", c.Renew(registry.Renewal{
-					ID: fleet.UpstreamID(id), Born: fleet.Incarnation(incarnation), Sequence: uint64(sequence),
-					Digest: digest, Heard: clock.Now(),
+					ID: fleet.UpstreamID(id), Incarnation: fleet.Incarnation(incarnation), Sequence: uint64(sequence),
+					Digest: digest, LastHeartbeat: clock.Now(),
 				}), formatCatalog(c, clock))
 			}
 			d.Fatalf(t, "unknown command %q", d.Cmd)
@@ -78,13 +78,13 @@
 	d.ScanArgs(t, "state", &state)
 	d.ScanArgs(t, "born", &incarnation)
 	d.ScanArgs(t, "sequence", &sequence)
-	s, err := fleet.ParseName[registry.State](state, 4)
+	s, err := fleet.ParseEnum[registry.State](state, 4)
 	if err != nil {
 		d.Fatalf(t, "%v", err)
 	}
 	return registry.Entry{
-		ID: fleet.UpstreamID(id), Address: address, State: s, Born: fleet.Incarnation(incarnation),
-		Sequence: uint64(sequence), Pool: "p", Heard: now,
+		ID: fleet.UpstreamID(id), Address: address, State: s, Incarnation: fleet.Incarnation(incarnation),
+		Sequence: uint64(sequence), Pool: "p", LastHeartbeat: now,
 	}
 }
 
@@ -92,7 +92,7 @@
 	slices.SortFunc(n.Renewals, func(a, b registry.Renewal) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	b := formatEntries(n.Entries, clock)
 	for _, s := range n.Renewals {
-		b += fmt.Sprintf("renewal of %s born %d sequence %d\n", s.ID, s.Born, s.Sequence)
+		b += fmt.Sprintf("renewal of %s born %d sequence %d\n", s.ID, s.Incarnation, s.Sequence)
 	}
 	return b + fmt.Sprintf("revision %d\n", n.Revision)
 }
@@ -106,7 +106,7 @@
 	var b strings.Builder
 	for _, e := range es {
 		fmt.Fprintf(&b, "%s at %s born %d sequence %d %s, heard %s ago\n",
-			e.ID, e.Address, e.Born, e.Sequence, e.State, clock.Now().Sub(e.Heard))
+			e.ID, e.Address, e.Incarnation, e.Sequence, e.State, clock.Now().Sub(e.LastHeartbeat))
 	}
 	return b.String()
 }
--- a/internal/registry/feed/client.go
+++ b/internal/registry/feed/client.go
@@ -38,7 +38,7 @@
 // Update is a decoded message of a controller.
 type Update struct {
 	From    string // peer address of the controller
-	Held    store.Held
+	Release store.CompressedRelease
 	Entries []registry.Entry
 	// Renewals belong to entries that the stream has sent before.
 	Renewals []registry.Renewal
@@ -66,8 +66,8 @@
 
 // Receiver handles the updates of a Client. It is called from one goroutine.
 type Receiver interface {
-	// Stamp reads a clock that keeps running while the machine is suspended.
-	Stamp() time.Duration
+	// ClockReading reads a clock that keeps running while the machine is suspended.
+	ClockReading() time.Duration
 	// Receive handles an update. An error ends the stream, and the next stream sends all
 	// entries again.
 	Receive(u Update) error
@@ -98,11 +98,13 @@
 // ClientOption sets one property of a Client.
 type ClientOption func(*Client)
 
-// Only makes the client of a controller follow a single other controller.
-func Only(address string) ClientOption { return func(c *Client) { c.onlyController = address } }
+// WithOnlyController makes the client of a controller follow a single other controller.
+func WithOnlyController(address string) ClientOption {
+	return func(c *Client) { c.onlyController = address }
+}
 
-// Seeds sets the controllers that are known initially.
-func Seeds(addresses ...string) ClientOption {
+// WithSeeds sets the controllers that are known initially.
+func WithSeeds(addresses ...string) ClientOption {
 	return func(c *Client) { c.AddControllers(seedControllers(addresses)) }
 }
 
@@ -114,11 +116,11 @@
 	return ks
 }
 
-// Home sets the local data centre, whose controllers are preferred.
-func Home(d fleet.DataCentreID) ClientOption { return func(c *Client) { c.dataCentre = d } }
+// WithDataCentre sets the local data centre, whose controllers are preferred.
+func WithDataCentre(d fleet.DataCentreID) ClientOption { return func(c *Client) { c.dataCentre = d } }
 
-// Dial adds gRPC dial options.
-func Dial(os ...grpc.DialOption) ClientOption {
+// WithDialOptions adds gRPC dial options.
+func WithDialOptions(os ...grpc.DialOption) ClientOption {
 	return func(c *Client) { c.dialOptions = append(c.dialOptions, os...) }
 }
 
@@ -206,8 +208,8 @@
 	}
 }
 
-// LearnSeeds adds controllers by address, without a data centre.
-func (c *Client) LearnSeeds(addresses []string) { c.AddControllers(seedControllers(addresses)) }
+// AddSeeds adds controllers by address, without a data centre.
+func (c *Client) AddSeeds(addresses []string) { c.AddControllers(seedControllers(addresses)) }
 
 // follow reads the stream of one controller until it fails or times out, or until
 // another controller should be followed.
@@ -229,7 +231,7 @@
 	}
 	request := &peerv1.FollowRequest{
 		Instance: string(c.instance), Controller: c.onlyController != "", Version: uint64(c.receiver.Version()),
-		Stamp: uint64(c.receiver.Stamp().Microseconds()),
+		Stamp: uint64(c.receiver.ClockReading().Microseconds()),
 	}
 	if err := s.Send(request); err != nil {
 		return errors.Wrapf(err, "follow %s", address)
@@ -262,10 +264,10 @@
 		if c.onlyController == "" && c.clock.Now().Sub(lastConfirmed) > confirmationTimeout {
 			return errors.Errorf("controller %s sent no new confirmation by a majority in time", address)
 		}
-		request := &peerv1.FollowRequest{Stamp: uint64(c.receiver.Stamp().Microseconds()), Bare: u.Sums == nil}
+		request := &peerv1.FollowRequest{Stamp: uint64(c.receiver.ClockReading().Microseconds()), Bare: u.Sums == nil}
 		if u.Sums != nil {
 			report := c.receiver.Report()
-			request.Uses, request.Sends = statsToProto(report.Uses), attemptsToProto(report.Sends)
+			request.Uses, request.Sends = statsToProto(report.Upstreams), attemptsToProto(report.Attempts)
 		}
 		if err := s.Send(request); err != nil {
 			return errors.Wrapf(err, "follow %s", address)
@@ -280,7 +282,7 @@
 	}
 	u := Update{
 		From:             address,
-		Held:             store.Held{Version: release.Version(p.GetVersion()), Gzipped: p.GetRelease()},
+		Release:          store.CompressedRelease{Version: release.Version(p.GetVersion()), Gzipped: p.GetRelease()},
 		Confirmed:        time.Duration(p.GetConfirmedStamp()) * time.Microsecond,
 		ConfirmedVersion: release.Version(p.GetConfirmedVersion()),
 		Sums:             sums,
--- a/internal/registry/feed/codec.go
+++ b/internal/registry/feed/codec.go
@@ -11,18 +11,18 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-func statsToProto(us []usage.Use) []*peerv1.UpstreamUse {
+func statsToProto(us []usage.UpstreamStats) []*peerv1.UpstreamUse {
 	ps := make([]*peerv1.UpstreamUse, len(us))
 	for i, u := range us {
-		ps[i] = &peerv1.UpstreamUse{Id: string(u.ID), Active: uint32(u.Active), Failed: u.Failed, Served: u.Served, Full: u.Full, Pace: float32(u.Pace)}
+		ps[i] = &peerv1.UpstreamUse{Id: string(u.ID), Active: uint32(u.Active), Failed: u.Failed, Served: u.Served, Full: u.OutOfMemory, Pace: float32(u.Slowdown)}
 	}
 	return ps
 }
 
-func statsFromProto(ps []*peerv1.UpstreamUse) []usage.Use {
-	us := make([]usage.Use, len(ps))
+func statsFromProto(ps []*peerv1.UpstreamUse) []usage.UpstreamStats {
+	us := make([]usage.UpstreamStats, len(ps))
 	for i, p := range ps {
-		us[i] = usage.Use{ID: fleet.UpstreamID(p.GetId()), Active: int(p.GetActive()), Failed: p.GetFailed(), Served: p.GetServed(), Full: p.GetFull(), Pace: float64(p.GetPace())}
+		us[i] = usage.UpstreamStats{ID: fleet.UpstreamID(p.GetId()), Active: int(p.GetActive()), Failed: p.GetFailed(), Served: p.GetServed(), OutOfMemory: p.GetFull(), Slowdown: float64(p.GetPace())}
 	}
 	return us
 }
@@ -45,36 +45,36 @@
 
 func entryToProto(e registry.Entry, now time.Time) *peerv1.UpstreamEntry {
 	return &peerv1.UpstreamEntry{
-		Id: string(e.ID), Born: uint64(e.Born), Sequence: e.Sequence, Pool: string(e.Pool),
+		Id: string(e.ID), Born: uint64(e.Incarnation), Sequence: e.Sequence, Pool: string(e.Pool),
 		Address: e.Address, DataCentre: string(e.DataCentre), Slots: uint32(e.Slots),
 		State: peerv1.UpstreamState(e.State), Card: e.Card,
 		FromLayer: uint32(e.Layers.From), ToLayer: uint32(e.Layers.To),
-		AgeUs:  ageToProto(e.Heard, now),
-		ColdMs: uint64(e.Cold.Milliseconds()),
+		AgeUs:  ageToProto(e.LastHeartbeat, now),
+		ColdMs: uint64(e.WarmUpRemaining.Milliseconds()),
 	}
 }
 
 func entryFromProto(p *peerv1.UpstreamEntry, now time.Time) registry.Entry {
 	return registry.Entry{
-		ID: fleet.UpstreamID(p.GetId()), Born: fleet.Incarnation(p.GetBorn()), Sequence: p.GetSequence(),
+		ID: fleet.UpstreamID(p.GetId()), Incarnation: fleet.Incarnation(p.GetBorn()), Sequence: p.GetSequence(),
 		Pool: fleet.PoolID(p.GetPool()), Address: p.GetAddress(), DataCentre: fleet.DataCentreID(p.GetDataCentre()),
 		Slots: int(p.GetSlots()), State: registry.State(p.GetState()), Card: p.GetCard(),
-		Layers: upstream.LayerRange{From: fleet.Layer(p.GetFromLayer()), To: fleet.Layer(p.GetToLayer())},
-		Cold:   time.Duration(p.GetColdMs()) * time.Millisecond,
-		Heard:  lastHeartbeatFromProto(p.GetAgeUs(), now),
+		Layers:          upstream.LayerRange{From: fleet.Layer(p.GetFromLayer()), To: fleet.Layer(p.GetToLayer())},
+		WarmUpRemaining: time.Duration(p.GetColdMs()) * time.Millisecond,
+		LastHeartbeat:   lastHeartbeatFromProto(p.GetAgeUs(), now),
 	}
 }
 
 func renewalToProto(r registry.Renewal, now time.Time) *peerv1.UpstreamSign {
 	return &peerv1.UpstreamSign{
-		Id: string(r.ID), Born: uint64(r.Born), Sequence: r.Sequence, AgeUs: ageToProto(r.Heard, now), Digest: r.Digest,
+		Id: string(r.ID), Born: uint64(r.Incarnation), Sequence: r.Sequence, AgeUs: ageToProto(r.LastHeartbeat, now), Digest: r.Digest,
 	}
 }
 
 func renewalFromProto(p *peerv1.UpstreamSign, now time.Time) registry.Renewal {
 	return registry.Renewal{
-		ID: fleet.UpstreamID(p.GetId()), Born: fleet.Incarnation(p.GetBorn()), Sequence: p.GetSequence(),
-		Digest: p.GetDigest(), Heard: lastHeartbeatFromProto(p.GetAgeUs(), now),
+		ID: fleet.UpstreamID(p.GetId()), Incarnation: fleet.Incarnation(p.GetBorn()), Sequence: p.GetSequence(),
+		Digest: p.GetDigest(), LastHeartbeat: lastHeartbeatFromProto(p.GetAgeUs(), now),
 	}
 }
 
--- a/internal/registry/feed/feed_test.go
+++ b/internal/registry/feed/feed_test.go
@@ -99,7 +99,7 @@
 
 func (r *harness) put(id string, sequence uint64) {
 	r.catalog.Put(registry.Entry{
-		ID: fleet.UpstreamID(id), Born: 1, Sequence: sequence, Address: id, State: registry.Ready, Heard: r.clock.Now(),
+		ID: fleet.UpstreamID(id), Incarnation: 1, Sequence: sequence, Address: id, State: registry.Ready, LastHeartbeat: r.clock.Now(),
 	}, true)
 }
 
@@ -152,9 +152,9 @@
 func TestRenewalOfOtherContent(t *testing.T) {
 	is := is.New(t)
 	r := newHarness()
-	e := registry.Entry{ID: "e1", Born: 1, Sequence: 1, Address: "a", State: registry.Ready, Heard: r.clock.Now()}
+	e := registry.Entry{ID: "e1", Incarnation: 1, Sequence: 1, Address: "a", State: registry.Ready, LastHeartbeat: r.clock.Now()}
 	r.catalog.Put(e, false)
-	s := registry.Renewal{ID: "e1", Born: 1, Sequence: 2, Digest: e.Digest(), Heard: r.clock.Now()}
+	s := registry.Renewal{ID: "e1", Incarnation: 1, Sequence: 2, Digest: e.Digest(), LastHeartbeat: r.clock.Now()}
 	u := feed.Update{Renewals: []registry.Renewal{s}}
 	is.NoErr(u.Renew(r.catalog))
 	u.Renewals[0].Sequence, u.Renewals[0].Digest = 3, e.Digest()+1
--- a/internal/registry/feed/server.go
+++ b/internal/registry/feed/server.go
@@ -78,18 +78,18 @@
 // Suspects returns the upstreams at which requests of several gateways recently
 // failed.
 func (s *Server) Suspects() []fleet.UpstreamID {
-	return s.selectUpstreams(func(u usage.Use) bool { return u.Failed })
+	return s.selectUpstreams(func(u usage.UpstreamStats) bool { return u.Failed })
 }
 
 // Serving returns the upstreams at which requests of any gateway recently made
 // progress.
 func (s *Server) Serving() []fleet.UpstreamID {
-	return s.selectUpstreams(func(u usage.Use) bool { return u.Served })
+	return s.selectUpstreams(func(u usage.UpstreamStats) bool { return u.Served })
 }
 
-func (s *Server) selectUpstreams(keep func(usage.Use) bool) []fleet.UpstreamID {
+func (s *Server) selectUpstreams(keep func(usage.UpstreamStats) bool) []fleet.UpstreamID {
 	var ids []fleet.UpstreamID
-	for _, u := range s.usage.Sums(true).Uses {
+	for _, u := range s.usage.Sums(true).Upstreams {
 		if keep(u) {
 			ids = append(ids, u.ID)
 		}
@@ -100,8 +100,8 @@
 // Stop ends all streams, so that the followers switch to other controllers.
 func (s *Server) Stop() { close(s.stop) }
 
-// NotePeer records the sums of the gateways of another controller.
-func (s *Server) NotePeer(u Update) {
+// RecordPeer records the sums of the gateways of another controller.
+func (s *Server) RecordPeer(u Update) {
 	if u.Sums != nil {
 		s.usage.SetPeer(u.From, *u.Sums)
 	}
@@ -129,7 +129,7 @@
 			}
 			readings.add(q.GetStamp(), s.clock.Now())
 			if !r.GetController() && !q.GetBare() {
-				s.usage.SetGateway(instance, usage.Report{Uses: statsFromProto(q.GetUses()), Sends: attemptsFromProto(q.GetSends())})
+				s.usage.SetGateway(instance, usage.Report{Upstreams: statsFromProto(q.GetUses()), Attempts: attemptsFromProto(q.GetSends())})
 			}
 		}
 	}()
--- a/internal/registry/feed/sums.go
+++ b/internal/registry/feed/sums.go
@@ -40,7 +40,7 @@
 		return n.bytes, nil
 	}
 	b, err := proto.Marshal(&peerv1.Sums{
-		Gateways: uint32(r.Gateways), Uses: statsToProto(r.Uses), Sends: attemptsToProto(r.Sends),
+		Gateways: uint32(r.Gateways), Uses: statsToProto(r.Upstreams), Sends: attemptsToProto(r.Attempts),
 	})
 	if err != nil {
 		return nil, err
@@ -58,5 +58,5 @@
 	if err := proto.Unmarshal(b, &p); err != nil {
 		return nil, errors.Wrap(err, "decode sums")
 	}
-	return &usage.Report{Gateways: int(p.GetGateways()), Uses: statsFromProto(p.GetUses()), Sends: attemptsFromProto(p.GetSends())}, nil
+	return &usage.Report{Gateways: int(p.GetGateways()), Upstreams: statsFromProto(p.GetUses()), Attempts: attemptsFromProto(p.GetSends())}, nil
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -32,9 +32,9 @@
 // Entry is the registration of one upstream.
 type Entry struct {
 	ID fleet.UpstreamID
-	// Born is the start time of the process in Unix milliseconds. An upstream that
+	// Incarnation is the start time of the process in Unix milliseconds. An upstream that
 	// restarts under the same id has a higher one.
-	Born fleet.Incarnation
+	Incarnation fleet.Incarnation
 	// Sequence increases with each heartbeat of one incarnation.
 	Sequence   uint64
 	Pool       fleet.PoolID
@@ -45,33 +45,33 @@
 	// Card is the kind of accelerator, or empty for a plain service.
 	Card   string
 	Layers upstream.LayerRange
-	// Cold is the time for which the upstream will still be slow after its start.
-	Cold time.Duration
-	// Heard is the time of the last heartbeat by the local clock.
-	Heard time.Time
+	// WarmUpRemaining is the time for which the upstream will still be slow after its start.
+	WarmUpRemaining time.Duration
+	// LastHeartbeat is the time of the last heartbeat by the local clock.
+	LastHeartbeat time.Time
 }
 
 // Renewal is a heartbeat that leaves the entry of an upstream unchanged, so that only
 // the digest of the entry is sent.
 type Renewal struct {
-	ID       fleet.UpstreamID
-	Born     fleet.Incarnation
-	Sequence uint64
+	ID          fleet.UpstreamID
+	Incarnation fleet.Incarnation
+	Sequence    uint64
 	// Digest is the digest of the entry that is renewed.
-	Digest uint64
-	Heard  time.Time // by the local clock
+	Digest        uint64
+	LastHeartbeat time.Time // by the local clock
 }
 
 // Digest returns a hash of the fields that SameContent compares.
 func (e Entry) Digest() uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%d %d %q %q %d %d %d %q %q",
-		e.Born, e.State, e.Address, e.Pool, e.Layers.From, e.Layers.To, e.Slots, e.Card, e.DataCentre))
+		e.Incarnation, e.State, e.Address, e.Pool, e.Layers.From, e.Layers.To, e.Slots, e.Card, e.DataCentre))
 }
 
 // Newer reports whether e replaces o, an entry with the same id.
 func (e Entry) Newer(o Entry) bool {
-	if e.Born != o.Born {
-		return e.Born > o.Born
+	if e.Incarnation != o.Incarnation {
+		return e.Incarnation > o.Incarnation
 	}
 	if o.State == Gone {
 		return false
@@ -85,6 +85,6 @@
 // SameContent reports whether e and o differ at most in the fields that each heartbeat
 // renews.
 func (e Entry) SameContent(o Entry) bool {
-	return e.Born == o.Born && e.State == o.State && e.Address == o.Address && e.Pool == o.Pool &&
+	return e.Incarnation == o.Incarnation && e.State == o.State && e.Address == o.Address && e.Pool == o.Pool &&
 		e.Layers == o.Layers && e.Slots == o.Slots && e.Card == o.Card && e.DataCentre == o.DataCentre
 }
--- a/internal/registry/usage/usage.go
+++ b/internal/registry/usage/usage.go
@@ -25,27 +25,27 @@
 	maxSumsAge = 50 * time.Millisecond
 )
 
-// Use holds the statistics of one gateway, or of several together, on one upstream.
-type Use struct {
+// UpstreamStats holds the statistics of one gateway, or of several together, on one upstream.
+type UpstreamStats struct {
 	ID     fleet.UpstreamID
 	Active int
 	// Failed is set if requests recently failed there, and Served if requests recently
 	// made progress.
 	Failed, Served bool
-	// Full is set if the upstream recently refused a request for lack of memory.
-	Full bool
-	// Pace is the factor by which the upstream recently reported that it is slower than
+	// OutOfMemory is set if the upstream recently refused a request for lack of memory.
+	OutOfMemory bool
+	// Slowdown is the factor by which the upstream recently reported that it is slower than
 	// its kind of card, or 0 if it was not queried.
-	Pace float64
+	Slowdown float64
 }
 
 // Report is the report of one gateway, or the sums of several.
 type Report struct {
 	// Gateways is the number of gateways in the sums.
-	Gateways int
-	Uses     []Use
-	// Sends holds the recent first attempts and retries of each pool.
-	Sends map[fleet.PoolID]budget.Count
+	Gateways  int
+	Upstreams []UpstreamStats
+	// Attempts holds the recent first attempts and retries of each pool.
+	Attempts map[fleet.PoolID]budget.Count
 	// ComputedAt is when the sums were computed. It is zero in the report of one gateway.
 	ComputedAt time.Time
 }
@@ -85,7 +85,7 @@
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, u := range r.Uses {
+	for _, u := range r.Upstreams {
 		if !u.Failed {
 			continue
 		}
@@ -110,7 +110,7 @@
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, u := range r.Uses {
+	for _, u := range r.Upstreams {
 		if u.Failed {
 			t.peerFailures[u.ID] = now
 		}
@@ -142,8 +142,8 @@
 }
 
 func (t *Table) aggregate(all bool, now time.Time) Report {
-	sum := Report{Sends: make(map[fleet.PoolID]budget.Count), ComputedAt: now}
-	stats := make(map[fleet.UpstreamID]Use)
+	sum := Report{Attempts: make(map[fleet.PoolID]budget.Count), ComputedAt: now}
+	stats := make(map[fleet.UpstreamID]UpstreamStats)
 	for g, k := range t.gateways {
 		if now.Sub(k.received) > maxReportAge {
 			delete(t.gateways, g)
@@ -161,15 +161,15 @@
 	if all {
 		t.aggregatePeers(&sum, stats, now)
 	}
-	sum.Uses = make([]Use, 0, len(stats))
+	sum.Upstreams = make([]UpstreamStats, 0, len(stats))
 	for id, u := range stats {
 		u.ID = id
-		sum.Uses = append(sum.Uses, u)
+		sum.Upstreams = append(sum.Upstreams, u)
 	}
 	return sum
 }
 
-func (t *Table) aggregatePeers(sum *Report, stats map[fleet.UpstreamID]Use, now time.Time) {
+func (t *Table) aggregatePeers(sum *Report, stats map[fleet.UpstreamID]UpstreamStats, now time.Time) {
 	for _, p := range t.peers {
 		if now.Sub(p.received) <= maxReportAge {
 			sum.merge(p.report, stats)
@@ -188,17 +188,17 @@
 
 // merge adds a report, without its failures, which count only if several gateways
 // report them.
-func (r *Report) merge(o Report, stats map[fleet.UpstreamID]Use) {
+func (r *Report) merge(o Report, stats map[fleet.UpstreamID]UpstreamStats) {
 	r.Gateways += o.Gateways
-	for id, c := range o.Sends {
-		r.Sends[id] = r.Sends[id].Add(c)
+	for id, c := range o.Attempts {
+		r.Attempts[id] = r.Attempts[id].Add(c)
 	}
-	for _, n := range o.Uses {
+	for _, n := range o.Upstreams {
 		u := stats[n.ID]
 		u.Active += n.Active
 		u.Served = u.Served || n.Served
-		u.Full = u.Full || n.Full
-		u.Pace = max(u.Pace, n.Pace)
+		u.OutOfMemory = u.OutOfMemory || n.OutOfMemory
+		u.Slowdown = max(u.Slowdown, n.Slowdown)
 		stats[n.ID] = u
 	}
 }
--- a/internal/registry/usage/usage_test.go
+++ b/internal/registry/usage/usage_test.go
@@ -14,8 +14,8 @@
 	"github.com/bilberryrock/bilberryrock/internal/registry/usage"
 )
 
-func sorted(us []usage.Use) []usage.Use {
-	slices.SortFunc(us, func(a, b usage.Use) int { return strings.Compare(string(a.ID), string(b.ID)) })
+func sorted(us []usage.UpstreamStats) []usage.UpstreamStats {
+	slices.SortFunc(us, func(a, b usage.UpstreamStats) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return us
 }
 
@@ -31,35 +31,35 @@
 	return fixture{Table: usage.New(c), clock: c}
 }
 
-func (f fixture) setGateway(g fleet.InstanceID, us ...usage.Use) {
-	f.SetGateway(g, usage.Report{Uses: us})
+func (f fixture) setGateway(g fleet.InstanceID, us ...usage.UpstreamStats) {
+	f.SetGateway(g, usage.Report{Upstreams: us})
 }
 
 func (f fixture) sums(all bool) usage.Report {
 	f.clock.Advance(50 * time.Millisecond)
 	r := f.Sums(all)
-	r.Uses = sorted(r.Uses)
+	r.Upstreams = sorted(r.Upstreams)
 	return r
 }
 
-func (f fixture) upstreams(all bool) []usage.Use { return f.sums(all).Uses }
+func (f fixture) upstreams(all bool) []usage.UpstreamStats { return f.sums(all).Upstreams }
 
 // Guards against sums that count a gateway twice or still count one that left, and
 // against controllers that send each other's sums back.
 func TestSums(t *testing.T) {
 	is := is.New(t)
 	u := newFixture()
-	u.setGateway("g1", usage.Use{ID: "e1", Active: 2})
-	u.setGateway("g2", usage.Use{ID: "e1", Active: 1}, usage.Use{ID: "e2", Active: 5, Full: true})
-	u.setGateway("g1", usage.Use{ID: "e1", Active: 3})
-	u.SetPeer("c2", usage.Report{Gateways: 7, Uses: []usage.Use{{ID: "e1", Active: 10}}})
-	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 14}, {ID: "e2", Active: 5, Full: true}})
-	is.Equal(u.upstreams(false), []usage.Use{{ID: "e1", Active: 4}, {ID: "e2", Active: 5, Full: true}})
+	u.setGateway("g1", usage.UpstreamStats{ID: "e1", Active: 2})
+	u.setGateway("g2", usage.UpstreamStats{ID: "e1", Active: 1}, usage.UpstreamStats{ID: "e2", Active: 5, OutOfMemory: true})
+	u.setGateway("g1", usage.UpstreamStats{ID: "e1", Active: 3})
+	u.SetPeer("c2", usage.Report{Gateways: 7, Upstreams: []usage.UpstreamStats{{ID: "e1", Active: 10}}})
+	is.Equal(u.upstreams(true), []usage.UpstreamStats{{ID: "e1", Active: 14}, {ID: "e2", Active: 5, OutOfMemory: true}})
+	is.Equal(u.upstreams(false), []usage.UpstreamStats{{ID: "e1", Active: 4}, {ID: "e2", Active: 5, OutOfMemory: true}})
 	is.Equal(u.sums(true).Gateways, 9)
 	is.Equal(u.sums(false).Gateways, 2)
 	u.DropGateway("g2")
 	u.DropPeer("c2")
-	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 3}})
+	is.Equal(u.upstreams(true), []usage.UpstreamStats{{ID: "e1", Active: 3}})
 }
 
 // Guards against attempts and retries that are counted twice, or lost together with the
@@ -70,12 +70,12 @@
 	attempts := func(a, r int) map[fleet.PoolID]budget.Count {
 		return map[fleet.PoolID]budget.Count{"p": {Attempts: a, Retries: r}}
 	}
-	u.SetGateway("g1", usage.Report{Sends: attempts(10, 2)})
-	u.SetGateway("g2", usage.Report{Sends: attempts(5, 1)})
-	u.SetGateway("g2", usage.Report{Sends: attempts(6, 1)})
-	u.SetPeer("c2", usage.Report{Gateways: 3, Sends: attempts(100, 20)})
-	is.Equal(u.sums(true).Sends, attempts(116, 23))
-	is.Equal(u.sums(false).Sends, attempts(16, 3))
+	u.SetGateway("g1", usage.Report{Attempts: attempts(10, 2)})
+	u.SetGateway("g2", usage.Report{Attempts: attempts(5, 1)})
+	u.SetGateway("g2", usage.Report{Attempts: attempts(6, 1)})
+	u.SetPeer("c2", usage.Report{Gateways: 3, Attempts: attempts(100, 20)})
+	is.Equal(u.sums(true).Attempts, attempts(116, 23))
+	is.Equal(u.sums(false).Attempts, attempts(16, 3))
 }
 
 // Guards against counting the last sums of a failed controller. Its gateways follow
@@ -84,12 +84,12 @@
 func TestSilentControllersDoNotCount(t *testing.T) {
 	is := is.New(t)
 	u := newFixture()
-	u.setGateway("g1", usage.Use{ID: "e1", Active: 1})
-	u.SetPeer("c2", usage.Report{Gateways: 3, Uses: []usage.Use{{ID: "e1", Active: 10, Served: true}}})
-	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 11, Served: true}})
+	u.setGateway("g1", usage.UpstreamStats{ID: "e1", Active: 1})
+	u.SetPeer("c2", usage.Report{Gateways: 3, Upstreams: []usage.UpstreamStats{{ID: "e1", Active: 10, Served: true}}})
+	is.Equal(u.upstreams(true), []usage.UpstreamStats{{ID: "e1", Active: 11, Served: true}})
 	u.clock.Advance(2 * time.Second)
-	u.setGateway("g1", usage.Use{ID: "e1", Active: 1})
-	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1}})
+	u.setGateway("g1", usage.UpstreamStats{ID: "e1", Active: 1})
+	is.Equal(u.upstreams(true), []usage.UpstreamStats{{ID: "e1", Active: 1}})
 	is.Equal(u.sums(true).Gateways, 1)
 	u.clock.Advance(2 * time.Second)
 	is.Equal(u.sums(true).Gateways, 0) // a gateway that failed without ending its stream
@@ -100,12 +100,12 @@
 func TestFailuresNeedTwoGateways(t *testing.T) {
 	is := is.New(t)
 	u := newFixture()
-	u.setGateway("g1", usage.Use{ID: "e1", Active: 1, Failed: true})
-	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1}})
-	u.setGateway("g2", usage.Use{ID: "e1", Failed: true})
-	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1, Failed: true}})
+	u.setGateway("g1", usage.UpstreamStats{ID: "e1", Active: 1, Failed: true})
+	is.Equal(u.upstreams(true), []usage.UpstreamStats{{ID: "e1", Active: 1}})
+	u.setGateway("g2", usage.UpstreamStats{ID: "e1", Failed: true})
+	is.Equal(u.upstreams(true), []usage.UpstreamStats{{ID: "e1", Active: 1, Failed: true}})
 	u.clock.Advance(time.Second + 1)
-	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1}})
-	u.SetPeer("c2", usage.Report{Uses: []usage.Use{{ID: "e3", Failed: true}}})
-	is.Equal(u.upstreams(true), []usage.Use{{ID: "e1", Active: 1}, {ID: "e3", Failed: true}})
+	is.Equal(u.upstreams(true), []usage.UpstreamStats{{ID: "e1", Active: 1}})
+	u.SetPeer("c2", usage.Report{Upstreams: []usage.UpstreamStats{{ID: "e3", Failed: true}}})
+	is.Equal(u.upstreams(true), []usage.UpstreamStats{{ID: "e1", Active: 1}, {ID: "e3", Failed: true}})
 }
--- a/internal/release/names_string.go
+++ b/internal/release/names_string.go
@@ -8,7 +8,7 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[Once-0]
+	_ = x[AtMostOnce-0]
 	_ = x[Idempotent-1]
 	_ = x[Stream-2]
 }
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -23,8 +23,8 @@
 
 // The kinds of routes.
 const (
-	// Once routes have requests that may be executed at most once.
-	Once RouteType = iota // once
+	// AtMostOnce routes have requests that may be executed at most once.
+	AtMostOnce RouteType = iota // once
 	// Idempotent routes have requests that may be executed any number of times.
 	Idempotent // idempotent
 	// Stream routes have requests whose response is a sequence of numbered events.
@@ -45,21 +45,21 @@
 	Name   string
 	Host   string
 	Prefix string
-	Repeat RouteType
+	Type   RouteType
 	// Timeout is the longest time that a request waits for its response.
 	Timeout time.Duration
-	// Target is the time within which a response should arrive to have its full value.
-	Target   time.Duration
-	Priority int
-	Split    []Share
+	// TargetLatency is the time within which a response should arrive to have its full value.
+	TargetLatency time.Duration
+	Priority      int
+	Split         []Share
 	// MaxAttempts limits the number of upstreams to which one request is sent.
 	MaxAttempts int
 	// Public routes need no account key.
 	Public bool
 	// Resumable streams may be continued by another upstream.
 	Resumable bool
-	// MaxGap is the longest pause between two events of a stream that meets its target.
-	MaxGap time.Duration
+	// TargetGap is the longest pause between two events of a stream that meets its target.
+	TargetGap time.Duration
 }
 
 // Share is the weight of one service of a Route.
@@ -88,30 +88,30 @@
 	// StepMS is the time in milliseconds that all layers take to generate one token, on
 	// a card with step factor 1.
 	StepMS float64
-	// ReadPerSecond is the number of prompt tokens per second that all layers process, on
+	// PrefillPerSecond is the number of prompt tokens per second that all layers process, on
 	// a card with prefill factor 1.
-	ReadPerSecond float64
+	PrefillPerSecond float64
 	// ActivationBytes is the size of the activations that one token sends to the next stage.
 	ActivationBytes float64
-	// PipeMbps is the data rate between two data centres in megabits per second.
-	PipeMbps float64
-	// UsualPrompt and MeanAnswerTokens are the mean lengths of prompts and answers.
-	UsualPrompt, UsualAnswer int
+	// LinkMbps is the data rate between two data centres in megabits per second.
+	LinkMbps float64
+	// MeanPromptTokens and MeanAnswerTokens are the mean lengths of prompts and answers.
+	MeanPromptTokens, MeanAnswerTokens int
 	// LoadSeconds is the time to load all layers in seconds.
 	LoadSeconds float64
-	// LoadsAtOnce is the number of concurrent loads that the weight store serves at full
+	// ConcurrentLoads is the number of concurrent loads that the weight store serves at full
 	// rate.
-	LoadsAtOnce int
-	Cards       map[string]Card
+	ConcurrentLoads int
+	Cards           map[string]Card
 }
 
 // Card describes one kind of accelerator card.
 type Card struct {
 	MemoryMB float64
-	// Pace multiplies StepMS. Slower cards have a higher factor.
-	Pace float64
-	// ReadFactor divides PrefillPerSecond.
-	ReadFactor float64
+	// StepFactor multiplies StepMS. Slower cards have a higher factor.
+	StepFactor float64
+	// PrefillFactor divides PrefillPerSecond.
+	PrefillFactor float64
 }
 
 // Limits bound what a client may send.
--- a/internal/release/store/store.go
+++ b/internal/release/store/store.go
@@ -24,8 +24,8 @@
 // versionBytes is the length of the version that precedes the gzipped content.
 const versionBytes = 8
 
-// Held is a release as it is stored in the replicated log.
-type Held struct {
+// CompressedRelease is a release as it is stored in the replicated log.
+type CompressedRelease struct {
 	Version release.Version
 	// Gzipped is the content that the operator submitted, compressed with gzip.
 	Gzipped []byte
@@ -34,12 +34,12 @@
 // Store holds the newest release. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
-	current Held
+	current CompressedRelease
 	applied quorum.Index
 	changed chan struct{}
 }
 
-var _ quorum.Reader = (*Store)(nil)
+var _ quorum.QueryableStateMachine = (*Store)(nil)
 
 // New returns an empty Store.
 func New() *Store { return &Store{changed: make(chan struct{})} }
@@ -58,8 +58,8 @@
 	return b.Bytes(), nil
 }
 
-// Unpack returns the content of a release as the operator submitted it.
-func (h Held) Unpack() ([]byte, error) {
+// Decompress returns the content of a release as the operator submitted it.
+func (h CompressedRelease) Decompress() ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(h.Gzipped))
 	if err != nil {
 		return nil, errors.Wrapf(err, "release %d", h.Version)
@@ -68,9 +68,9 @@
 	return content, errors.Wrapf(err, "release %d", h.Version)
 }
 
-// Read decompresses and decodes a release.
-func (h Held) Read(d release.Decoder) (*release.Release, error) {
-	content, err := h.Unpack()
+// Decode decompresses and decodes a release.
+func (h CompressedRelease) Decode(d release.Decoder) (*release.Release, error) {
+	content, err := h.Decompress()
 	if err != nil {
 		return nil, err
 	}
@@ -96,8 +96,8 @@
 	return s.version()
 }
 
-// VersionOf decodes the reply of Apply and Query.
-func VersionOf(reply []byte) (release.Version, error) {
+// DecodeVersion decodes the reply of Apply and Query.
+func DecodeVersion(reply []byte) (release.Version, error) {
 	if len(reply) != versionBytes {
 		return 0, refusal.New(refusal.Internal, "reply of %d bytes is no version", len(reply))
 	}
@@ -125,13 +125,13 @@
 
 // Current returns the newest release that this instance has applied, and a channel that
 // is closed when it is replaced.
-func (s *Store) Current() (Held, <-chan struct{}) {
+func (s *Store) Current() (CompressedRelease, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current, s.changed
 }
 
-func (s *Store) set(h Held) {
+func (s *Store) set(h CompressedRelease) {
 	s.current = h
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -141,11 +141,11 @@
 	return binary.BigEndian.AppendUint64(nil, uint64(s.current.Version))
 }
 
-func parse(b []byte) (Held, bool) {
+func parse(b []byte) (CompressedRelease, bool) {
 	if len(b) < versionBytes {
-		return Held{}, false
+		return CompressedRelease{}, false
 	}
-	return Held{
+	return CompressedRelease{
 		Version: release.Version(binary.BigEndian.Uint64(b)),
 		Gzipped: bytes.Clone(b[versionBytes:]),
 	}, true
--- a/internal/release/store/store_test.go
+++ b/internal/release/store/store_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	c, err := store.Command(v, []byte(content))
 	is.New(t).NoErr(err)
-	version, err := store.VersionOf(s.Apply(1, c))
+	version, err := store.DecodeVersion(s.Apply(1, c))
 	is.New(t).NoErr(err)
 	return version
 }
@@ -27,7 +27,7 @@
 	is.Equal(apply(t, s, 5, "five"), release.Version(7))
 	is.Equal(apply(t, s, 7, "other"), release.Version(7))
 	current, replaced := s.Current()
-	content, err := current.Unpack()
+	content, err := current.Decompress()
 	is.NoErr(err)
 	is.Equal(string(content), "seven")
 	is.Equal(apply(t, s, 9, "nine"), release.Version(9))
@@ -44,7 +44,7 @@
 	other := store.New()
 	is.NoErr(other.Restore(b))
 	restored, _ := other.Current()
-	content, err := restored.Unpack()
+	content, err := restored.Decompress()
 	is.NoErr(err)
 	is.Equal(restored.Version, release.Version(7))
 	is.Equal(string(content), "seven")
--- a/internal/report/output/brief.go
+++ b/internal/report/output/brief.go
@@ -5,10 +5,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Brief returns a core that writes errors without the stack traces that
+// OmitStackTraces returns a core that writes errors without the stack traces that
 // github.com/pkg/errors adds to them. The traces fill most of a line and name source
 // files, which is of no use to operators.
-func Brief(c zapcore.Core) zapcore.Core { return stacklessCore{c} }
+func OmitStackTraces(c zapcore.Core) zapcore.Core { return stacklessCore{c} }
 
 type stacklessCore struct{ zapcore.Core }
 
--- a/internal/report/output/brief_test.go
+++ b/internal/report/output/brief_test.go
@@ -16,7 +16,7 @@
 func TestOmitStackTraces(t *testing.T) {
 	is := is.New(t)
 	core, lines := observer.New(zap.InfoLevel)
-	log := zap.New(output.Brief(core)).With(zap.NamedError("earlier", errors.New("first")))
+	log := zap.New(output.OmitStackTraces(core)).With(zap.NamedError("earlier", errors.New("first")))
 	log.Info("A send failed.", zap.Int("runs", 1), zap.Error(errors.Wrap(errors.New("second"), "read")))
 	log.Debug("This line is below the level.")
 	is.Equal(lines.Len(), 1)
--- a/internal/report/output/output.go
+++ b/internal/report/output/output.go
@@ -32,10 +32,10 @@
 // Option configures a Writer.
 type Option func(*Writer)
 
-// Delay sets the time for which lines are buffered before they are written. One write
+// WithDelay sets the time for which lines are buffered before they are written. One write
 // for many lines takes less CPU time than one for each. A process that is killed loses
 // the buffered lines.
-func Delay(d time.Duration) Option { return func(o *Writer) { o.delay = d } }
+func WithDelay(d time.Duration) Option { return func(o *Writer) { o.delay = d } }
 
 // Writer implements zapcore.WriteSyncer. It is safe for concurrent use.
 type Writer struct {
--- a/internal/report/output/output_test.go
+++ b/internal/report/output/output_test.go
@@ -28,7 +28,7 @@
 func TestWriteNeverWaits(t *testing.T) {
 	is := is.New(t)
 	r := &blockingWriter{writes: make(chan string)}
-	o := output.New(r, fakeclock.New(fakeclock.Start), output.Delay(time.Second))
+	o := output.New(r, fakeclock.New(fakeclock.Start), output.WithDelay(time.Second))
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	_, err := o.Write([]byte("first\n"))
 	is.NoErr(err)
@@ -56,7 +56,7 @@
 func TestCloseFlushes(t *testing.T) {
 	is := is.New(t)
 	r := &blockingWriter{writes: make(chan string, 1)}
-	o := output.New(r, fakeclock.New(fakeclock.Start), output.Delay(time.Second))
+	o := output.New(r, fakeclock.New(fakeclock.Start), output.WithDelay(time.Second))
 	_, err := o.Write([]byte("last\n"))
 	is.NoErr(err)
 	o.Close()
@@ -68,7 +68,7 @@
 func TestFailedWriteIsCounted(t *testing.T) {
 	is := is.New(t)
 	r := &blockingWriter{writes: make(chan string, 1), err: errors.New("broken pipe")}
-	o := output.New(r, fakeclock.New(fakeclock.Start), output.Delay(time.Second))
+	o := output.New(r, fakeclock.New(fakeclock.Start), output.WithDelay(time.Second))
 	for _, s := range []string{"one\ntwo\n", "three\n"} {
 		_, err := o.Write([]byte(s))
 		is.NoErr(err)
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -14,14 +14,14 @@
 // Entry describes one decision.
 type Entry struct {
 	At time.Time `json:"at"`
-	// Part is the component that decided, such as "routing" or "admission".
-	Part string `json:"part"`
+	// Component is the component that decided, such as "routing" or "admission".
+	Component string `json:"part"`
 	// Known describes the state that the decision is based on, and its age.
 	Known string `json:"known,omitempty"`
-	// Weighed lists the alternatives that were considered.
-	Weighed string `json:"weighed,omitempty"`
-	Chosen  string `json:"chosen"`
-	Reason  string `json:"reason,omitempty"`
+	// Alternatives lists the alternatives that were considered.
+	Alternatives string `json:"weighed,omitempty"`
+	Chosen       string `json:"chosen"`
+	Reason       string `json:"reason,omitempty"`
 	// Next describes the step that would have followed.
 	Next string `json:"next,omitempty"`
 }
--- a/internal/report/trail/trail.go
+++ b/internal/report/trail/trail.go
@@ -168,9 +168,9 @@
 		return list
 	}
 	note := report.Entry{
-		At:     list[headEntries].At,
-		Part:   "trail",
-		Chosen: fmt.Sprintf("%d entries before this one were dropped", r.dropped),
+		At:        list[headEntries].At,
+		Component: "trail",
+		Chosen:    fmt.Sprintf("%d entries before this one were dropped", r.dropped),
 	}
 	return slices.Insert(list, headEntries, note)
 }
@@ -209,11 +209,11 @@
 }
 
 func sizeOf(e report.Entry) int {
-	return entryOverhead + len(e.Part) + len(e.Known) + len(e.Weighed) + len(e.Chosen) + len(e.Reason) + len(e.Next)
+	return entryOverhead + len(e.Component) + len(e.Known) + len(e.Alternatives) + len(e.Chosen) + len(e.Reason) + len(e.Next)
 }
 
 func truncate(e report.Entry) report.Entry {
-	for _, text := range []*string{&e.Part, &e.Known, &e.Weighed, &e.Chosen, &e.Reason, &e.Next} {
+	for _, text := range []*string{&e.Component, &e.Known, &e.Alternatives, &e.Chosen, &e.Reason, &e.Next} {
 		if len(*text) > MaxText {
 			*text = strings.ToValidUTF8((*text)[:MaxText], "") + "..."
 		}
--- a/internal/report/trail/trail_test.go
+++ b/internal/report/trail/trail_test.go
@@ -43,7 +43,7 @@
 	for i := range 20000 {
 		id := fmt.Sprint(i)
 		l.Open(id, "a", "t")
-		l.Add(id, report.Entry{Part: "routing", Chosen: strings.Repeat("x", i%2000)})
+		l.Add(id, report.Entry{Component: "routing", Chosen: strings.Repeat("x", i%2000)})
 	}
 	newest, ok := l.Find("19999")
 	is.True(ok)
@@ -109,7 +109,7 @@
 // BenchmarkRecord measures the cost of a request with six decisions.
 func BenchmarkRecord(b *testing.B) {
 	l := New()
-	e := report.Entry{Part: "routing", Known: "load 120 ms old", Weighed: "w3 0.41, w17 0.47", Chosen: "w3", Reason: "lowest score"}
+	e := report.Entry{Component: "routing", Known: "load 120 ms old", Alternatives: "w3 0.41, w17 0.47", Chosen: "w3", Reason: "lowest score"}
 	ids := make([]string, 1<<16)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("%032x", i)
--- a/internal/routing/dispatch/dispatch.go
+++ b/internal/routing/dispatch/dispatch.go
@@ -44,7 +44,7 @@
 	clock  fleet.Clock
 	budget Budget
 	trail  report.Trail
-	pools  board.Shards[fleet.PoolID, *pool.Pool]
+	pools  board.ShardedMap[fleet.PoolID, *pool.Pool]
 }
 
 // Option configures a Dispatcher.
@@ -103,7 +103,7 @@
 // Lookup sends an idempotent call. It tries another upstream if one fails and the
 // retry budget permits. The error is of kind refusal.NoUpstream only if
 // nothing was sent.
-func (d *Dispatcher) Lookup(ctx context.Context, r fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Answer, error) {
+func (d *Dispatcher) Lookup(ctx context.Context, r fleet.RequestID, p document.Pool, c upstream.Call) (upstream.Response, error) {
 	d.budget.Deposit()
 	var tried []fleet.UpstreamID
 	var last attempt
@@ -127,7 +127,7 @@
 	// sent reports whether an upstream may have received the call, in this attempt
 	// or an earlier one.
 	sent   bool
-	answer upstream.Answer
+	answer upstream.Response
 	err    error
 }
 
@@ -153,8 +153,8 @@
 		return a
 	}
 	next.sent = next.sent || a.sent
-	if next.err != nil && refusal.KindOf(next.err).Answer().NotRun && next.sent {
-		next.err = refusal.Because(refusal.UpstreamFailed, next.err, "an earlier attempt may have run")
+	if next.err != nil && refusal.KindOf(next.err).Response().NotRun && next.sent {
+		next.err = refusal.WithCause(refusal.UpstreamFailed, next.err, "an earlier attempt may have run")
 	}
 	return next
 }
@@ -187,7 +187,7 @@
 }
 
 // Result returns the outcome of a call as a pool.Result.
-func Result(ctx context.Context, a upstream.Answer, err error) pool.Result {
+func Result(ctx context.Context, a upstream.Response, err error) pool.Result {
 	switch {
 	case err != nil && ctx.Err() == context.Canceled:
 		return pool.Canceled
@@ -201,8 +201,8 @@
 // caller must call Done of the Lease exactly once.
 func (d *Dispatcher) Pick(r fleet.RequestID, id fleet.PoolID, exclude []fleet.UpstreamID) (pool.Lease, error) {
 	var explanation pool.Explanation
-	lease, err := d.Pool(id).Pick(pool.Ask{Avoid: exclude, Explain: &explanation})
-	entry := report.Entry{At: d.clock.Now(), Part: "routing", Weighed: explanation.CandidateSummary(), Chosen: explanation.Chosen()}
+	lease, err := d.Pool(id).Pick(pool.Request{Exclude: exclude, Explain: &explanation})
+	entry := report.Entry{At: d.clock.Now(), Component: "routing", Alternatives: explanation.CandidateSummary(), Chosen: explanation.Chosen()}
 	if err != nil {
 		entry.Chosen, entry.Reason = "none", err.Error()
 	}
--- a/internal/routing/dispatch/dispatch_test.go
+++ b/internal/routing/dispatch/dispatch_test.go
@@ -31,8 +31,8 @@
 	for i := range s.count {
 		id := fleet.UpstreamID(fmt.Sprintf("s%d", i+1))
 		list = append(list, upstream.Upstream{
-			Announcement: upstream.Announcement{ID: id, Kind: upstream.Service, Pool: "desk", Slots: 4},
-			Confirmed:    fakeclock.Start,
+			Announcement:  upstream.Announcement{ID: id, Kind: upstream.Service, Pool: "desk", Slots: 4},
+			LastHeartbeat: fakeclock.Start,
 		})
 	}
 	return list
@@ -48,16 +48,16 @@
 	return s
 }
 
-func (s *fakeServices) Call(context.Context, upstream.Call) (upstream.Answer, error) {
+func (s *fakeServices) Call(context.Context, upstream.Call) (upstream.Response, error) {
 	next := s.outcomes[0]
 	s.outcomes = s.outcomes[1:]
 	var status int
 	if _, err := fmt.Sscan(next, &status); err == nil {
-		return upstream.Answer{Status: status}, nil
+		return upstream.Response{Status: status}, nil
 	}
 	for _, k := range refusal.Kinds() {
-		if k.Answer().Code == next {
-			return upstream.Answer{}, refusal.New(k, "%s", next)
+		if k.Response().Code == next {
+			return upstream.Response{}, refusal.New(k, "%s", next)
 		}
 	}
 	panic("unknown outcome " + next)
@@ -88,7 +88,7 @@
 		}
 		result := fmt.Sprint(answer.Status)
 		if err != nil {
-			kind := refusal.KindOf(err).Answer()
+			kind := refusal.KindOf(err).Response()
 			result = fmt.Sprintf("%s notRun=%t", kind.Code, kind.NotRun)
 		}
 		return fmt.Sprintf("%s\ncalls=%d distinct=%d\n", result, len(s.calledIDs), len(distinct))
--- a/internal/routing/pool/collector.go
+++ b/internal/routing/pool/collector.go
@@ -52,7 +52,7 @@
 	now := p.offset(p.clock.Now())
 	view := make([]routing.Candidate, len(set.all))
 	for i, m := range set.all {
-		view[i] = m.candidate(set, &Ask{}, m.health(), now)
+		view[i] = m.candidate(set, &Request{}, m.health(), now)
 	}
 	return view
 }
--- a/internal/routing/pool/members.go
+++ b/internal/routing/pool/members.go
@@ -28,8 +28,8 @@
 	Slots float64
 	// Reported is the sum of running and waiting sequences in recent load reports,
 	// and ReportedSlots the number of slots of the upstreams with such a report.
-	Reported float64
-	Known    float64
+	Reported      float64
+	ReportedSlots float64
 	// Upstreams is the number of usable upstreams.
 	Upstreams int
 }
@@ -86,10 +86,10 @@
 
 // perSlot returns the reported load per slot, or -1 if there are no recent reports.
 func (l *Load) perSlot() float64 {
-	if l.Known == 0 {
+	if l.ReportedSlots == 0 {
 		return -1
 	}
-	return l.Reported / l.Known
+	return l.Reported / l.ReportedSlots
 }
 
 func (l *Load) add(m *member, now int64) {
@@ -100,7 +100,7 @@
 		return
 	}
 	l.Reported += float64(m.reported.Load())
-	l.Known += slots
+	l.ReportedSlots += slots
 }
 
 // buildAliasTable builds the alias table with the algorithm of Vose (1991).
--- a/internal/routing/pool/node.go
+++ b/internal/routing/pool/node.go
@@ -63,7 +63,7 @@
 	if u.Load.At.IsZero() {
 		return
 	}
-	at := confirmed - int64(u.Confirmed.Sub(u.Load.At))
+	at := confirmed - int64(u.LastHeartbeat.Sub(u.Load.At))
 	if at <= m.reportedAt.Load() {
 		return
 	}
@@ -129,7 +129,7 @@
 	return max(s, time.Duration(now-m.lastProgress.Load()))
 }
 
-func (m *member) candidate(set *memberSet, r *Ask, health float64, now int64) routing.Candidate {
+func (m *member) candidate(set *memberSet, r *Request, health float64, now int64) routing.Candidate {
 	c := routing.Candidate{
 		ID:               m.id,
 		Slots:            int(m.slots.Load()),
--- a/internal/routing/pool/pool.go
+++ b/internal/routing/pool/pool.go
@@ -61,8 +61,8 @@
 	maxReportAge = 5 * time.Second
 )
 
-// Ask describes a request that needs an upstream.
-type Ask struct {
+// Request describes a request that needs an upstream.
+type Request struct {
 	// Work is the expected cost of the request in a unit that is the same for the
 	// whole pool, such as tokens. Zero means 1.
 	Work float64
@@ -70,10 +70,10 @@
 	// be empty.
 	Prefix []uint64
 	// Exclude lists upstreams that must not be selected, such as those already tried.
-	Avoid []fleet.UpstreamID
+	Exclude []fleet.UpstreamID
 	// Eligible lists the upstreams that can serve the request, such as those that
 	// hold a range of layers. Empty means all upstreams of the pool.
-	Only []fleet.UpstreamID
+	Eligible []fleet.UpstreamID
 	// Explain, if not nil, is set to a description of the decision.
 	Explain *Explanation
 }
@@ -136,7 +136,7 @@
 	}
 	for i := range usable {
 		m := p.memberFor(old, &usable[i], now)
-		m.update(&usable[i], p.offset(usable[i].Confirmed), now)
+		m.update(&usable[i], p.offset(usable[i].LastHeartbeat), now)
 		next.all = append(next.all, m)
 		next.byID[m.id] = m
 	}
@@ -150,7 +150,7 @@
 
 // Pick selects an upstream for a request. Any error is of kind refusal.NoUpstream.
 // The caller must call Done of the Lease exactly once.
-func (p *Pool) Pick(r Ask) (Lease, error) {
+func (p *Pool) Pick(r Request) (Lease, error) {
 	now := p.clock.Now()
 	set := p.members.Load()
 	s := p.scratch.Get().(*scratch)
@@ -188,8 +188,8 @@
 	p.prefixes.Apply(m.prefixCache, e, p.offset(p.clock.Now()))
 }
 
-// SetLink sets the measured one-way network delay to an upstream.
-func (p *Pool) SetLink(id fleet.UpstreamID, oneWay time.Duration) {
+// SetLinkDelay sets the measured one-way network delay to an upstream.
+func (p *Pool) SetLinkDelay(id fleet.UpstreamID, oneWay time.Duration) {
 	m := p.members.Load().byID[id]
 	if m == nil {
 		return
@@ -210,8 +210,8 @@
 // Load returns the load of the pool as of the last Refresh.
 func (p *Pool) Load() Load { return p.members.Load().load }
 
-func (p *Pool) collectCandidates(s *scratch, set *memberSet, r *Ask, now time.Time) {
-	if len(r.Only) > 0 {
+func (p *Pool) collectCandidates(s *scratch, set *memberSet, r *Request, now time.Time) {
+	if len(r.Eligible) > 0 {
 		p.considerEligible(s, set, r, now)
 		return
 	}
@@ -232,14 +232,14 @@
 // considerEligible considers the upstreams of r.Eligible, starting at a random
 // position. If none qualifies, it adds the first that is confirmed and not excluded,
 // whatever its health.
-func (p *Pool) considerEligible(s *scratch, set *memberSet, r *Ask, now time.Time) {
-	first := int(p.draw() % uint64(len(r.Only)))
-	length := min(len(r.Only), maxScan)
+func (p *Pool) considerEligible(s *scratch, set *memberSet, r *Request, now time.Time) {
+	first := int(p.draw() % uint64(len(r.Eligible)))
+	length := min(len(r.Eligible), maxScan)
 	for i := range length {
 		if s.count == sampleSize {
 			return
 		}
-		if m := set.byID[r.Only[(first+i)%len(r.Only)]]; m != nil {
+		if m := set.byID[r.Eligible[(first+i)%len(r.Eligible)]]; m != nil {
 			p.consider(s, set, m, r, now)
 		}
 	}
@@ -247,8 +247,8 @@
 		return
 	}
 	for i := range length {
-		m := set.byID[r.Only[(first+i)%len(r.Only)]]
-		if m != nil && p.confirmed(m, now) && !containsID(r.Avoid, m.id) {
+		m := set.byID[r.Eligible[(first+i)%len(r.Eligible)]]
+		if m != nil && p.confirmed(m, now) && !containsID(r.Exclude, m.id) {
 			s.add(m, m.candidate(set, r, m.health(), p.offset(now)))
 			return
 		}
@@ -258,7 +258,7 @@
 // scanForCandidate adds the first member that qualifies, starting at a random
 // position. It is used after all draws failed. If no member qualifies, it adds the
 // first that is confirmed and not excluded, whatever its health.
-func (p *Pool) scanForCandidate(s *scratch, set *memberSet, r *Ask, now time.Time) {
+func (p *Pool) scanForCandidate(s *scratch, set *memberSet, r *Request, now time.Time) {
 	first := int(p.draw() % uint64(max(len(set.all), 1)))
 	length := min(len(set.all), maxScan)
 	for i := range length {
@@ -269,7 +269,7 @@
 	}
 	for i := range length {
 		m := set.all[(first+i)%len(set.all)]
-		if p.confirmed(m, now) && !containsID(r.Avoid, m.id) {
+		if p.confirmed(m, now) && !containsID(r.Exclude, m.id) {
 			s.add(m, m.candidate(set, r, m.health(), p.offset(now)))
 			return
 		}
@@ -277,7 +277,7 @@
 }
 
 // considerSample considers up to sampleSize distinct members drawn by weight.
-func (p *Pool) considerSample(s *scratch, set *memberSet, r *Ask, now time.Time) {
+func (p *Pool) considerSample(s *scratch, set *memberSet, r *Request, now time.Time) {
 	for range sampleSize * drawsPerCandidate {
 		if s.count == sampleSize {
 			return
@@ -288,8 +288,8 @@
 
 // consider adds m to the candidates if it may get the request. A member with a
 // health below 1 is added with a probability equal to its health.
-func (p *Pool) consider(s *scratch, set *memberSet, m *member, r *Ask, now time.Time) {
-	if s.contains(m) || containsID(r.Avoid, m.id) || !p.confirmed(m, now) {
+func (p *Pool) consider(s *scratch, set *memberSet, m *member, r *Request, now time.Time) {
+	if s.contains(m) || containsID(r.Exclude, m.id) || !p.confirmed(m, now) {
 		return
 	}
 	if p.offset(now) < m.unreachableUntil.Load() {
@@ -308,7 +308,7 @@
 
 // considerHolders considers the members that probably hold a part of the prefix in
 // their cache.
-func (p *Pool) considerHolders(s *scratch, set *memberSet, r *Ask, now time.Time) {
+func (p *Pool) considerHolders(s *scratch, set *memberSet, r *Request, now time.Time) {
 	if len(r.Prefix) == 0 {
 		return
 	}
--- a/internal/routing/pool/pool_test.go
+++ b/internal/routing/pool/pool_test.go
@@ -25,7 +25,7 @@
 		us[i].Incarnation = 1
 		us[i].Accelerator = fmt.Sprintf("kind%d", i%5)
 		us[i].Slots = 8
-		us[i].Confirmed = at
+		us[i].LastHeartbeat = at
 	}
 	return us
 }
@@ -41,11 +41,11 @@
 	c := fakeclock.New(fakeclock.Start)
 	p := pool.New(c, scoring.Policy{}, seeded(1))
 	p.Refresh(usable(3, c.Now()), 14)
-	l, err := p.Pick(pool.Ask{})
+	l, err := p.Pick(pool.Request{})
 	is.NoErr(err)
 	l.Done(pool.Succeeded)
 	c.Advance(3*time.Second + 1)
-	_, err = p.Pick(pool.Ask{})
+	_, err = p.Pick(pool.Request{})
 	is.Equal(refusal.KindOf(err), refusal.NoUpstream)
 }
 
@@ -56,7 +56,7 @@
 	p := pool.New(c, scoring.Policy{}, seeded(1))
 	p.Refresh(usable(3, c.Now()), 14)
 	var explanation pool.Explanation
-	l, err := p.Pick(pool.Ask{Avoid: []fleet.UpstreamID{"u0", "u2"}, Explain: &explanation})
+	l, err := p.Pick(pool.Request{Exclude: []fleet.UpstreamID{"u0", "u2"}, Explain: &explanation})
 	is.NoErr(err)
 	u := l.Upstream()
 	is.Equal(u.ID, fleet.UpstreamID("u1"))
@@ -64,7 +64,7 @@
 	is.Equal(p.InFlight("u1"), 1)
 	l.Done(pool.Failed)
 	is.Equal(p.InFlight("u1"), 0)
-	only, err := p.Pick(pool.Ask{Only: []fleet.UpstreamID{"u2", "gone"}})
+	only, err := p.Pick(pool.Request{Eligible: []fleet.UpstreamID{"u2", "gone"}})
 	is.NoErr(err)
 	is.Equal(only.Upstream().ID, fleet.UpstreamID("u2"))
 	only.Done(pool.Succeeded)
@@ -85,14 +85,14 @@
 	p.Refresh(usable(3, c.Now()), 14)
 	seen := map[fleet.UpstreamID]bool{}
 	for range 3 {
-		l, err := p.Pick(pool.Ask{})
+		l, err := p.Pick(pool.Request{})
 		is.NoErr(err)
 		u := l.Upstream()
 		is.True(!seen[u.ID])
 		seen[u.ID] = true
 		l.Done(pool.Unreachable)
 	}
-	_, err := p.Pick(pool.Ask{})
+	_, err := p.Pick(pool.Request{})
 	is.NoErr(err)
 }
 
@@ -103,7 +103,7 @@
 	p := pool.New(c, scoring.Policy{}, seeded(1))
 	for range 200 {
 		p.Refresh(usable(3, c.Now()), 14)
-		l, err := p.Pick(pool.Ask{})
+		l, err := p.Pick(pool.Request{})
 		is.NoErr(err)
 		l.Done(pool.Failed)
 		c.Advance(10 * time.Millisecond)
@@ -119,7 +119,7 @@
 	p.Refresh(usable(12000, c.Now()), 14)
 	prefix := []uint64{1, 2, 3, 4}
 	allocations := testing.AllocsPerRun(1000, func() {
-		l, _ := p.Pick(pool.Ask{Prefix: prefix})
+		l, _ := p.Pick(pool.Request{Prefix: prefix})
 		l.Done(pool.Succeeded)
 	})
 	is.Equal(allocations, 0.0)
@@ -136,7 +136,7 @@
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					l, _ := p.Pick(pool.Ask{Prefix: prefix})
+					l, _ := p.Pick(pool.Request{Prefix: prefix})
 					l.Done(pool.Succeeded)
 				}
 			})
@@ -145,7 +145,7 @@
 			old := pool.New(c, scoring.Policy{})
 			old.Refresh(usable(n, c.Now().Add(-time.Hour)), 14)
 			for b.Loop() {
-				_, _ = old.Pick(pool.Ask{})
+				_, _ = old.Pick(pool.Request{})
 			}
 		})
 		b.Run(fmt.Sprint("Refresh/", n), func(b *testing.B) {
--- a/internal/routing/sim_test.go
+++ b/internal/routing/sim_test.go
@@ -39,7 +39,7 @@
 // picker is the subset of the methods of pool.Pool that the simulation uses.
 type picker interface {
 	Refresh(usable []upstream.Upstream, peers int)
-	Pick(a pool.Ask) (lease, error)
+	Pick(a pool.Request) (lease, error)
 	Apply(e affinity.Event)
 	Load() pool.Load
 }
@@ -185,7 +185,7 @@
 	n.pool = policy.picker(w)
 	n.knownUpstreams = make([]upstream.Upstream, len(w.workers))
 	for j, k := range w.workers {
-		n.knownUpstreams[j] = upstream.Upstream{Announcement: k.announcement, Confirmed: w.Now()}
+		n.knownUpstreams[j] = upstream.Upstream{Announcement: k.announcement, LastHeartbeat: w.Now()}
 	}
 	w.instances = append(w.instances, n)
 	w.schedule(time.Duration(i)*refreshInterval/time.Duration(w.scenario.instances), n.refresh)
@@ -242,7 +242,7 @@
 	k.schedule(k.now+k.lag%reportInterval, func() {
 		for _, n := range k.instances {
 			if !k.partitioned(n.index, k.index) {
-				n.knownUpstreams[k.index] = upstream.Upstream{Announcement: a, Confirmed: k.Now()}
+				n.knownUpstreams[k.index] = upstream.Upstream{Announcement: a, LastHeartbeat: k.Now()}
 			}
 		}
 	})
@@ -357,7 +357,7 @@
 	n.schedule(n.now+refreshInterval, n.refresh)
 	var usable []upstream.Upstream
 	for _, u := range n.knownUpstreams {
-		if n.Now().Sub(u.Confirmed) <= 3*time.Second {
+		if n.Now().Sub(u.LastHeartbeat) <= 3*time.Second {
 			usable = append(usable, u)
 		}
 	}
@@ -370,11 +370,11 @@
 	n.pool.Refresh(usable, peers)
 	l := n.pool.Load()
 	n.quietGovernor.SetCapacity(int(l.Slots / float64(peers+1)))
-	n.lane.Adapt(lane.Capacity{Slots: l.Slots, Instances: peers + 1, Reported: l.Reported, Known: l.Known}, n.Now())
+	n.lane.SetCapacity(lane.Capacity{Slots: l.Slots, Instances: peers + 1, ReportedLoad: l.Reported, ReportedSlots: l.ReportedSlots}, n.Now())
 }
 
 func (n *instance) admit(r *request) {
-	ask := admission.Ask{
+	ask := admission.Request{
 		Account:  fleet.AccountID(fmt.Sprint(r.account)),
 		Weight:   1,
 		Deadline: fakeclock.Start.Add(r.deadline),
@@ -397,7 +397,7 @@
 }
 
 func (n *instance) try(r *request) {
-	l, err := n.pool.Pick(pool.Ask{Prefix: r.prefix, Avoid: r.exclude})
+	l, err := n.pool.Pick(pool.Request{Prefix: r.prefix, Exclude: r.exclude})
 	if err != nil {
 		n.finish(r, 0, false)
 		return
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -43,7 +43,7 @@
 // scoringPicker adapts pool.Pool to picker.
 type scoringPicker struct{ *pool.Pool }
 
-func (p scoringPicker) Pick(a pool.Ask) (lease, error) {
+func (p scoringPicker) Pick(a pool.Request) (lease, error) {
 	l, err := p.Pool.Pick(a)
 	return &l, err
 }
@@ -73,18 +73,18 @@
 	for _, u := range b.usable {
 		l.Slots += float64(u.Slots)
 		if !u.Load.At.IsZero() {
-			l.Known += float64(u.Slots)
+			l.ReportedSlots += float64(u.Slots)
 			l.Reported += float64(u.Load.Running + u.Load.Waiting)
 		}
 	}
 	return l
 }
 
-func (b *baseline) Pick(a pool.Ask) (lease, error) {
+func (b *baseline) Pick(a pool.Request) (lease, error) {
 	var candidates []routing.Candidate
 	var from []upstream.Upstream
 	for _, u := range b.usable {
-		if slices.Contains(a.Avoid, u.ID) {
+		if slices.Contains(a.Exclude, u.ID) {
 			continue
 		}
 		from = append(from, u)
--- a/internal/trial/demo/main.go
+++ b/internal/trial/demo/main.go
@@ -297,7 +297,7 @@
 		}
 		counts := make(map[string]int)
 		for _, r := range runs {
-			counts[r.What+" "+r.Path]++
+			counts[r.Kind+" "+r.Path]++
 			if r.Key == "reprint-1" {
 				orders++
 			}
--- a/internal/trial/processes/daemon.go
+++ b/internal/trial/processes/daemon.go
@@ -40,7 +40,7 @@
 	for _, spec := range specs {
 		d := &Daemon{Spec: spec, fleet: f}
 		for _, address := range []*string{&d.CallersAddr, &d.OperatorsAddr, &d.UpstreamsAddr, &d.PeersAddr, &d.GossipAddr, &d.PlatformAddr} {
-			reserved, err := f.Address()
+			reserved, err := f.FreeAddress()
 			if err != nil {
 				return nil, err
 			}
--- a/internal/trial/processes/processes.go
+++ b/internal/trial/processes/processes.go
@@ -79,10 +79,10 @@
 // Path returns the path of a file in the folder of the Fleet.
 func (f *Fleet) Path(name string) string { return filepath.Join(f.dir, name) }
 
-// Address returns a loopback address whose port is free for TCP and UDP. It goes
+// FreeAddress returns a loopback address whose port is free for TCP and UDP. It goes
 // through the ports in turn, so that no address is returned again before all others
 // have been tried.
-func (f *Fleet) Address() (string, error) {
+func (f *Fleet) FreeAddress() (string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range lastPort - firstPort {
--- a/internal/trial/processes/standin.go
+++ b/internal/trial/processes/standin.go
@@ -24,7 +24,7 @@
 // StartStandin starts a stand-in that announces itself to the daemons of its
 // data centre. The args are appended to its command line.
 func (f *Fleet) StartStandin(id, dataCentre string, args ...string) (*Standin, error) {
-	address, err := f.Address()
+	address, err := f.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/trial/traffic/check.go
+++ b/internal/trial/traffic/check.go
@@ -183,7 +183,7 @@
 func checkLayers(runs []standin.Run) []string {
 	counts := make(map[layerRun]int)
 	for _, run := range runs {
-		if run.What != "step" {
+		if run.Kind != "step" {
 			continue
 		}
 		for i := range max(run.Count, 1) {
@@ -208,7 +208,7 @@
 func checkLateWork(runs []standin.Run) []string {
 	late := make(map[fleet.UpstreamID]int)
 	for _, run := range runs {
-		if run.What == "late" {
+		if run.Kind == "late" {
 			late[run.Upstream]++
 		}
 	}
--- a/internal/upstream/cache.go
+++ b/internal/upstream/cache.go
@@ -9,18 +9,18 @@
 )
 
 // BlockSize is the number of token positions in one block of a prefix cache.
-const BlockPositions = 16
+const BlockSize = 16
 
 // BlockHash is a chained hash of the content of a block and of all blocks before it.
-type Block uint64
+type BlockHash uint64
 
 // CacheEvent reports that an engine stored or evicted a block of its prefix cache.
 type CacheEvent struct {
 	// Sequence numbers the events of one incarnation, starting at 1. A gap in the
 	// numbers means that events were lost.
-	Sequence uint64 `json:"sequence"`
-	Evicted  bool   `json:"evicted,omitempty"`
-	Block    Block  `json:"block"`
+	Sequence uint64    `json:"sequence"`
+	Evicted  bool      `json:"evicted,omitempty"`
+	Block    BlockHash `json:"block"`
 }
 
 // CacheEvents is the response to a query for cache events.
@@ -33,18 +33,18 @@
 
 // BlockHashes returns the hashes of the full blocks of a prompt in order. An
 // incomplete last block is left out.
-func Blocks(prompt []uint64) []Block {
-	blocks := make([]Block, 0, len(prompt)/BlockPositions)
-	var b [8 * (BlockPositions + 1)]byte
-	var parent Block
-	for len(prompt) >= BlockPositions {
+func BlockHashes(prompt []uint64) []BlockHash {
+	blocks := make([]BlockHash, 0, len(prompt)/BlockSize)
+	var b [8 * (BlockSize + 1)]byte
+	var parent BlockHash
+	for len(prompt) >= BlockSize {
 		binary.LittleEndian.PutUint64(b[:], uint64(parent))
-		for i, id := range prompt[:BlockPositions] {
+		for i, id := range prompt[:BlockSize] {
 			binary.LittleEndian.PutUint64(b[8*(i+1):], id)
 		}
-		parent = Block(xxhash.Sum64(b[:]))
+		parent = BlockHash(xxhash.Sum64(b[:]))
 		blocks = append(blocks, parent)
-		prompt = prompt[BlockPositions:]
+		prompt = prompt[BlockSize:]
 	}
 	return blocks
 }
--- a/internal/upstream/engine/call.go
+++ b/internal/upstream/engine/call.go
@@ -53,8 +53,8 @@
 // checkCallID returns an error if the response does not belong to the call with the
 // given id. Its connection is closed in that case, because the body is not read.
 func (p *pool) checkCallID(r *http.Response, id string, reused bool) error {
-	got := r.Header.Get(upstream.CallHeader)
-	r.Header.Del(upstream.CallHeader)
+	got := r.Header.Get(upstream.CallIDHeader)
+	r.Header.Del(upstream.CallIDHeader)
 	if got == id || got == "" && !reused {
 		p.echoesCallID.Store(got == id)
 		return nil
@@ -70,18 +70,18 @@
 func (p *pool) newRequest(ctx context.Context, method, path string, header http.Header, body []byte, id string) (*http.Request, error) {
 	target, err := url.ParseRequestURI(path)
 	if err != nil {
-		return nil, refusal.Because(refusal.BadRequest, err, "path %q of a call", path)
+		return nil, refusal.WithCause(refusal.BadRequest, err, "path %q of a call", path)
 	}
 	target.Scheme = "http"
 	target.Host = p.address
 	request, err := http.NewRequestWithContext(ctx, method, target.String(), io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
-		return nil, refusal.Because(refusal.BadRequest, err, "call %s %q", method, path)
+		return nil, refusal.WithCause(refusal.BadRequest, err, "call %s %q", method, path)
 	}
 	if header != nil {
 		request.Header = header.Clone()
 	}
-	request.Header.Set(upstream.CallHeader, id)
+	request.Header.Set(upstream.CallIDHeader, id)
 	request.Close = !p.echoesCallID.Load()
 	request.ContentLength = int64(len(body))
 	return request, nil
@@ -92,12 +92,12 @@
 func (p *pool) transportError(ctx context.Context, err error, connected bool) error {
 	err = excerpt.Error(err)
 	if !connected {
-		return refusal.Because(refusal.NoUpstream, err, "connect to upstream at %s", p.address)
+		return refusal.WithCause(refusal.NoUpstream, err, "connect to upstream at %s", p.address)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return refusal.Because(refusal.Deadline, err, "upstream at %s did not answer in time", p.address)
+		return refusal.WithCause(refusal.Deadline, err, "upstream at %s did not answer in time", p.address)
 	}
-	return refusal.Because(refusal.UpstreamFailed, err, "call of upstream at %s", p.address)
+	return refusal.WithCause(refusal.UpstreamFailed, err, "call of upstream at %s", p.address)
 }
 
 // callJSON sends in as JSON and decodes the response into out. Either may be nil. The
@@ -107,7 +107,7 @@
 	if in != nil {
 		encoded, err := json.Marshal(in)
 		if err != nil {
-			return refusal.Because(refusal.Internal, err, "encode %s %s", method, path)
+			return refusal.WithCause(refusal.Internal, err, "encode %s %s", method, path)
 		}
 		body = encoded
 	}
@@ -122,7 +122,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return refusal.Because(refusal.UpstreamFailed, excerpt.Error(err), "answer of engine at %s", p.address)
+		return refusal.WithCause(refusal.UpstreamFailed, excerpt.Error(err), "answer of engine at %s", p.address)
 	}
 	return nil
 }
--- a/internal/upstream/engine/client.go
+++ b/internal/upstream/engine/client.go
@@ -64,20 +64,20 @@
 }
 
 // Export returns the KV cache of a request.
-func (c *Client) Export(ctx context.Context, r fleet.RequestID) (upstream.KV, error) {
-	var kv upstream.KV
+func (c *Client) Export(ctx context.Context, r fleet.RequestID) (upstream.KVCache, error) {
+	var kv upstream.KVCache
 	if err := c.pool.callJSON(ctx, http.MethodGet, requestPath(r)+"/kv", nil, &kv, c.pool.dialer.maxResponseBytes); err != nil {
-		return upstream.KV{}, err
+		return upstream.KVCache{}, err
 	}
 	if kv.Request != r {
-		return upstream.KV{}, refusal.New(refusal.UpstreamFailed,
+		return upstream.KVCache{}, refusal.New(refusal.UpstreamFailed,
 			"engine at %s exported request %s instead of %s", c.pool.address, excerpt.Text(string(kv.Request)), r)
 	}
 	return kv, nil
 }
 
 // Import loads a KV cache under epoch e.
-func (c *Client) Import(ctx context.Context, e fleet.Epoch, kv upstream.KV) error {
+func (c *Client) Import(ctx context.Context, e fleet.Epoch, kv upstream.KVCache) error {
 	path := requestPath(kv.Request) + "/kv?epoch=" + strconv.FormatUint(uint64(e), 10)
 	return c.pool.callJSON(ctx, http.MethodPut, path, kv, nil, maxShortResponseBytes)
 }
@@ -112,10 +112,10 @@
 }
 
 // Call sends c once and returns the whole response, whatever its status.
-func (s *serviceClient) Call(ctx context.Context, c upstream.Call) (upstream.Answer, error) {
+func (s *serviceClient) Call(ctx context.Context, c upstream.Call) (upstream.Response, error) {
 	status, header, body, err := s.pool.send(ctx, c.Method, c.Path, c.Header, c.Body, s.pool.dialer.maxResponseBytes)
 	if err != nil {
-		return upstream.Answer{}, err
+		return upstream.Response{}, err
 	}
-	return upstream.Answer{Status: status, Header: header, Body: body}, nil
+	return upstream.Response{Status: status, Header: header, Body: body}, nil
 }
--- a/internal/upstream/engine/engine.go
+++ b/internal/upstream/engine/engine.go
@@ -50,7 +50,7 @@
 	callTimeout      time.Duration
 	maxResponseBytes int64
 
-	pools board.Shards[fleet.UpstreamID, *pool]
+	pools board.ShardedMap[fleet.UpstreamID, *pool]
 
 	mu        sync.Mutex
 	lastSweep time.Time
--- a/internal/upstream/fencepolicy_string.go
+++ b/internal/upstream/fencepolicy_string.go
@@ -8,8 +8,8 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[IgnoresFence-0]
-	_ = x[RefusesOld-1]
+	_ = x[IgnoresToken-0]
+	_ = x[RejectsStaleToken-1]
 }
 
 const _FencePolicy_name = "ignoresrefusesOld"
--- a/internal/upstream/fencing/commander.go
+++ b/internal/upstream/fencing/commander.go
@@ -80,7 +80,7 @@
 	if readErr == nil && r.Applied {
 		return r, nil
 	}
-	return r, refusal.Because(refusal.OutcomeUnknown, err, "command %q may still reach the engine", c.ID)
+	return r, refusal.WithCause(refusal.OutcomeUnknown, err, "command %q may still reach the engine", c.ID)
 }
 
 // Release gives up the lease on an engine once no command can be in progress.
@@ -115,7 +115,7 @@
 func (m *Commander) readBack(ctx context.Context, e upstream.EngineClient, c upstream.Command) (Result, error) {
 	a, err := e.Describe(ctx)
 	if err != nil {
-		return Result{}, refusal.Because(refusal.OutcomeUnknown, err, "read description of the engine after command %q", c.ID)
+		return Result{}, refusal.WithCause(refusal.OutcomeUnknown, err, "read description of the engine after command %q", c.ID)
 	}
 	return Result{Announcement: a, Applied: matches(a, c)}, nil
 }
@@ -141,11 +141,11 @@
 	case q.sem <- struct{}{}:
 	case <-ctx.Done():
 		m.unref(id, q)
-		return nil, refusal.Because(refusal.Overloaded, ctx.Err(), "another command to %q is in progress", id)
+		return nil, refusal.WithCause(refusal.Overloaded, ctx.Err(), "another command to %q is in progress", id)
 	}
 	if wait := q.blockedUntil.Sub(m.holder.clock.Now()); wait > 0 {
 		m.unlock(id, q)
-		return nil, refusal.New(refusal.Overloaded, "an earlier command to %q may still be in progress", id).After(wait)
+		return nil, refusal.New(refusal.Overloaded, "an earlier command to %q may still be in progress", id).WithRetryAfter(wait)
 	}
 	return q, nil
 }
--- a/internal/upstream/fencing/fencing_test.go
+++ b/internal/upstream/fencing/fencing_test.go
@@ -73,7 +73,7 @@
 }
 
 func (inst *instance) restart(i int) {
-	inst.holder = NewHolder(inst, quorum.ConfigGroup, inst, fleet.InstanceID(fmt.Sprint("i", i)), DefaultTerms)
+	inst.holder = NewHolder(inst, quorum.ConfigGroup, inst, fleet.InstanceID(fmt.Sprint("i", i)), DefaultTiming)
 	inst.Commander = NewCommander(inst.holder, inst)
 }
 
@@ -194,7 +194,7 @@
 // execute executes a command on the engine. An engine that ignores tokens must never
 // receive a token that is older than an earlier one.
 func (s *simulation) execute(c upstream.Command) error {
-	if c.Fence < s.lastCommand.Fence && s.policy == upstream.RefusesOld {
+	if c.Fence < s.lastCommand.Fence && s.policy == upstream.RejectsStaleToken {
 		return refusal.New(refusal.Conflict, "old token")
 	}
 	if c.Fence < s.lastCommand.Fence || c.Fence == s.lastCommand.Fence && c.ID < s.lastCommand.ID {
@@ -232,7 +232,7 @@
 	case !e.noRandomFaults && fault == 0:
 		return refusal.New(refusal.NoUpstream, "connection refused")
 	case !e.noRandomFaults && fault < 3:
-		delay = time.Duration(e.random.Int63n(int64(DefaultTerms.CommandTimeout)))
+		delay = time.Duration(e.random.Int63n(int64(DefaultTiming.CommandTimeout)))
 		e.inFlight = append(e.inFlight, delivery{at: e.now + delay, c: c})
 		return refusal.New(refusal.UpstreamFailed, "no answer")
 	case !e.noRandomFaults && fault == 3:
@@ -274,7 +274,7 @@
 // TestClockDrift guards against a successor with a fast clock whose command overtakes
 // the last command of a holder with a slow clock.
 func TestClockDrift(t *testing.T) {
-	s := newSimulation(1, upstream.IgnoresFence, 0.04)
+	s := newSimulation(1, upstream.IgnoresToken, 0.04)
 	s.noRandomFaults = true
 	slow, fast := s.instances[0], s.instances[2]
 	lease, _ := slow.holder.Ensure(context.Background(), "e", s.policy)
@@ -284,7 +284,7 @@
 		s.advance(time.Millisecond)
 	}
 	s.now -= time.Millisecond
-	s.delay = DefaultTerms.CommandTimeout
+	s.delay = DefaultTiming.CommandTimeout
 	_, err := slow.command()
 	if refusal.KindOf(err) != refusal.OutcomeUnknown {
 		t.Fatalf("command at the end of the lease: %v", err)
@@ -301,7 +301,7 @@
 // TestStaleLeases guards against leases of removed engines that prevent new leases from
 // being granted, and against a lease in use that is dropped.
 func TestStaleLeases(t *testing.T) {
-	s := newSimulation(1, upstream.IgnoresFence, 0)
+	s := newSimulation(1, upstream.IgnoresToken, 0)
 	s.noRandomFaults = true
 	for i := range MaxLeases {
 		id := fleet.UpstreamID(fmt.Sprint(i))
@@ -348,7 +348,7 @@
 		if r, err := inst.command(); err == nil && r.Applied {
 			return
 		}
-		s.advance(DefaultTerms.Duration + DefaultTerms.CommandTimeout + 2*DefaultTerms.MaxClockDrift)
+		s.advance(DefaultTiming.Duration + DefaultTiming.CommandTimeout + 2*DefaultTiming.MaxClockDrift)
 	}
 	t.Fatalf("seed %d: no command succeeds after the faults", seed)
 }
@@ -404,7 +404,7 @@
 }
 
 func errorText(err error) string {
-	out := refusal.KindOf(err).Answer().Code
+	out := refusal.KindOf(err).Response().Code
 	if e, ok := err.(*refusal.Error); ok && e.RetryAfter > 0 {
 		out += fmt.Sprintf(" retry after %v", e.RetryAfter.Round(100*time.Millisecond))
 	}
--- a/internal/upstream/fencing/holder.go
+++ b/internal/upstream/fencing/holder.go
@@ -25,7 +25,7 @@
 }
 
 // DefaultTiming lets a successor send commands about 11 s after the last renewal.
-var DefaultTerms = Timing{
+var DefaultTiming = Timing{
 	Duration:       5 * time.Second,
 	CommandTimeout: 5 * time.Second,
 	MaxClockDrift:  time.Second,
@@ -193,7 +193,7 @@
 		h.observed[l.Upstream] = o
 	}
 	wait := h.takeoverDelay(l) - now.Sub(o.firstSeen)
-	return refusal.New(refusal.Conflict, "another instance holds the lease on %q", l.Upstream).After(max(wait, 0))
+	return refusal.New(refusal.Conflict, "another instance holds the lease on %q", l.Upstream).WithRetryAfter(max(wait, 0))
 }
 
 // evictObservation drops an arbitrary observation if there are too many. If that lease
@@ -230,15 +230,15 @@
 	c.Version, c.Instance, c.At = version, h.instance, h.clock.Now().UTC()
 	data, err := json.Marshal(c)
 	if err != nil {
-		return reply{}, refusal.Because(refusal.Internal, err, "encode lease command")
+		return reply{}, refusal.WithCause(refusal.Internal, err, "encode lease command")
 	}
 	response, err := h.proposer.Propose(ctx, h.group, data)
 	if err != nil {
-		return reply{}, refusal.Because(refusal.NotReady, err, "propose lease command to the quorum group")
+		return reply{}, refusal.WithCause(refusal.NotReady, err, "propose lease command to the quorum group")
 	}
 	var r reply
 	if err := json.Unmarshal(response, &r); err != nil {
-		return reply{}, refusal.Because(refusal.Internal, err, "decode lease reply")
+		return reply{}, refusal.WithCause(refusal.Internal, err, "decode lease reply")
 	}
 	if r.Error != "" {
 		return reply{}, refusal.New(refusal.Internal, "lease command rejected: %s", r.Error)
--- a/internal/upstream/fencing/machine.go
+++ b/internal/upstream/fencing/machine.go
@@ -45,9 +45,9 @@
 
 // Lease is the right to send commands to one engine.
 type Lease struct {
-	Upstream fleet.UpstreamID `json:"upstream"`
-	Session  Session          `json:"session"`
-	Fence    fleet.Fence      `json:"fence"`
+	Upstream fleet.UpstreamID   `json:"upstream"`
+	Session  Session            `json:"session"`
+	Fence    fleet.FencingToken `json:"fence"`
 	// Renewals counts the renewals under this Fence.
 	Renewals uint64 `json:"renewals"`
 	// Duration is the validity of the lease, counted from the request.
@@ -63,7 +63,7 @@
 // use.
 type Machine struct {
 	mu        sync.RWMutex
-	lastFence fleet.Fence
+	lastFence fleet.FencingToken
 	time      timeline.Timeline
 	leases    map[fleet.UpstreamID]grant
 }
@@ -75,7 +75,7 @@
 	LastUsed time.Time `json:"used"`
 }
 
-var _ quorum.Reader = (*Machine)(nil)
+var _ quorum.QueryableStateMachine = (*Machine)(nil)
 
 // NewMachine returns a Machine without leases.
 func NewMachine() *Machine {
@@ -155,7 +155,7 @@
 	m.lastFence++
 	l := c.Lease
 	l.Fence, l.Renewals = m.lastFence, 0
-	m.leases[l.Upstream] = grant{Lease: l, LastUsed: m.time.From(c.At)}
+	m.leases[l.Upstream] = grant{Lease: l, LastUsed: m.time.PeriodStart(c.At)}
 	return reply{Granted: true, Lease: &l}
 }
 
@@ -173,7 +173,7 @@
 	switch {
 	case old.Session == c.Lease.Session:
 		return true
-	case old.Policy == upstream.RefusesOld && c.Lease.Policy == upstream.RefusesOld:
+	case old.Policy == upstream.RejectsStaleToken && c.Lease.Policy == upstream.RejectsStaleToken:
 		// The engine rejects the token of the old holder once it has seen the
 		// new one.
 		return true
@@ -187,7 +187,7 @@
 		return reply{}
 	}
 	l.Renewals++
-	m.leases[l.Upstream] = grant{Lease: l, LastUsed: m.time.From(c.At)}
+	m.leases[l.Upstream] = grant{Lease: l, LastUsed: m.time.PeriodStart(c.At)}
 	return reply{Granted: true, Lease: &l}
 }
 
@@ -218,7 +218,7 @@
 
 type snapshot struct {
 	Version   int                        `json:"version"`
-	LastFence fleet.Fence                `json:"last"`
+	LastFence fleet.FencingToken         `json:"last"`
 	Time      timeline.Timeline          `json:"time"`
 	Leases    map[fleet.UpstreamID]grant `json:"leases"`
 }
--- a/internal/upstream/names.go
+++ b/internal/upstream/names.go
@@ -12,7 +12,7 @@
 
 // UnmarshalText sets the value that has the given name.
 func (v *Kind) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[Kind](string(text), int(Service)+1)
+	parsed, err := fleet.ParseEnum[Kind](string(text), int(Service)+1)
 	if err != nil {
 		return err
 	}
@@ -25,7 +25,7 @@
 
 // UnmarshalText sets the value that has the given name.
 func (v *State) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[State](string(text), int(Leaving)+1)
+	parsed, err := fleet.ParseEnum[State](string(text), int(Leaving)+1)
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 
 // UnmarshalText sets the value that has the given name.
 func (v *FencePolicy) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[FencePolicy](string(text), int(RefusesOld)+1)
+	parsed, err := fleet.ParseEnum[FencePolicy](string(text), int(RejectsStaleToken)+1)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 
 // UnmarshalText sets the value that has the given name.
 func (v *CommandKind) UnmarshalText(text []byte) error {
-	parsed, err := fleet.ParseName[CommandKind](string(text), int(ChangeRole)+1)
+	parsed, err := fleet.ParseEnum[CommandKind](string(text), int(ChangeRole)+1)
 	if err != nil {
 		return err
 	}
--- a/internal/upstream/roster/handler.go
+++ b/internal/upstream/roster/handler.go
@@ -98,7 +98,7 @@
 	if errors.As(err, &tooLarge) {
 		return refusal.New(refusal.TooLarge, "the announcement is larger than %d bytes", tooLarge.Limit)
 	}
-	return refusal.Because(refusal.BadRequest, err, "the announcement can't be read")
+	return refusal.WithCause(refusal.BadRequest, err, "the announcement can't be read")
 }
 
 type errorBody struct {
@@ -111,7 +111,7 @@
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	answer := refusal.KindOf(err).Answer()
+	answer := refusal.KindOf(err).Response()
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(answer.Status)
 	// If the write fails, the upstream has disconnected; it will announce itself again.
--- a/internal/upstream/roster/roster.go
+++ b/internal/upstream/roster/roster.go
@@ -43,7 +43,7 @@
 // MaxHeartbeatTimeout is the default and the maximum of the heartbeat timeout. An
 // instance that does not learn that an upstream is leaving sends it no new work after
 // this time.
-const MaxFreshness = 3 * time.Second
+const MaxHeartbeatTimeout = 3 * time.Second
 
 // DefaultRetention is the default time for which an upstream is kept after its last
 // heartbeat. It is much longer than an announcement can be delayed in transit, so a
@@ -61,7 +61,7 @@
 
 // AgedAnnouncement is an announcement and the age of the last heartbeat of the
 // upstream. A negative Age means that there was no heartbeat.
-type Confirmation struct {
+type AgedAnnouncement struct {
 	upstream.Announcement
 	Age time.Duration
 }
@@ -78,8 +78,8 @@
 	dataCentre       fleet.DataCentreID
 	heartbeatTimeout time.Duration
 	retention        time.Duration
-	entries          board.Shards[fleet.UpstreamID, *entry]
-	pools            board.Shards[fleet.PoolID, *pool]
+	entries          board.ShardedMap[fleet.UpstreamID, *entry]
+	pools            board.ShardedMap[fleet.PoolID, *pool]
 	revision         atomic.Uint64
 	conflicts        atomic.Uint64
 	lastResume       atomic.Pointer[time.Time]
@@ -118,7 +118,7 @@
 
 // WithHeartbeatTimeout sets the maximum age of the last heartbeat at which an upstream
 // may get new work.
-func WithFreshness(d time.Duration) Option {
+func WithHeartbeatTimeout(d time.Duration) Option {
 	return func(r *Roster) { r.heartbeatTimeout = d }
 }
 
@@ -135,12 +135,12 @@
 // New returns an empty Roster. It fails unless the heartbeat timeout is positive and at
 // most MaxHeartbeatTimeout, and the retention is longer than the heartbeat timeout.
 func New(options ...Option) (*Roster, error) {
-	r := &Roster{heartbeatTimeout: MaxFreshness, retention: DefaultRetention}
+	r := &Roster{heartbeatTimeout: MaxHeartbeatTimeout, retention: DefaultRetention}
 	for _, o := range options {
 		o(r)
 	}
-	if r.heartbeatTimeout <= 0 || r.heartbeatTimeout > MaxFreshness {
-		return nil, errors.Errorf("heartbeat timeout %v is not between 0 and %v", r.heartbeatTimeout, MaxFreshness)
+	if r.heartbeatTimeout <= 0 || r.heartbeatTimeout > MaxHeartbeatTimeout {
+		return nil, errors.Errorf("heartbeat timeout %v is not between 0 and %v", r.heartbeatTimeout, MaxHeartbeatTimeout)
 	}
 	if r.retention <= r.heartbeatTimeout {
 		return nil, errors.Errorf("retention %v is not above the heartbeat timeout %v", r.retention, r.heartbeatTimeout)
@@ -190,14 +190,14 @@
 // OnAnnouncement makes the roster call f for every announcement that this instance
 // receives and accepts. heartbeat is zero if the announcement does not count as a
 // heartbeat. OnAnnouncement must be called before the first announcement.
-func (r *Roster) Listen(f func(a upstream.Announcement, heartbeat, now time.Time)) {
+func (r *Roster) OnAnnouncement(f func(a upstream.Announcement, heartbeat, now time.Time)) {
 	r.onAnnouncement = f
 }
 
 // Merge records announcements that other instances received and returns the number
 // that were invalid or contradicted a known one. An out-of-date announcement can
 // still carry a newer heartbeat of the same incarnation.
-func (r *Roster) Merge(announcements []Confirmation, now time.Time) int {
+func (r *Roster) Merge(announcements []AgedAnnouncement, now time.Time) int {
 	rejected := 0
 	for i := range announcements {
 		c := &announcements[i]
@@ -239,11 +239,11 @@
 		if s.Incarnation != incarnation || s.State == upstream.Leaving {
 			return
 		}
-		if !heartbeat.After(s.Confirmed) {
+		if !heartbeat.After(s.LastHeartbeat) {
 			return
 		}
 		next := *s
-		next.Confirmed = heartbeat
+		next.LastHeartbeat = heartbeat
 		if e.state.CompareAndSwap(s, &next) {
 			return
 		}
@@ -253,7 +253,7 @@
 // RecordResume records that the process was paused until now. Messages that waited in
 // its socket buffers may be old, so for resumeHoldOff announcements don't count as
 // heartbeats.
-func (r *Roster) Resume(now time.Time) {
+func (r *Roster) RecordResume(now time.Time) {
 	r.lastResume.Store(&now)
 }
 
@@ -313,19 +313,19 @@
 // Updates returns the announcements that changed after revision since, ordered by id,
 // and the revision up to which changes are included. A change of only the sequence or
 // the load does not count. A since of zero returns all announcements.
-func (r *Roster) Updates(since uint64, now time.Time) ([]Confirmation, uint64) {
+func (r *Roster) Updates(since uint64, now time.Time) ([]AgedAnnouncement, uint64) {
 	revision := r.revision.Load()
 	if revision == since {
 		return nil, revision
 	}
-	var changed []Confirmation
+	var changed []AgedAnnouncement
 	r.entries.Range(func(_ fleet.UpstreamID, e *entry) bool {
 		if s := e.state.Load(); s.revision > since {
-			changed = append(changed, Confirmation{Announcement: s.Announcement, Age: heartbeatAge(s.Confirmed, now)})
+			changed = append(changed, AgedAnnouncement{Announcement: s.Announcement, Age: heartbeatAge(s.LastHeartbeat, now)})
 		}
 		return true
 	})
-	slices.SortFunc(changed, func(a, b Confirmation) int {
+	slices.SortFunc(changed, func(a, b AgedAnnouncement) int {
 		return strings.Compare(string(a.ID), string(b.ID))
 	})
 	return changed, revision
@@ -335,7 +335,7 @@
 func (r *Roster) Renewals(now time.Time, f func(Renewal)) {
 	r.entries.Range(func(id fleet.UpstreamID, e *entry) bool {
 		if s := e.state.Load(); r.mayGetWork(s, now) {
-			f(Renewal{ID: id, Incarnation: s.Incarnation, Age: now.Sub(s.Confirmed)})
+			f(Renewal{ID: id, Incarnation: s.Incarnation, Age: now.Sub(s.LastHeartbeat)})
 		}
 		return true
 	})
@@ -373,8 +373,8 @@
 
 func (r *Roster) expired(s *state, now time.Time) bool {
 	since := s.storedAt
-	if s.State == upstream.Serving && s.Confirmed.After(since) {
-		since = s.Confirmed
+	if s.State == upstream.Serving && s.LastHeartbeat.After(since) {
+		since = s.LastHeartbeat
 	}
 	return now.Sub(since) > r.retention
 }
@@ -383,7 +383,7 @@
 	if s.State != upstream.Serving {
 		return false
 	}
-	return now.Sub(s.Confirmed) <= r.heartbeatTimeout
+	return now.Sub(s.LastHeartbeat) <= r.heartbeatTimeout
 }
 
 func heartbeatTime(age time.Duration, now time.Time) time.Time {
--- a/internal/upstream/roster/roster_test.go
+++ b/internal/upstream/roster/roster_test.go
@@ -49,14 +49,14 @@
 	case "announce":
 		return errorText(s.roster.Announce(announcement(t, d), now))
 	case "merge":
-		c := roster.Confirmation{Announcement: announcement(t, d), Age: duration(t, d, "age")}
-		return fmt.Sprintf("refused %d\n", s.roster.Merge([]roster.Confirmation{c}, now))
+		c := roster.AgedAnnouncement{Announcement: announcement(t, d), Age: duration(t, d, "age")}
+		return fmt.Sprintf("refused %d\n", s.roster.Merge([]roster.AgedAnnouncement{c}, now))
 	case "renew":
 		a := announcement(t, d)
 		s.roster.Renew([]roster.Renewal{{ID: a.ID, Incarnation: a.Incarnation, Age: duration(t, d, "age")}}, now)
 		return ""
 	case "resume":
-		s.roster.Resume(now)
+		s.roster.RecordResume(now)
 		return ""
 	case "tick":
 		s.roster.Tick(now)
@@ -133,7 +133,7 @@
 	}
 	var b strings.Builder
 	for _, u := range all {
-		fmt.Fprintf(&b, "%s incarnation %d sequence %d %v %s age %v\n", u.ID, u.Incarnation, u.Sequence, u.State, u.Address, now.Sub(u.Confirmed))
+		fmt.Fprintf(&b, "%s incarnation %d sequence %d %v %s age %v\n", u.ID, u.Incarnation, u.Sequence, u.State, u.Address, now.Sub(u.LastHeartbeat))
 	}
 	return b.String()
 }
@@ -141,7 +141,7 @@
 // TestSettings guards against a heartbeat timeout above the 3 s that the design allows.
 func TestSettings(t *testing.T) {
 	is := is.New(t)
-	_, err := roster.New(roster.WithFreshness(4 * time.Second))
+	_, err := roster.New(roster.WithHeartbeatTimeout(4 * time.Second))
 	is.True(err != nil)
 	_, err = roster.New(roster.WithRetention(time.Second))
 	is.True(err != nil)
--- a/internal/upstream/roster/store.go
+++ b/internal/upstream/roster/store.go
@@ -100,7 +100,7 @@
 
 // replace stores a as the announcement of e and updates the pool lists.
 func (r *Roster) replace(e *entry, old *state, a upstream.Announcement, heartbeat, now time.Time) {
-	next := &state{Upstream: upstream.Upstream{Announcement: a, Confirmed: heartbeat}, storedAt: now}
+	next := &state{Upstream: upstream.Upstream{Announcement: a, LastHeartbeat: heartbeat}, storedAt: now}
 	if old != nil && old.Incarnation == a.Incarnation {
 		next.revision = old.revision
 		next.Load = newerLoad(old.Load, a.Load)
@@ -110,8 +110,8 @@
 	}
 	for {
 		current := e.state.Load()
-		if current != nil && current.Incarnation == a.Incarnation && current.Confirmed.After(heartbeat) {
-			next.Confirmed = current.Confirmed
+		if current != nil && current.Incarnation == a.Incarnation && current.LastHeartbeat.After(heartbeat) {
+			next.LastHeartbeat = current.LastHeartbeat
 		}
 		if e.state.CompareAndSwap(current, next) {
 			break
--- a/internal/upstream/standin/check.go
+++ b/internal/upstream/standin/check.go
@@ -46,7 +46,7 @@
 	seen := make(map[executionKey]fleet.UpstreamID)
 	positions := make(map[layerKey]map[fleet.Position]bool)
 	for _, r := range runs {
-		if r.What != "step" {
+		if r.Kind != "step" {
 			continue
 		}
 		for l := r.Layers.From; l < r.Layers.To; l++ {
@@ -82,7 +82,7 @@
 	type call struct{ method, path, key string }
 	seen := make(map[call]fleet.UpstreamID)
 	for _, r := range runs {
-		if r.What != "call" || !r.AtMostOnce {
+		if r.Kind != "call" || !r.AtMostOnce {
 			continue
 		}
 		c := call{r.Method, r.Path, r.Key}
--- a/internal/upstream/standin/command.go
+++ b/internal/upstream/standin/command.go
@@ -18,7 +18,7 @@
 // commandState is the part of an engine's state that commands change.
 type commandState struct {
 	// fencingToken is the highest token of the accepted commands.
-	fencingToken fleet.Fence
+	fencingToken fleet.FencingToken
 	// accepted holds the accepted commands by id.
 	accepted map[string]upstream.Command
 	// loaded holds the roles whose weights are loaded.
@@ -49,7 +49,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	rejectsStale := e.standin.config.Announcement.Fencing == upstream.RefusesOld
+	rejectsStale := e.standin.config.Announcement.Fencing == upstream.RejectsStaleToken
 	if rejectsStale && c.Fence < e.commands.fencingToken {
 		return protocolErrorf(http.StatusConflict, "staleFence", "fencing token %d is older than %d", c.Fence, e.commands.fencingToken)
 	}
@@ -67,7 +67,7 @@
 	e.commands.fencingToken = max(e.commands.fencingToken, c.Fence)
 	e.commands.accepted[c.ID] = c
 	e.standin.config.Recorder.add(Run{
-		What: "command", Upstream: e.standin.config.Announcement.ID,
+		Kind: "command", Upstream: e.standin.config.Announcement.ID,
 		Command: c.ID, FencingToken: c.Fence, Layers: c.Layers,
 	})
 	e.startLoad(c, newRole)
--- a/internal/upstream/standin/engine.go
+++ b/internal/upstream/standin/engine.go
@@ -232,7 +232,7 @@
 	result := e.runLayers(sess, s)
 	sess.lastResults[s.Layers] = result
 	e.standin.config.Recorder.add(Run{
-		What: "step", Upstream: e.standin.config.Announcement.ID, Request: s.Request,
+		Kind: "step", Upstream: e.standin.config.Announcement.ID, Request: s.Request,
 		Epoch: s.Epoch, Position: s.Position, Count: len(s.Input), Cached: j.cachedPositions, Layers: s.Layers,
 	})
 	return result, nil
@@ -392,7 +392,7 @@
 	e.applyFinishedLoads()
 	return upstream.Load{
 		At: e.standin.clock.Now(), Running: e.running, Waiting: len(e.queue),
-		FreeKV: max(e.standin.config.KVTokens-e.usedKVTokens(), 0),
+		FreeKVTokens: max(e.standin.config.KVTokens-e.usedKVTokens(), 0),
 	}
 }
 
--- a/internal/upstream/standin/faults.go
+++ b/internal/upstream/standin/faults.go
@@ -26,10 +26,10 @@
 	BytesPerSecond int `json:"bytesPerSecond,omitempty"`
 	// DropResponses is the number of following steps, imports, commands and
 	// calls that run but whose connection is closed without a response.
-	LoseAnswers int `json:"loseAnswers,omitempty"`
+	DropResponses int `json:"loseAnswers,omitempty"`
 	// StaleResponses is the number of following steps, imports, commands and
 	// calls that run but get the previous response again.
-	StaleAnswers int `json:"staleAnswers,omitempty"`
+	StaleResponses int `json:"staleAnswers,omitempty"`
 	// Refuse rejects every request with status 503 and code overloaded.
 	Refuse bool `json:"refuse,omitempty"`
 	// ErrorRate is the fraction of requests that fail with status 500 without
@@ -145,7 +145,7 @@
 // sendResponse sends response, drops it, or sends the previous response instead.
 func (i *faultInjector) sendResponse(w http.ResponseWriter, r *http.Request, f Faults, response *bufferedResponse) {
 	affected := r.Method != http.MethodGet && !strings.HasSuffix(r.URL.Path, "/cancel")
-	if affected && i.consume(&i.faults.LoseAnswers) {
+	if affected && i.consume(&i.faults.DropResponses) {
 		panic(http.ErrAbortHandler)
 	}
 	if affected && response.status == http.StatusOK {
@@ -153,7 +153,7 @@
 		previous := i.lastResponse
 		i.lastResponse = response
 		i.mu.Unlock()
-		if previous != nil && i.consume(&i.faults.StaleAnswers) {
+		if previous != nil && i.consume(&i.faults.StaleResponses) {
 			response = previous
 		}
 	}
--- a/internal/upstream/standin/prefix.go
+++ b/internal/upstream/standin/prefix.go
@@ -24,7 +24,7 @@
 	mu       sync.Mutex
 	random   *rand.Rand
 	lru      *list.List // of upstream.BlockHash, most recently used first
-	blocks   map[upstream.Block]*list.Element
+	blocks   map[upstream.BlockHash]*list.Element
 	sequence uint64
 	events   []delayedEvent
 }
@@ -40,7 +40,7 @@
 		clock: c.Clock, maxBlocks: c.PrefixBlocks, eventLag: c.CacheEventLag, eventLossRate: c.CacheEventLoss,
 		random: rand.New(rand.NewPCG(c.Seed, 1)),
 		lru:    list.New(),
-		blocks: make(map[upstream.Block]*list.Element),
+		blocks: make(map[upstream.BlockHash]*list.Element),
 	}
 }
 
@@ -53,11 +53,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cached, hit := 0, true
-	for _, b := range upstream.Blocks(input) {
+	for _, b := range upstream.BlockHashes(input) {
 		e, ok := c.blocks[b]
 		hit = hit && ok
 		if hit {
-			cached += upstream.BlockPositions
+			cached += upstream.BlockSize
 		}
 		if ok {
 			c.lru.MoveToFront(e)
@@ -67,7 +67,7 @@
 		c.publish(b, false)
 	}
 	for c.lru.Len() > c.maxBlocks {
-		b := c.lru.Remove(c.lru.Back()).(upstream.Block)
+		b := c.lru.Remove(c.lru.Back()).(upstream.BlockHash)
 		delete(c.blocks, b)
 		c.publish(b, true)
 	}
@@ -75,7 +75,7 @@
 }
 
 // publish appends an event. A lost event leaves a gap in the sequence numbers.
-func (c *prefixCache) publish(b upstream.Block, evicted bool) {
+func (c *prefixCache) publish(b upstream.BlockHash, evicted bool) {
 	c.sequence++
 	if c.random.Float64() < c.eventLossRate {
 		return
@@ -110,7 +110,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for e := c.lru.Front(); e != nil; e = e.Next() {
-		c.publish(e.Value.(upstream.Block), true)
+		c.publish(e.Value.(upstream.BlockHash), true)
 	}
 	c.lru.Init()
 	clear(c.blocks)
--- a/internal/upstream/standin/protocol.go
+++ b/internal/upstream/standin/protocol.go
@@ -57,7 +57,7 @@
 }
 
 func (e *engine) serveImport(w http.ResponseWriter, r *http.Request) {
-	var kv upstream.KV
+	var kv upstream.KVCache
 	if !readJSON(w, r, &kv) {
 		return
 	}
@@ -114,15 +114,15 @@
 
 // exportKVCache returns the KV cache of r. Its data has 8 bytes for each position,
 // layer by layer.
-func (e *engine) exportKVCache(r fleet.RequestID) (upstream.KV, error) {
+func (e *engine) exportKVCache(r fleet.RequestID) (upstream.KVCache, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a := e.standin.Describe()
 	sess, ok := e.sessions[r]
 	if !ok || len(sess.states) == 0 {
-		return upstream.KV{}, protocolErrorf(http.StatusNotFound, "notFound", "request %q has no cache", r)
+		return upstream.KVCache{}, protocolErrorf(http.StatusNotFound, "notFound", "request %q has no cache", r)
 	}
-	kv := upstream.KV{Request: r, Model: a.Model, Version: a.Version, Adapter: a.Adapter}
+	kv := upstream.KVCache{Request: r, Model: a.Model, Version: a.Version, Adapter: a.Adapter}
 	kv.Layers, kv.Positions = sess.extent()
 	for l := kv.Layers.From; l < kv.Layers.To; l++ {
 		for _, state := range sess.states[l][:kv.Positions] {
@@ -150,7 +150,7 @@
 }
 
 // importKVCache stores an exported KV cache for use by epoch.
-func (e *engine) importKVCache(epoch fleet.Epoch, kv upstream.KV) error {
+func (e *engine) importKVCache(epoch fleet.Epoch, kv upstream.KVCache) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.applyFinishedLoads()
@@ -178,7 +178,7 @@
 		sess.states[l] = states
 	}
 	e.standin.config.Recorder.add(Run{
-		What: "import", Upstream: a.ID, Request: kv.Request, Epoch: epoch,
+		Kind: "import", Upstream: a.ID, Request: kv.Request, Epoch: epoch,
 		Count: int(kv.Positions), Layers: kv.Layers,
 	})
 	return nil
--- a/internal/upstream/standin/record.go
+++ b/internal/upstream/standin/record.go
@@ -13,7 +13,7 @@
 type Run struct {
 	// Kind is "step", "import", "call" or "command", or "late" for new work that
 	// was rejected because it arrived after the leave grace period.
-	What     string           `json:"what"`
+	Kind     string           `json:"what"`
 	Upstream fleet.UpstreamID `json:"upstream"`
 
 	// Request, Epoch, Position and Layers describe a step or an import. A step
@@ -36,8 +36,8 @@
 	AtMostOnce bool   `json:"once,omitempty"`
 
 	// Command and FencingToken describe a command.
-	Command      string      `json:"command,omitempty"`
-	FencingToken fleet.Fence `json:"fence,omitempty"`
+	Command      string             `json:"command,omitempty"`
+	FencingToken fleet.FencingToken `json:"fence,omitempty"`
 }
 
 // Recorder appends runs to a writer as JSON lines. It is safe for concurrent
@@ -55,7 +55,7 @@
 // recordLate records that new work was rejected because it arrived after the
 // leave grace period.
 func (r *Recorder) recordLate(id fleet.UpstreamID) {
-	r.add(Run{What: "late", Upstream: id})
+	r.add(Run{Kind: "late", Upstream: id})
 }
 
 func (r *Recorder) add(run Run) {
--- a/internal/upstream/standin/service.go
+++ b/internal/upstream/standin/service.go
@@ -61,7 +61,7 @@
 	digest := hex.EncodeToString(sum[:])
 	id := config.Announcement.ID
 	config.Recorder.add(Run{
-		What: "call", Upstream: id, Method: r.Method, Path: r.URL.Path,
+		Kind: "call", Upstream: id, Method: r.Method, Path: r.URL.Path,
 		Key: r.Header.Get("Idempotency-Key"), Digest: digest,
 		AtMostOnce: s.isAtMostOnce(r.URL.Path),
 	})
--- a/internal/upstream/standin/standin.go
+++ b/internal/upstream/standin/standin.go
@@ -136,8 +136,8 @@
 // echoCallID copies the call id header of a request to its response.
 func echoCallID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if id := r.Header.Get(upstream.CallHeader); id != "" {
-			w.Header().Set(upstream.CallHeader, id)
+		if id := r.Header.Get(upstream.CallIDHeader); id != "" {
+			w.Header().Set(upstream.CallIDHeader, id)
 		}
 		next.ServeHTTP(w, r)
 	})
@@ -194,7 +194,7 @@
 
 // ActiveRequests returns the number of requests in progress; it is 0 only when
 // there are none. An engine may count a request twice while it runs a step.
-func (s *Standin) Busy() int {
+func (s *Standin) ActiveRequests() int {
 	if s.engine != nil {
 		return s.engine.activeRequests()
 	}
--- a/internal/upstream/standin/standin_test.go
+++ b/internal/upstream/standin/standin_test.go
@@ -137,7 +137,7 @@
 	waitFor(t, func() bool { return clock.Waiters() == 1 })
 	for i, request := range []string{"low1", "low2", "high1", "high2"} {
 		go send(request, i/2)
-		waitFor(t, func() bool { return s.Busy() == i+2 })
+		waitFor(t, func() bool { return s.ActiveRequests() == i+2 })
 	}
 	for _, batch := range []int{1, 2, 2} {
 		waitFor(t, func() bool { return clock.Waiters() == 1 })
@@ -181,7 +181,7 @@
 	is.NoErr(standin.CheckSteps([]standin.Run{step(1, 0, 3), step(2, 0, 4), step(1, 3, 1)}))
 	is.True(standin.CheckSteps([]standin.Run{step(1, 0, 3), step(1, 2, 1)}) != nil) // repeated
 	is.True(standin.CheckSteps([]standin.Run{step(1, 0, 3), step(1, 4, 1)}) != nil) // gap
-	call := standin.Run{What: "call", Method: "POST", Path: "/orders", Key: "k", AtMostOnce: true}
+	call := standin.Run{Kind: "call", Method: "POST", Path: "/orders", Key: "k", AtMostOnce: true}
 	is.NoErr(standin.CheckAtMostOnce([]standin.Run{call}))
 	is.True(standin.CheckAtMostOnce([]standin.Run{call, call}) != nil)
 }
--- a/internal/upstream/standin/text.go
+++ b/internal/upstream/standin/text.go
@@ -49,13 +49,13 @@
 	for range maxTokens {
 		tokens = append(tokens, tokenText(value))
 		if isEndToken(value) {
-			return tokens, pipeline.Stopped
+			return tokens, pipeline.FinishStop
 		}
 		if len(tokens) < maxTokens {
 			value = run(value)
 		}
 	}
-	return tokens, pipeline.LengthReached
+	return tokens, pipeline.FinishLength
 }
 
 // layerSeed returns the seed that represents the weights of a layer. It depends on
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -38,8 +38,8 @@
 // The fence policies.
 const (
 	// IgnoresToken also stands for an unknown policy.
-	IgnoresFence FencePolicy = iota // ignores
-	RefusesOld                      // refusesOld
+	IgnoresToken      FencePolicy = iota // ignores
+	RejectsStaleToken                    // refusesOld
 )
 
 // LayerRange is the half-open range of layers [From, To) that an engine holds.
@@ -59,7 +59,7 @@
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	// FreeKVTokens is the free KV-cache memory in tokens.
-	FreeKV int `json:"freeKv"`
+	FreeKVTokens int `json:"freeKv"`
 }
 
 // Announcement is the description that an upstream sends of itself.
@@ -89,7 +89,7 @@
 	Announcement
 	// LastHeartbeat is the time of the last heartbeat on the clock of this
 	// instance.
-	Confirmed time.Time
+	LastHeartbeat time.Time
 }
 
 // Step is the work of one pipeline stage for one or more consecutive positions of
@@ -125,7 +125,7 @@
 }
 
 // KVCache is the exported KV cache of one request on one engine.
-type KV struct {
+type KVCache struct {
 	Request fleet.RequestID `json:"request"`
 	Model   fleet.ModelID   `json:"model"`
 	Version string          `json:"version"`
@@ -147,20 +147,20 @@
 
 // Command asks an engine to load a model or to change its role.
 type Command struct {
-	ID      string        `json:"id"`
-	Fence   fleet.Fence   `json:"fence"`
-	Kind    CommandKind   `json:"kind"`
-	Model   fleet.ModelID `json:"model"`
-	Version string        `json:"version"`
-	Adapter string        `json:"adapter,omitempty"`
-	Layers  LayerRange    `json:"layers"`
+	ID      string             `json:"id"`
+	Fence   fleet.FencingToken `json:"fence"`
+	Kind    CommandKind        `json:"kind"`
+	Model   fleet.ModelID      `json:"model"`
+	Version string             `json:"version"`
+	Adapter string             `json:"adapter,omitempty"`
+	Layers  LayerRange         `json:"layers"`
 }
 
 // CallIDHeader is the header with the id of a call to an upstream, which the
 // upstream echoes in its response. A server may send a duplicate of a response while
 // its connection already carries the next call, and nothing else in HTTP/1.1 tells
 // which call a response belongs to.
-const CallHeader = "X-Call-Id"
+const CallIDHeader = "X-Call-Id"
 
 // EngineClient calls one engine. Errors have a kind of package refusal;
 // refusal.NoUpstream means that the engine certainly did not receive the call, and
@@ -172,9 +172,9 @@
 	// Cancel cancels a request and frees its memory.
 	Cancel(ctx context.Context, r fleet.RequestID) error
 	// Export returns the KV cache of a request.
-	Export(ctx context.Context, r fleet.RequestID) (KV, error)
+	Export(ctx context.Context, r fleet.RequestID) (KVCache, error)
 	// Import loads the KV cache of a request under epoch e.
-	Import(ctx context.Context, e fleet.Epoch, kv KV) error
+	Import(ctx context.Context, e fleet.Epoch, kv KVCache) error
 	// Command sends a command to the engine.
 	Command(ctx context.Context, c Command) error
 	// Describe returns the current description of the engine.
@@ -190,7 +190,7 @@
 }
 
 // Response is the whole response of a plain service.
-type Answer struct {
+type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
@@ -200,7 +200,7 @@
 type ServiceClient interface {
 	// Call sends c once and returns the whole response. An error of kind
 	// refusal.NoUpstream means that no byte of the call was sent.
-	Call(ctx context.Context, c Call) (Answer, error)
+	Call(ctx context.Context, c Call) (Response, error)
 }
 
 // Dialer returns clients of announced upstreams.
