--- a/internal/routing/pool/lease.go
+++ b/internal/routing/pool/lease.go
@@ -55,7 +55,7 @@
 		m.observe(l.pool.offset(now), now.Sub(l.startedAt), l.slowdown, l.work)
 		m.ejection.RecordSuccess()
 	case Unreachable:
-		m.unreachableUntil.Store(l.pool.offset(now.Add(unreachableBackoff)))
+		m.excludedUntil.Store(l.pool.offset(now.Add(unreachableExclusion)))
 	case Failed:
 		m.observeLowerBound(l.pool.offset(now), now.Sub(l.startedAt), l.slowdown, l.work)
 		if m.ejection.RecordFailure(now) {
--- a/internal/routing/pool/node.go
+++ b/internal/routing/pool/node.go
@@ -26,7 +26,7 @@
 	kindEstimate *speed.Estimate
 	announced    atomic.Pointer[upstream.Upstream]
 
-	confirmedAt      atomic.Int64
+	lastHeartbeat    atomic.Int64
 	slots            atomic.Int64
 	reported         atomic.Int64
 	reportedAt       atomic.Int64
@@ -40,30 +40,30 @@
 	ejection     ejection.State
 	healthBits   atomic.Uint64
 
-	// unreachableUntil is the time until which the upstream is skipped after a
+	// excludedUntil is the time until which the upstream is skipped after a
 	// failure to reach it.
-	unreachableUntil atomic.Int64
+	excludedUntil atomic.Int64
 }
 
 func newMember(u *upstream.Upstream, kind *speed.Estimate, shard *counterShard) *member {
 	m := &member{id: u.ID, incarnation: u.Incarnation, kindEstimate: kind, counters: shard, prefixCache: affinity.NewCache(u.ID)}
 	m.reportedAt.Store(noReport)
-	m.unreachableUntil.Store(math.MinInt64)
+	m.excludedUntil.Store(math.MinInt64)
 	m.setHealth(1)
 	return m
 }
 
 // update stores the announcement u and its load report, if that is newer than the
 // stored one.
-func (m *member) update(u *upstream.Upstream, confirmed int64, now time.Time) {
+func (m *member) update(u *upstream.Upstream, lastHeartbeat int64, now time.Time) {
 	copied := *u
 	m.announced.Store(&copied)
-	m.confirmedAt.Store(confirmed)
+	m.lastHeartbeat.Store(lastHeartbeat)
 	m.slots.Store(int64(max(u.Slots, 1)))
 	if u.Load.At.IsZero() {
 		return
 	}
-	at := confirmed - int64(u.LastHeartbeat.Sub(u.Load.At))
+	at := lastHeartbeat - int64(u.LastHeartbeat.Sub(u.Load.At))
 	if at <= m.reportedAt.Load() {
 		return
 	}
@@ -102,7 +102,7 @@
 
 // maxSlowdown bounds the factor by which a measured time is attributed to other
 // requests on the upstream. The estimate of their number is rough; without a bound
-// a slow upstream that is believed to be overloaded would be estimated as fast.
+// a slow upstream that is assumed to be overloaded would be estimated as fast.
 const maxSlowdown = 2.5
 
 // observeLowerBound adds a sample for a request that ended without a response, if it
--- a/internal/routing/pool/pool.go
+++ b/internal/routing/pool/pool.go
@@ -36,27 +36,28 @@
 const (
 	// sampleSize is the number of candidates drawn from a large pool.
 	sampleSize = 8
-	// maxCandidates leaves room for upstreams that hold the prefix in their cache.
+	// maxCandidates is the capacity for the sample and for upstreams that hold the
+	// prefix in their cache.
 	maxCandidates = sampleSize + affinity.MaxHolders
 	// drawsPerCandidate bounds the number of draws, because a draw may return a
 	// candidate that was drawn before.
 	drawsPerCandidate = 3
 	// maxScan bounds the linear search for an upstream after all draws failed.
-	// Refresh leaves out upstreams without a recent confirmation, and ejected ones
+	// Refresh leaves out upstreams without a recent heartbeat, and ejected ones
 	// are not drawn, so longer searches would only occur between two calls of
 	// Refresh.
 	maxScan = 128
-	// maxConfirmationAge is the maximum age of the last confirmation of an upstream
+	// heartbeatTimeout is the maximum age of the last heartbeat of an upstream
 	// that gets new requests. Pick checks it too, in case Refresh is late.
-	maxConfirmationAge = 3 * time.Second
+	heartbeatTimeout = 3 * time.Second
 	// maxSampleAge is the age of the last sample from which an estimate moves back
 	// towards that of its accelerator kind. With 15 instances and 40 upstreams, an
 	// instance sends a request to a given upstream about every 3 s; an estimate
 	// that relaxed in between would never differ much from that of its kind.
 	maxSampleAge = 10 * time.Second
-	// unreachableBackoff is the time for which an upstream that could not be
+	// unreachableExclusion is the time for which an upstream that could not be
 	// reached is skipped if there are others.
-	unreachableBackoff = time.Second
+	unreachableExclusion = time.Second
 	// maxReportAge is the maximum age of a report that is included in Load.
 	maxReportAge = 5 * time.Second
 )
@@ -230,8 +231,8 @@
 }
 
 // considerEligible considers the upstreams of r.Eligible, starting at a random
-// position. If none qualifies, it adds the first that is confirmed and not excluded,
-// whatever its health.
+// position. If none qualifies, it adds the first with a recent heartbeat that is not
+// in r.Exclude, whatever its health.
 func (p *Pool) considerEligible(s *scratch, set *memberSet, r *Request, now time.Time) {
 	first := int(p.draw() % uint64(len(r.Eligible)))
 	length := min(len(r.Eligible), maxScan)
@@ -248,7 +249,7 @@
 	}
 	for i := range length {
 		m := set.byID[r.Eligible[(first+i)%len(r.Eligible)]]
-		if m != nil && p.confirmed(m, now) && !containsID(r.Exclude, m.id) {
+		if m != nil && p.hasRecentHeartbeat(m, now) && !containsID(r.Exclude, m.id) {
 			s.add(m, m.candidate(set, r, m.health(), p.offset(now)))
 			return
 		}
@@ -257,7 +258,7 @@
 
 // scanForCandidate adds the first member that qualifies, starting at a random
 // position. It is used after all draws failed. If no member qualifies, it adds the
-// first that is confirmed and not excluded, whatever its health.
+// first with a recent heartbeat that is not in r.Exclude, whatever its health.
 func (p *Pool) scanForCandidate(s *scratch, set *memberSet, r *Request, now time.Time) {
 	first := int(p.draw() % uint64(max(len(set.all), 1)))
 	length := min(len(set.all), maxScan)
@@ -269,7 +270,7 @@
 	}
 	for i := range length {
 		m := set.all[(first+i)%len(set.all)]
-		if p.confirmed(m, now) && !containsID(r.Exclude, m.id) {
+		if p.hasRecentHeartbeat(m, now) && !containsID(r.Exclude, m.id) {
 			s.add(m, m.candidate(set, r, m.health(), p.offset(now)))
 			return
 		}
@@ -289,10 +290,10 @@
 // consider adds m to the candidates if it may get the request. A member with a
 // health below 1 is added with a probability equal to its health.
 func (p *Pool) consider(s *scratch, set *memberSet, m *member, r *Request, now time.Time) {
-	if s.contains(m) || containsID(r.Exclude, m.id) || !p.confirmed(m, now) {
+	if s.contains(m) || containsID(r.Exclude, m.id) || !p.hasRecentHeartbeat(m, now) {
 		return
 	}
-	if p.offset(now) < m.unreachableUntil.Load() {
+	if p.offset(now) < m.excludedUntil.Load() {
 		return
 	}
 	health := m.health()
@@ -302,8 +303,8 @@
 	s.add(m, m.candidate(set, r, health, p.offset(now)))
 }
 
-func (p *Pool) confirmed(m *member, now time.Time) bool {
-	return p.offset(now)-m.confirmedAt.Load() <= int64(maxConfirmationAge)
+func (p *Pool) hasRecentHeartbeat(m *member, now time.Time) bool {
+	return p.offset(now)-m.lastHeartbeat.Load() <= int64(heartbeatTimeout)
 }
 
 // considerHolders considers the members that probably hold a part of the prefix in
--- a/internal/routing/pool/pool_test.go
+++ b/internal/routing/pool/pool_test.go
@@ -34,9 +34,9 @@
 	return pool.WithRandom(rand.New(rand.NewPCG(seed, 1)).Uint64)
 }
 
-// Guards against requests to an upstream whose last confirmation is too old when
+// Guards against requests to an upstream whose last heartbeat is too old when
 // Refresh is late, for example after the process was suspended and resumed.
-func TestNoWorkWithoutConfirmation(t *testing.T) {
+func TestNoWorkWithoutHeartbeat(t *testing.T) {
 	is := is.New(t)
 	c := fakeclock.New(fakeclock.Start)
 	p := pool.New(c, scoring.Policy{}, seeded(1))
