--- a/internal/document/register/client.go
+++ b/internal/document/register/client.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// defaultMaxAttempts and retryInterval cover the election of a leader.
-	defaultMaxAttempts = 12
-	retryInterval      = 400 * time.Millisecond
+	// defaultMaxProposals and retryBackoff cover the election of a leader.
+	defaultMaxProposals = 12
+	retryBackoff        = 400 * time.Millisecond
 )
 
 // Client accesses the register through a quorum.Proposer. It is safe for
 // concurrent use.
 type Client struct {
-	proposer    quorum.Proposer
-	group       quorum.GroupID
-	clock       fleet.Clock
-	maxAttempts int
+	proposer     quorum.Proposer
+	group        quorum.GroupID
+	clock        fleet.Clock
+	maxProposals int
 }
 
 // NewClient returns a Client of the register in a group. Commands are proposed
 // without a prefix, so a group with several state machines needs a proposer that
 // selects one.
 func NewClient(p quorum.Proposer, g quorum.GroupID, c fleet.Clock) *Client {
-	return &Client{proposer: p, group: g, clock: c, maxAttempts: defaultMaxAttempts}
+	return &Client{proposer: p, group: g, clock: c, maxProposals: defaultMaxProposals}
 }
 
 // Submit proposes s and sets its time when it has none. The verdict is
@@ -48,7 +48,7 @@
 	data := encode(prepareCommand(s))
 	mayBeApplied := false
 	var lastErr error
-	for n := range c.maxAttempts {
+	for n := range c.maxProposals {
 		if n > 0 && !c.waitRetry(ctx) {
 			break
 		}
@@ -57,8 +57,8 @@
 			return decodeOutcome(s, response)
 		}
 		lastErr = err
-		// An attempt with an unknown outcome may still be applied, whatever the
-		// attempts after it return.
+		// A proposal with an unknown outcome may still be applied, whatever the
+		// proposals after it return.
 		mayBeApplied = mayBeApplied || refusal.KindOf(err) != refusal.NotReady
 	}
 	if !mayBeApplied {
@@ -76,12 +76,12 @@
 	return checkFields(s)
 }
 
-// waitRetry waits before the next attempt. It returns false when ctx is done.
+// waitRetry waits before the next proposal. It returns false when ctx is done.
 func (c *Client) waitRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-c.clock.After(retryInterval):
+	case <-c.clock.After(retryBackoff):
 		return true
 	}
 }
--- a/internal/document/register/register_test.go
+++ b/internal/document/register/register_test.go
@@ -78,7 +78,7 @@
 func runSchedule(t *testing.T, seed int64) {
 	f := newFaultyProposer(t, seed)
 	client := NewClient(f, quorum.ConfigGroup, instantClock{})
-	client.maxAttempts = 3
+	client.maxProposals = 3
 	ctx := context.Background()
 	outcomes := make(map[string]document.Outcome)
 	sent := make(map[string]document.Submission)
