--- a/internal/entry/caller/caller_test.go
+++ b/internal/entry/caller/caller_test.go
@@ -136,7 +136,7 @@
 	for _, override := range overrides {
 		override(&deps)
 	}
-	return caller.New(deps, caller.WithLimits(entry.Limits{MaxBody: 2000}))
+	return caller.New(deps, caller.WithLimits(entry.Limits{MaxBodyBytes: 2000}))
 }
 
 func withExecutor(e pipeline.Executor) func(*caller.Dependencies) {
--- a/internal/entry/caller/request.go
+++ b/internal/entry/caller/request.go
@@ -139,7 +139,7 @@
 	if r.Body == http.NoBody {
 		return nil
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.limits.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.limits.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return refusal.New(refusal.TooLarge, "the body is larger than %d bytes", tooLarge.Limit)
--- a/internal/entry/daemon/hostile_test.go
+++ b/internal/entry/daemon/hostile_test.go
@@ -119,7 +119,7 @@
 
 const streamRequest = `{"model":"m","prompt":"x","max_tokens":9,"stream":true}`
 
-var shortLimits = entry.Limits{MaxBody: 4096, MaxHeader: 4096, ReadTimeout: shortTimeout, WriteTimeout: shortTimeout}
+var shortLimits = entry.Limits{MaxBodyBytes: 4096, MaxHeaderBytes: 4096, ReadTimeout: shortTimeout, WriteTimeout: shortTimeout}
 
 // TestHostileInput guards against input that crashes a listener, gets a response with
 // the wrong status, or occupies a connection indefinitely.
--- a/internal/entry/daemon/listener.go
+++ b/internal/entry/daemon/listener.go
@@ -28,7 +28,7 @@
 		Handler:           timed.Body(h, l.ReadTimeout),
 		ReadHeaderTimeout: l.ReadTimeout,
 		IdleTimeout:       l.IdleTimeout,
-		MaxHeaderBytes:    l.MaxHeader,
+		MaxHeaderBytes:    l.MaxHeaderBytes,
 		ErrorLog:          zap.NewStdLog(log),
 	}
 	return listener.New(name, tcpListener, server, c, log,
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -6,10 +6,10 @@
 // Limits holds the input limits of a listener. A zero field means its default
 // value.
 type Limits struct {
-	// MaxBody is the maximum size of a request body in bytes.
-	MaxBody int64
-	// MaxHeader is the maximum size of the request header in bytes.
-	MaxHeader int
+	// MaxBodyBytes is the maximum size of a request body in bytes.
+	MaxBodyBytes int64
+	// MaxHeaderBytes is the maximum size of the request header in bytes.
+	MaxHeaderBytes int
 	// ReadTimeout limits the time to read a request, WriteTimeout the time for
 	// one write of a response, and IdleTimeout the time between requests.
 	ReadTimeout  time.Duration
@@ -21,8 +21,8 @@
 
 // Default limits of a listener.
 const (
-	DefaultMaxBody        = 4 << 20
-	DefaultMaxHeader      = 64 << 10
+	DefaultMaxBodyBytes   = 4 << 20
+	DefaultMaxHeaderBytes = 64 << 10
 	DefaultReadTimeout    = 30 * time.Second
 	DefaultWriteTimeout   = 30 * time.Second
 	DefaultIdleTimeout    = 2 * time.Minute
@@ -31,11 +31,11 @@
 
 // WithDefaults returns l with zero fields replaced by their defaults.
 func (l Limits) WithDefaults() Limits {
-	if l.MaxBody == 0 {
-		l.MaxBody = DefaultMaxBody
+	if l.MaxBodyBytes == 0 {
+		l.MaxBodyBytes = DefaultMaxBodyBytes
 	}
-	if l.MaxHeader == 0 {
-		l.MaxHeader = DefaultMaxHeader
+	if l.MaxHeaderBytes == 0 {
+		l.MaxHeaderBytes = DefaultMaxHeaderBytes
 	}
 	if l.ReadTimeout == 0 {
 		l.ReadTimeout = DefaultReadTimeout
--- a/internal/entry/operator/operator.go
+++ b/internal/entry/operator/operator.go
@@ -244,7 +244,7 @@
 }
 
 func (a *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.limits.MaxBody))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.limits.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, refusal.New(refusal.TooLarge, "the body is larger than %d bytes", tooLarge.Limit)
--- a/internal/entry/operator/operator_test.go
+++ b/internal/entry/operator/operator_test.go
@@ -90,7 +90,7 @@
 		Tokens: map[string]fleet.TeamID{digest("token"): "alpha"},
 		Clock:  fakeclock.New(fakeclock.Start),
 		Log:    zap.NewNop(),
-	}, operator.WithLimits(entry.Limits{MaxBody: 300}))
+	}, operator.WithLimits(entry.Limits{MaxBodyBytes: 300}))
 	datadriven.RunTest(t, "testdata/requests.txt", func(t *testing.T, d *datadriven.TestData) string {
 		head, body, _ := strings.Cut(d.Input, "\n--\n")
 		lines := strings.Split(head, "\n")
--- a/internal/fleet/settings/keys.go
+++ b/internal/fleet/settings/keys.go
@@ -129,8 +129,8 @@
 func limitKeys() []Key {
 	const section = "limits"
 	return []Key{
-		size(section, "maxBody", "4MiB", 1<<10, 1<<30, "greatest body of a request", func(s *Settings) *int64 { return &s.Limits.MaxBody }),
-		number(section, "maxHeader", "65536", 4096, 1<<20, "greatest header of a request, in bytes", func(s *Settings) *int { return &s.Limits.MaxHeader }),
+		size(section, "maxBody", "4MiB", 1<<10, 1<<30, "greatest body of a request", func(s *Settings) *int64 { return &s.Limits.MaxBodyBytes }),
+		number(section, "maxHeader", "65536", 4096, 1<<20, "greatest header of a request, in bytes", func(s *Settings) *int { return &s.Limits.MaxHeaderBytes }),
 		duration(section, "readTimeout", entry.DefaultReadTimeout.String(), time.Second, time.Hour, "greatest time to read a request", func(s *Settings) *time.Duration { return &s.Limits.ReadTimeout }),
 		duration(section, "writeTimeout", entry.DefaultWriteTimeout.String(), time.Second, time.Hour, "greatest time to write 64 KiB of an answer", func(s *Settings) *time.Duration { return &s.Limits.WriteTimeout }),
 		duration(section, "idleTimeout", entry.DefaultIdleTimeout.String(), time.Second, time.Hour, "greatest time between requests of a connection", func(s *Settings) *time.Duration { return &s.Limits.IdleTimeout }),
--- a/internal/membership/gossip/centres.go
+++ b/internal/membership/gossip/centres.go
@@ -24,7 +24,7 @@
 	usageInterval  = 750 * time.Millisecond
 	usageRetention = time.Minute
 	// heartbeatResetAge is the age of the last heartbeat after which any different
-	// heartbeat is taken as newer, because the 16-bit counter may have wrapped.
+	// heartbeat counts as newer, because the 16-bit counter may have wrapped.
 	heartbeatResetAge = time.Hour
 	centreEntryBytes  = 8
 	// maxIntroductionAge is the maximum age of an introduction that is passed on.
@@ -342,7 +342,7 @@
 		}
 	}
 	data := c.combineUsages(all)
-	if len(data) > MaxUsage {
+	if len(data) > MaxUsageBytes {
 		return nil
 	}
 	return data
@@ -354,7 +354,7 @@
 		key = "c" + u.Origin
 	}
 	old, ok := c.usages[key]
-	if len(u.Data) > MaxUsage || (ok && u.Version <= old.record.Version) {
+	if len(u.Data) > MaxUsageBytes || (ok && u.Version <= old.record.Version) {
 		return
 	}
 	c.usages[key] = &usage{record: u, receivedAt: now}
@@ -456,11 +456,11 @@
 	for b := peerCentres; len(b) >= centreEntryBytes; b = b[centreEntryBytes:] {
 		versions[binary.LittleEndian.Uint32(b)] = binary.LittleEndian.Uint16(b[6:])
 	}
-	room := MaxMessage - proto.Size(m)
+	available := MaxMessageBytes - proto.Size(m)
 	for _, id := range sortedKeys(c.centres) {
 		s := c.centres[id]
 		if s.summary != nil && versions[hash32(string(id), 0)] != s.version() {
-			room -= appendRecord(&m.Summaries, s.summary, room)
+			available -= appendRecord(&m.Summaries, s.summary, available)
 		}
 	}
 }
--- a/internal/membership/gossip/core.go
+++ b/internal/membership/gossip/core.go
@@ -66,13 +66,13 @@
 // 60 would cost 1.5 KB/s, half of the budget of 3 KB/s.
 const DetailLimit = 32
 
-// MaxMessage is the maximum encoded size of a message in bytes. Together with its
+// MaxMessageBytes is the maximum encoded size of a message in bytes. Together with its
 // frame a message stays below 1400 bytes, so that no link fragments it.
-const MaxMessage = 1300
+const MaxMessageBytes = 1300
 
-// MaxUsage is the maximum size of the opaque account usage of an instance or a
+// MaxUsageBytes is the maximum size of the opaque account usage of an instance or a
 // data centre in bytes.
-const MaxUsage = 128
+const MaxUsageBytes = 128
 
 // DeadRetention is the period for which dead and left members are kept. After a
 // partition of up to an hour, each side still knows the members of the other side
@@ -355,9 +355,9 @@
 func (c *Core) SetPools(counts map[fleet.PoolID]int) { c.ownPools = counts }
 
 // SetUsage sets the account usage of this instance. It reports whether the usage
-// was accepted, that is, has at most MaxUsage bytes.
+// was accepted, that is, has at most MaxUsageBytes bytes.
 func (c *Core) SetUsage(data []byte) bool {
-	if len(data) > MaxUsage {
+	if len(data) > MaxUsageBytes {
 		return false
 	}
 	c.ownUsage = data
--- a/internal/membership/gossip/probe.go
+++ b/internal/membership/gossip/probe.go
@@ -159,12 +159,12 @@
 		if ping.Repair != nil {
 			limit = maxRepairReportBytes
 		}
-		limit = min(limit, MaxMessage-proto.Size(m)-4)
+		limit = min(limit, MaxMessageBytes-proto.Size(m)-4)
 		m.Reports = c.packReports(c.isLocal(ping.DataCentre), limit, now)
 	}
 	c.serveSummaries(m, ping.Centres)
 	c.serveRepair(m, ping, now)
-	c.piggyback(m, ping.DataCentre, MaxMessage, now)
+	c.piggyback(m, ping.DataCentre, MaxMessageBytes, now)
 	c.send(fleet.InstanceID(ping.From), address, m)
 }
 
--- a/internal/membership/gossip/queue.go
+++ b/internal/membership/gossip/queue.go
@@ -67,7 +67,7 @@
 	if c.isLocal(dataCentre) {
 		scope = localScope
 	}
-	room := limit - proto.Size(m)
+	available := limit - proto.Size(m)
 	for _, q := range c.sortedQueue(scope) {
 		if c.exhausted(q, now) {
 			delete(c.queue, q.key)
@@ -76,11 +76,11 @@
 		if q.sent[scope] >= c.maxTransmissions(q.key) || (scope == globalScope && !c.crossesCentres(q.key)) {
 			continue
 		}
-		size := c.appendByKey(m, q.key, room, now)
+		size := c.appendByKey(m, q.key, available, now)
 		if size == 0 {
 			continue
 		}
-		room -= size
+		available -= size
 		q.sent[scope]++
 	}
 }
@@ -127,30 +127,30 @@
 	return false
 }
 
-// appendByKey appends the record of key to m if it takes at most room bytes. It
+// appendByKey appends the record of key to m if it has at most available bytes. It
 // returns the number of bytes that were appended.
-func (c *Core) appendByKey(m *gossipv1.Message, key string, room int, now time.Time) int {
+func (c *Core) appendByKey(m *gossipv1.Message, key string, available int, now time.Time) int {
 	id := key[2:]
 	switch key[0] {
 	case 'm':
 		if found, ok := c.members[fleet.InstanceID(id)]; ok {
-			return appendRecord(&m.Members, found.wireRecord(now), room)
+			return appendRecord(&m.Members, found.wireRecord(now), available)
 		}
 	case 'u':
 		if found, ok := c.upstreams[fleet.UpstreamID(id)]; ok {
-			return appendRecord(&m.Upstreams, found.wireRecord(now), room)
+			return appendRecord(&m.Upstreams, found.wireRecord(now), available)
 		}
 	case 'g':
 		if found, ok := c.usages[id]; ok {
-			return appendRecord(&m.Usages, found.record, room)
+			return appendRecord(&m.Usages, found.record, available)
 		}
 	}
 	return 0
 }
 
-func appendRecord[M proto.Message](list *[]M, record M, room int) int {
+func appendRecord[M proto.Message](list *[]M, record M, available int) int {
 	size := proto.Size(record) + 4 // field tag and length
-	if size > room {
+	if size > available {
 		return 0
 	}
 	*list = append(*list, record)
--- a/internal/membership/gossip/repair.go
+++ b/internal/membership/gossip/repair.go
@@ -122,13 +122,13 @@
 	}
 	next := &gossipv1.Repair{Global: ping.Repair.Global, After: ping.Repair.After}
 	m.Repair = next
-	room := MaxMessage - proto.Size(m) - maxKeyBytes
+	available := MaxMessageBytes - proto.Size(m) - maxKeyBytes
 	for ; index < len(keys); index++ {
-		size := c.appendByKey(m, keys[index], room, now)
+		size := c.appendByKey(m, keys[index], available, now)
 		if size == 0 {
 			return
 		}
-		room -= size
+		available -= size
 		next.After = keys[index]
 	}
 	next.Done = true
--- a/internal/membership/gossip/reports.go
+++ b/internal/membership/gossip/reports.go
@@ -572,9 +572,9 @@
 		r.bytes = nil
 		return nil
 	}
-	taken := r.bytes[:n]
+	prefix := r.bytes[:n]
 	r.bytes = r.bytes[n:]
-	return taken
+	return prefix
 }
 
 func (r *reportReader) uint32() uint32 {
--- a/internal/membership/gossip/world_test.go
+++ b/internal/membership/gossip/world_test.go
@@ -236,8 +236,8 @@
 	h.busyTime += time.Since(start)
 	h.sent.messages++
 	h.sent.bytes += len(data)
-	if proto.Size(s.Message) > gossip.MaxMessage {
-		w.t.Fatalf("message exceeds MaxMessage; encoded it has %d bytes", len(data))
+	if proto.Size(s.Message) > gossip.MaxMessageBytes {
+		w.t.Fatalf("message exceeds MaxMessageBytes; encoded it has %d bytes", len(data))
 	}
 	to := w.hostAt(s.Address)
 	if to == nil || w.drop(h, to) || w.random.Float64() < w.loss {
--- a/internal/membership/packet/codec.go
+++ b/internal/membership/packet/codec.go
@@ -13,11 +13,11 @@
 	gossipv1 "github.com/bilberryrock/bilberryrock/api/gossip/v1"
 )
 
-// MaxPacket is the maximum size of a datagram in bytes.
-const MaxPacket = 1400
+// MaxPacketBytes is the maximum size of a datagram in bytes.
+const MaxPacketBytes = 1400
 
-// MinSecret is the minimum length of the shared secret in bytes.
-const MinSecret = 16
+// MinSecretBytes is the minimum length of the shared secret in bytes.
+const MinSecretBytes = 16
 
 // macSize is the length of the message authentication code in bytes:
 // HMAC-SHA-256 truncated to 128 bits, which RFC 2104, section 5, allows.
@@ -58,10 +58,10 @@
 }
 
 // NewCodec returns a Codec for a process that started with incarnation boot. The
-// secret must have at least MinSecret bytes.
+// secret must have at least MinSecretBytes bytes.
 func NewCodec(secret []byte, boot uint64) (*Codec, error) {
-	if len(secret) < MinSecret {
-		return nil, errors.Errorf("gossip secret has %d bytes, less than the minimum of %d", len(secret), MinSecret)
+	if len(secret) < MinSecretBytes {
+		return nil, errors.Errorf("gossip secret has %d bytes, less than the minimum of %d", len(secret), MinSecretBytes)
 	}
 	c := &Codec{boot: boot, replayWindows: make(map[string]*replayWindow)}
 	c.macs.New = func() any { return hmac.New(sha256.New, secret) }
@@ -82,8 +82,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode gossip frame")
 	}
-	if len(packet) > MaxPacket {
-		return nil, errors.Errorf("gossip datagram has %d bytes, more than the maximum of %d", len(packet), MaxPacket)
+	if len(packet) > MaxPacketBytes {
+		return nil, errors.Errorf("gossip datagram has %d bytes, more than the maximum of %d", len(packet), MaxPacketBytes)
 	}
 	return packet, nil
 }
--- a/internal/membership/packet/node.go
+++ b/internal/membership/packet/node.go
@@ -105,7 +105,7 @@
 	return func(n *Node) { n.logger = l.Named("membership") }
 }
 
-// WithSecret sets the secret that all instances share, of at least MinSecret
+// WithSecret sets the secret that all instances share, of at least MinSecretBytes
 // bytes.
 func WithSecret(secret []byte) Option { return func(n *Node) { n.secret = secret } }
 
@@ -165,7 +165,7 @@
 
 func (n *Node) start() {
 	n.goroutines.Go(func() {
-		buffer := make([]byte, MaxPacket+1)
+		buffer := make([]byte, MaxPacketBytes+1)
 		for {
 			size, from, err := n.connection.ReadFromUDPAddrPort(buffer)
 			if errors.Is(err, net.ErrClosed) {
@@ -378,7 +378,7 @@
 }
 
 // SetUsage sets the account usage of this instance, which is gossiped. It reports
-// whether the usage was accepted, that is, has at most gossip.MaxUsage bytes.
+// whether the usage was accepted, that is, has at most gossip.MaxUsageBytes bytes.
 func (n *Node) SetUsage(data []byte) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/membership/packet/packet_test.go
+++ b/internal/membership/packet/packet_test.go
@@ -64,7 +64,7 @@
 	is.True(accepts(data))
 	is.True(!accepts(sent[65])) // from the previous process
 
-	_, err = sender.Encode(&gossipv1.Message{Reports: make([]byte, packet.MaxPacket)})
+	_, err = sender.Encode(&gossipv1.Message{Reports: make([]byte, packet.MaxPacketBytes)})
 	is.True(err != nil)
 	_, err = packet.NewCodec([]byte("short"), 1)
 	is.True(err != nil)
--- a/internal/report/trail/trail.go
+++ b/internal/report/trail/trail.go
@@ -3,7 +3,7 @@
 // Records are distributed over shards with one lock each. A shard that is full evicts
 // its oldest records:
 //
-//	var t report.Trail = trail.New(trail.WithBytes(16 << 20))
+//	var t report.Trail = trail.New(trail.WithMaxBytes(16 << 20))
 //	t.Open(id, account, team)
 //	t.Add(id, report.Entry{Component: "admission", Chosen: "queued"})
 //
@@ -22,19 +22,19 @@
 )
 
 const (
-	// DefaultBytes is the default bound of the memory of all records.
-	DefaultBytes = 16 << 20
+	// DefaultMaxBytes is the default bound of the memory of all records.
+	DefaultMaxBytes = 16 << 20
 	// MaxEntries is the maximum number of entries of a record. Further entries
 	// replace those in the middle, so that the start and the end of a long
 	// request are kept.
 	MaxEntries = 64
-	// MaxText is the number of bytes to which the texts of an entry are truncated.
-	MaxText = 512
+	// MaxTextBytes is the number of bytes to which the texts of an entry are truncated.
+	MaxTextBytes = 512
 
-	shardCount     = 64 // a power of two, so that a mask selects the shard
-	headEntries    = 16 // entries at the start of a record that are never replaced
-	recordOverhead = 320
-	entryOverhead  = 136
+	shardCount          = 64 // a power of two, so that a mask selects the shard
+	headEntries         = 16 // entries at the start of a record that are never replaced
+	recordOverheadBytes = 320
+	entryOverheadBytes  = 136
 )
 
 // Trail implements report.Trail. It is safe for concurrent use.
@@ -63,8 +63,8 @@
 // Option configures a Trail.
 type Option func(*Trail)
 
-// WithBytes sets the bound of the memory of all records, instead of DefaultBytes.
-func WithBytes(n int) Option {
+// WithMaxBytes sets the bound of the memory of all records, instead of DefaultMaxBytes.
+func WithMaxBytes(n int) Option {
 	return func(t *Trail) {
 		for i := range t.shards {
 			t.shards[i].limit = n / shardCount
@@ -75,7 +75,7 @@
 // New returns an empty Trail.
 func New(options ...Option) *Trail {
 	t := &Trail{}
-	WithBytes(DefaultBytes)(t)
+	WithMaxBytes(DefaultMaxBytes)(t)
 	for _, o := range options {
 		o(t)
 	}
@@ -94,11 +94,11 @@
 	s := t.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.records[id]; ok || len(id) > MaxText {
+	if _, ok := s.records[id]; ok || len(id) > MaxTextBytes {
 		return
 	}
 	r := &record{Record: report.Record{ID: id, Account: a, Team: team}}
-	r.bytes = recordOverhead + 2*len(id) + len(a) + len(team)
+	r.bytes = recordOverheadBytes + 2*len(id) + len(a) + len(team)
 	s.records[id] = r
 	s.push(id)
 	s.bytes += r.bytes
@@ -209,13 +209,13 @@
 }
 
 func sizeOf(e report.Entry) int {
-	return entryOverhead + len(e.Component) + len(e.Known) + len(e.Alternatives) + len(e.Chosen) + len(e.Reason) + len(e.Next)
+	return entryOverheadBytes + len(e.Component) + len(e.Known) + len(e.Alternatives) + len(e.Chosen) + len(e.Reason) + len(e.Next)
 }
 
 func truncate(e report.Entry) report.Entry {
 	for _, text := range []*string{&e.Component, &e.Known, &e.Alternatives, &e.Chosen, &e.Reason, &e.Next} {
-		if len(*text) > MaxText {
-			*text = strings.ToValidUTF8((*text)[:MaxText], "") + "..."
+		if len(*text) > MaxTextBytes {
+			*text = strings.ToValidUTF8((*text)[:MaxTextBytes], "") + "..."
 		}
 	}
 	return e
--- a/internal/report/trail/trail_test.go
+++ b/internal/report/trail/trail_test.go
@@ -39,7 +39,7 @@
 // the length of one request or with the length of a text.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
-	l := New(WithBytes(1 << 20))
+	l := New(WithMaxBytes(1 << 20))
 	for i := range 20000 {
 		id := fmt.Sprint(i)
 		l.Open(id, "a", "t")
@@ -47,7 +47,7 @@
 	}
 	newest, ok := l.Find("19999")
 	is.True(ok)
-	is.Equal(len(newest.Entries[0].Chosen), MaxText+len("..."))
+	is.Equal(len(newest.Entries[0].Chosen), MaxTextBytes+len("..."))
 	_, ok = l.Find("0")
 	is.True(!ok)
 	kept := 0
@@ -70,7 +70,7 @@
 		long.Add("long", report.Entry{Chosen: fmt.Sprint(i)})
 	}
 	kept = long.shardOf("long").bytes
-	sum := recordOverhead + 2*len("long") + len("a") + len("t")
+	sum := recordOverheadBytes + 2*len("long") + len("a") + len("t")
 	for _, e := range long.shardOf("long").records["long"].Entries {
 		sum += sizeOf(e)
 	}
