--- a/internal/entry/daemon/decisions.go
+++ b/internal/entry/daemon/decisions.go
@@ -63,7 +63,7 @@
 		roster.WithHeartbeatTimeout(d.settings.Upstreams.HeartbeatTimeout),
 	)
 	if err != nil {
-		return errors.Wrap(err, "open upstream registry")
+		return errors.Wrap(err, "create upstream roster")
 	}
 	c := &controllers{
 		roster:   r,
