--- a/internal/admission/budget/fleet.go
+++ b/internal/admission/budget/fleet.go
@@ -19,12 +19,12 @@
 	// burstFraction is the fraction of the remaining retries that all instances
 	// together may spend at once.
 	burstFraction = 0.8
-	// startupTime is the time after the start of an instance in which it is limited
+	// startupPeriod is the time after the start of an instance in which it is limited
 	// to startupBurst retries and startupRate more per second, because the
 	// controllers may not have counted all instances yet.
-	startupTime  = 3 * time.Second
-	startupBurst = 3
-	startupRate  = 0.5
+	startupPeriod = 3 * time.Second
+	startupBurst  = 3
+	startupRate   = 0.5
 	// firstWindowFraction is the fraction of the limit that is used in the first
 	// window, because an instance does not know what it sent before a restart.
 	firstWindowFraction = 0.5
@@ -189,7 +189,7 @@
 	if sharers > 1 {
 		burst *= burstFraction
 	}
-	if now.Sub(f.start) < startupTime {
+	if now.Sub(f.start) < startupPeriod {
 		rate, burst = min(rate, startupRate), min(burst, startupBurst)
 	}
 	f.balance = min(f.balance+rate*now.Sub(f.refilledAt).Seconds(), burst)
--- a/internal/registry/feed/client.go
+++ b/internal/registry/feed/client.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// silenceTimeout is the time without a message after which a controller counts as
+	// messageTimeout is the time without a message after which a controller counts as
 	// unreachable. It covers a few intervals and a slow controller.
-	silenceTimeout = 4 * Interval
+	messageTimeout = 4 * Interval
 	// confirmationTimeout is the time without a confirmation by a majority after which a
 	// gateway switches to another controller. It is longer than an election.
 	confirmationTimeout = 1100 * time.Millisecond
@@ -242,7 +242,7 @@
 		if err != nil {
 			return errors.Wrapf(err, "follow %s", address)
 		}
-		timer.Reset(silenceTimeout)
+		timer.Reset(messageTimeout)
 		if firstUpdate {
 			c.logger.Info("Following a controller.", zap.String("controller", address))
 			firstUpdate = false
--- a/internal/registry/usage/usage.go
+++ b/internal/registry/usage/usage.go
@@ -20,9 +20,9 @@
 	// maxReportAge is how long a report counts. Gateways and controllers report four
 	// times per second.
 	maxReportAge = 2 * time.Second
-	// maxSumsAge is how long sums are cached. Each of many followers requests them four
+	// maxCachedSumAge is how long sums are cached. Each of many followers requests them four
 	// times per second.
-	maxSumsAge = 50 * time.Millisecond
+	maxCachedSumAge = 50 * time.Millisecond
 )
 
 // UpstreamStats holds the statistics of one gateway, or of several together, on one upstream.
@@ -126,7 +126,7 @@
 }
 
 // Sums returns the sums of the gateways that report to this controller, or of all
-// gateways. They may be up to maxSumsAge old and must not be changed.
+// gateways. They may be up to maxCachedSumAge old and must not be changed.
 func (t *Table) Sums(all bool) Report {
 	now := t.clock.Now()
 	t.mu.Lock()
@@ -135,7 +135,7 @@
 	if all {
 		n = &t.cached[1]
 	}
-	if n.ComputedAt.IsZero() || now.Sub(n.ComputedAt) >= maxSumsAge {
+	if n.ComputedAt.IsZero() || now.Sub(n.ComputedAt) >= maxCachedSumAge {
 		*n = t.aggregate(all, now)
 	}
 	return *n
--- a/internal/upstream/fencing/fencing_test.go
+++ b/internal/upstream/fencing/fencing_test.go
@@ -312,7 +312,7 @@
 		t.Error("lease granted above MaxLeases")
 	}
 	s.machine.leases["1"] = grant{Lease: Lease{Upstream: "1", Session: "old"}, LastUsed: fakeclock.Start.Add(time.Hour)}
-	s.now = StaleAfter
+	s.now = MaxUnusedAge
 	if _, err := s.instances[1].command(); err == nil {
 		t.Error("the clock of a single instance made leases stale")
 	}
--- a/internal/upstream/fencing/machine.go
+++ b/internal/upstream/fencing/machine.go
@@ -31,10 +31,10 @@
 const (
 	version = 1
 	// MaxLeases bounds the number of stored leases. When it is reached, leases that
-	// have not been used for StaleAfter are dropped, because their engines are gone.
+	// have not been used for MaxUnusedAge are dropped, because their engines are gone.
 	MaxLeases = 50_000
-	// StaleAfter is far longer than the duration of any lease plus its takeover delay.
-	StaleAfter = 24 * time.Hour
+	// MaxUnusedAge is far longer than the duration of any lease plus its takeover delay.
+	MaxUnusedAge = 24 * time.Hour
 
 	maxIDBytes = 256 // upstream id and session together
 )
@@ -142,14 +142,14 @@
 // acquire grants the lease with a new token. A session that acquires its own lease
 // again also gets a new token, so that a delayed release of the old one has no effect.
 func (m *Machine) acquire(c command) reply {
-	old, taken := m.leases[c.Lease.Upstream]
-	if taken && !mayReplace(old.Lease, c) {
+	old, held := m.leases[c.Lease.Upstream]
+	if held && !mayReplace(old.Lease, c) {
 		return reply{Lease: &old.Lease}
 	}
-	if !taken && len(m.leases) >= MaxLeases {
+	if !held && len(m.leases) >= MaxLeases {
 		m.sweep()
 	}
-	if !taken && len(m.leases) >= MaxLeases {
+	if !held && len(m.leases) >= MaxLeases {
 		return reply{Error: "too many leases"}
 	}
 	m.lastFence++
@@ -159,10 +159,10 @@
 	return reply{Granted: true, Lease: &l}
 }
 
-// sweep drops the leases that have not been used for StaleAfter.
+// sweep drops the leases that have not been used for MaxUnusedAge.
 func (m *Machine) sweep() {
 	for id, g := range m.leases {
-		if !g.LastUsed.Add(StaleAfter).After(m.time.Now()) {
+		if !g.LastUsed.Add(MaxUnusedAge).After(m.time.Now()) {
 			delete(m.leases, id)
 		}
 	}
