--- a/internal/quiet/governor/governor.go
+++ b/internal/quiet/governor/governor.go
@@ -21,7 +21,7 @@
 //	}
 //
 // Work that runs into a window although it was expected to end earlier may exceed
-// the limit. Move asks as much of it to leave as is over the limit.
+// the limit. Evict asks as much of it to leave as is over the limit.
 package governor
 
 import (
@@ -56,7 +56,7 @@
 type Counters struct {
 	Started uint64
 	Refused uint64
-	Moved   uint64
+	Evicted uint64
 	Running int
 }
 
@@ -119,14 +119,14 @@
 }
 
 // Start reports whether work of the expected duration may start at now. If it may,
-// end must be called once when the work has ended. move is called at most once,
+// end must be called once when the work has ended. evict is called at most once,
 // when the work has to leave because of a window; it may be nil.
-func (g *Governor) Start(now time.Time, expected time.Duration, move func()) (end func(), ok bool) {
+func (g *Governor) Start(now time.Time, expected time.Duration, evict func()) (end func(), ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
 	allowed := time.Duration(float64(expected) * overrunFactor)
-	r := &task{expectedEnd: now.Add(allowed), extension: max(allowed, time.Second), move: move}
+	r := &task{expectedEnd: now.Add(allowed), extension: max(allowed, time.Second), evict: evict}
 	if !g.fits(r, now) {
 		g.counters.Refused++
 		return nil, false
@@ -158,7 +158,7 @@
 	return g.currentLimit(now)
 }
 
-// Excess returns the number of running tasks that have to be moved or refused to
+// Excess returns the number of running tasks that have to be evicted or refused to
 // meet the limits of the windows that are open at now.
 func (g *Governor) Excess(now time.Time) int {
 	g.mu.Lock()
@@ -171,10 +171,10 @@
 // the latest expected end. A controller calls it a few times per second. It returns
 // the number of tasks that it asked.
 func (g *Governor) Evict(now time.Time) int {
-	asked := g.selectForMove(now)
+	asked := g.selectForEviction(now)
 	for _, r := range asked {
-		if r.move != nil {
-			r.move()
+		if r.evict != nil {
+			r.evict()
 		}
 	}
 	return len(asked)
@@ -189,13 +189,13 @@
 	return c
 }
 
-// selectForMove marks the tasks that have to leave and were not asked yet, and
+// selectForEviction marks the tasks that have to leave and were not asked yet, and
 // returns them.
-func (g *Governor) selectForMove(now time.Time) []*task {
+func (g *Governor) selectForEviction(now time.Time) []*task {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
-	staying := slices.DeleteFunc(slices.Clone(g.running), func(r *task) bool { return r.moved })
+	staying := slices.DeleteFunc(slices.Clone(g.running), func(r *task) bool { return r.evicted })
 	surplus := g.excess(now) - (len(g.running) - len(staying))
 	if surplus <= 0 {
 		return nil
@@ -203,9 +203,9 @@
 	slices.SortFunc(staying, func(a, b *task) int { return b.expectedEnd.Compare(a.expectedEnd) })
 	asked := staying[:surplus]
 	for _, r := range asked {
-		r.moved = true
+		r.evicted = true
 	}
-	g.counters.Moved += uint64(len(asked))
+	g.counters.Evicted += uint64(len(asked))
 	return asked
 }
 
--- a/internal/quiet/governor/governor_test.go
+++ b/internal/quiet/governor/governor_test.go
@@ -139,16 +139,16 @@
 
 	// Work that runs far longer than expected is reported as excess when the window
 	// opens.
-	before, moved := windowStart.Add(-time.Minute), 0
+	before, evicted := windowStart.Add(-time.Minute), 0
 	for range 30 {
-		_, ok := g.Start(before, time.Second, func() { moved++ })
+		_, ok := g.Start(before, time.Second, func() { evicted++ })
 		is.True(ok)
 	}
 	is.Equal(g.Excess(before), 0)
 	is.Equal(g.Excess(windowStart), 20)
 	is.Equal(g.Evict(windowStart), 20)
 	is.Equal(g.Evict(windowStart), 0) // each task is asked only once
-	is.Equal(moved, 20)
+	is.Equal(evicted, 20)
 	_, ok := g.Start(windowStart, time.Second, nil)
 	is.True(!ok)
 	is.Equal(g.RetryAfter(windowStart), time.Duration(0)) // work may start as soon as enough running work has ended
--- a/internal/quiet/governor/runs.go
+++ b/internal/quiet/governor/runs.go
@@ -8,8 +8,8 @@
 	extension   time.Duration
 	spanCount   int // number of leading spans in which the task is counted
 	heapIndex   int
-	move        func()
-	moved       bool // the task was selected by Move
+	evict       func()
+	evicted     bool // the task was selected by Evict
 }
 
 // taskHeap implements heap.Interface, ordered by expectedEnd.
