--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -86,7 +86,7 @@
 	Header http.Header
 	Body   []byte
 	// ID identifies the request, and ResponseID returns the request ID that a response
-	// carries. If ResponseID is nil, any response is taken as the one to this request.
+	// carries. If ResponseID is nil, any response counts as the one to this request.
 	ID         fleet.RequestID
 	ResponseID func(h http.Header) fleet.RequestID
 	// BeforeWrite is called once a connection is open, right before the request is
--- a/internal/gateway/forward/drain_test.go
+++ b/internal/gateway/forward/drain_test.go
@@ -11,8 +11,8 @@
 
 // TestDrain guards against responses that keep their connection open although the
 // gateway is draining, against streams that would be lost at the end of the grace
-// period, and against clients that are told to wait although other gateways would serve
-// them at once. Each case starts the drain before a request or while an upstream
+// period, and against clients that get a long Retry-After although other gateways would
+// serve them at once. Each case starts the drain before a request or while an upstream
 // handles it, and prints the response and the number of attempts.
 func TestDrain(t *testing.T) {
 	datadriven.RunTest(t, "testdata/drain.txt", func(t *testing.T, d *datadriven.TestData) string {
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -52,13 +52,14 @@
 	writeMargin = time.Second
 	// maxSelectionAge is the longest time between the selection of an upstream and
 	// the write of the request. Opening a connection takes up to 0.4 s. Later, as
-	// after a pause of the process, the known state of the upstream may be outdated.
+	// after a pause of the process, the state that led to the selection may be out of
+	// date.
 	maxSelectionAge = time.Second
 	// extraAttempts is the number of attempts beyond the limit of the route that are
 	// allowed for attempts which did not run the request.
 	extraAttempts = 2
-	// maxStreamRuns is the least limit on the runs of a resumable stream. A higher
-	// MaxAttempts of the route takes precedence.
+	// maxStreamRuns is the number of runs that each resumable stream is allowed. A
+	// higher MaxAttempts of the route takes precedence.
 	maxStreamRuns = 5
 )
 
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -424,8 +424,8 @@
 	is.Equal(len(w.receivedHeaders()), 2)
 }
 
-// Guards against a stream that is aborted because its engine is silent for a while,
-// although the retry budget allows no other run.
+// Guards against a stream that is aborted because its engine sends no event for a
+// while, although the retry budget allows no other run.
 func TestSilentStreamIsNotCutOff(t *testing.T) {
 	is := is.New(t)
 	var w *testGateway
--- a/internal/gateway/forward/slow_test.go
+++ b/internal/gateway/forward/slow_test.go
@@ -74,7 +74,7 @@
 }
 
 // Guards against a healthy but slow stream that is aborted or retried although it may
-// run only once. Its pauses are far longer than the MaxGap of its route.
+// run only once. Its pauses are far longer than the TargetGap of its route.
 func TestSlowStreamIsNotCutOff(t *testing.T) {
 	is := is.New(t)
 	w := newTestGateway(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
@@ -90,9 +90,9 @@
 	is.Equal(len(w.receivedHeaders()), 1)
 }
 
-// Guards against a resumable stream that fails over because it was silent several times
-// in total, although it made progress in between. The other engine would have to read
-// its prompt again.
+// Guards against a resumable stream that fails over because it sent no event for a
+// while several times, although it made progress in between. The other engine would
+// have to repeat the prefill.
 func TestSlowStreamDoesNotFailOver(t *testing.T) {
 	is := is.New(t)
 	var w *testGateway
--- a/internal/gateway/forward/stream.go
+++ b/internal/gateway/forward/stream.go
@@ -21,14 +21,14 @@
 
 const (
 	// Without any event, the first engine of the path is checked after this fraction
-	// of the route's target. Its report is up to 200 ms old, and the rest of the target
-	// is enough for another path.
+	// of the route's TargetLatency. Its report is up to 200 ms old, and the rest of that
+	// time is enough for another path.
 	firstCheckNum, firstCheckDen = 3, 5
 	// gapFactor is the time without a further event after which a stream is checked,
-	// as a multiple of the route's MaxGap.
+	// as a multiple of the route's TargetGap.
 	gapFactor = 2
 	// minStallTimeout is the shortest time before a check. It also applies to routes
-	// without a target or MaxGap.
+	// without TargetLatency or TargetGap.
 	minStallTimeout = 200 * time.Millisecond
 	// checksBeforeFailover is the number of checks without a finding after which a
 	// stream fails over, once only, since its connection may be dead. Clients abandon
@@ -42,8 +42,8 @@
 	maxRefusalDelay = 700 * time.Millisecond
 	// A stream waits up to pathTimeout for a usable path, from the arrival of the
 	// request or from the end of the previous path, and checks every
-	// pathPollInterval. Engines may be full, lost, or not heard from since the start
-	// of the gateway. A refused client retries only once.
+	// pathPollInterval. Engines may be full or lost, or may not have sent a
+	// heartbeat since the gateway started. A refused client retries only once.
 	pathTimeout      = 1500 * time.Millisecond
 	pathPollInterval = 40 * time.Millisecond
 	// refusalBackoff is the backoff after the second refusal in a row. Each further
@@ -62,8 +62,8 @@
 	s.giveUp(ctx)
 }
 
-// backOff waits before the next attempt if several paths in a row refused the stream,
-// so that the state of full engines spreads before the retries are used up.
+// backOff waits before the next attempt after two or more refusals in a row, so that
+// reports of full engines reach the gateway before the retries are used up.
 func (s *relay) backOff(ctx context.Context) {
 	if s.refusals < 2 {
 		return
@@ -108,8 +108,8 @@
 	// finding. It does so only once, because a failover adds to the load that makes
 	// streams slow.
 	failedOver bool
-	// refusals is the number of consecutive paths that were refused by an engine
-	// without free memory.
+	// refusals is the number of consecutive attempts that an engine without free
+	// memory refused.
 	refusals     int
 	lastProgress time.Time // when progress was last reported to the planner
 }
@@ -177,10 +177,10 @@
 	}, nil
 }
 
-// choosePath selects a path without the first engine of a path that broke. Once the
-// stream ran at as many first engines as the route allows, the path begins at one of
-// these. If there is no such path, any path is allowed, since lost engines do not
-// count.
+// choosePath selects a path that avoids the first engine of the path that broke last.
+// Once the stream may have run at as many first engines as the route allows, the path
+// begins at one of them. If there is no such path, any path is allowed, because those
+// engines may be lost.
 func (s *relay) choosePath(p *path.Planner) ([]path.Hop, error) {
 	l := path.Constraints{Avoid: s.avoid}
 	if s.reachedMaxUpstreams() {
@@ -266,8 +266,8 @@
 	return s.relayEvents(x, w)
 }
 
-// recordRefusal tells the planner which engine could not do its part. A refusal within
-// maxRefusalDelay means that the engine has no free memory or is releasing its layers.
+// recordRefusal reports the engine that refused a request to the planner. A refusal
+// within maxRefusalDelay means that the engine has no free memory or is releasing its layers.
 // A dead engine is noticed only after a timeout.
 func (s *relay) recordRefusal(r gateway.ResponseHeaders, status int, took time.Duration) {
 	if r.At == "" || s.pool.Planner == nil {
@@ -299,8 +299,8 @@
 	return false, upstreamError, refusal.New(refusal.UpstreamFailed, "upstream %s responded with status %d", t.target.ID, a.status)
 }
 
-// relayEvents forwards whole events, so that a stream that breaks within an event can
-// fail over.
+// relayEvents forwards only complete events, so that a stream that breaks within an
+// event can fail over.
 func (s *relay) relayEvents(x *exchange.Exchange, w *watcher) (bool, result, error) {
 	reader := eventReader{source: bufio.NewReaderSize(x.Response.Body, 2<<10)}
 	controller := http.NewResponseController(s.w)
@@ -339,8 +339,8 @@
 	}
 }
 
-// reportProgress tells the planner, at most once per progressInterval, that the engines
-// of a path are working.
+// reportProgress reports to the planner, at most once per progressInterval, that the
+// engines of a path make progress.
 func (s *relay) reportProgress(t destination) {
 	now := s.clock.Now()
 	if s.pool.Planner == nil || now.Sub(s.lastProgress) < progressInterval {
@@ -380,7 +380,7 @@
 	s.fail(ctx)
 }
 
-// markFailed makes the planner avoid the engine at an address for a while.
+// markFailed excludes the engine at an address from new paths for a while.
 func (s *relay) markFailed(address string) {
 	if s.pool.Planner != nil {
 		s.pool.Planner.MarkFailed(address)
@@ -461,9 +461,9 @@
 		}
 	}
 	if w.checks == 1 {
-		w.probePaces()
+		w.probeSlowdowns()
 	}
-	// Silence alone is no reason to abort a stream that cannot fail over.
+	// A stream that cannot fail over is not aborted for a lack of events alone.
 	if w.checks >= checksBeforeFailover && !s.failedOver && w.allowFailover() {
 		s.failedOver = true
 		w.cancel(errors.New("stream made no progress"))
@@ -478,9 +478,9 @@
 	return w.relay.withinRouteLimits(w.possibleRuns, w.attempts) && w.relay.reserveRetry()
 }
 
-// probePaces asks engines of the path whose pace was not requested lately for it, so
-// that further streams avoid slow engines.
-func (w *watcher) probePaces() {
+// probeSlowdowns requests the slowdown of those engines of the path that were not
+// asked recently, so that other streams avoid slow engines.
+func (w *watcher) probeSlowdowns() {
 	p := w.relay.pool.Planner
 	if p == nil {
 		return
