--- a/internal/admission/lane/lane.go
+++ b/internal/admission/lane/lane.go
@@ -28,8 +28,7 @@
 	// longer than the mean and still finish before its deadline. With 0, 11% of the
 	// work of an overloaded pool was lost to missed deadlines.
 	deviationMargin = 3
-	// minRetryAfter is the shortest time after which a refused caller is told to
-	// retry.
+	// minRetryAfter is the smallest retry delay that is sent to a refused caller.
 	minRetryAfter = 100 * time.Millisecond
 )
 
--- a/internal/admission/queue/queue.go
+++ b/internal/admission/queue/queue.go
@@ -9,7 +9,7 @@
 // sends.
 //
 // The queue is bounded. An account may hold as many items, per unit of weight,
-// as there is free room (dynamic thresholds, Choudhury and Hahne, 1998), so a
+// as the queue has free capacity (dynamic thresholds, Choudhury and Hahne, 1998), so a
 // few large accounts cannot fill it.
 //
 // A Queue takes no lock and reads no clock: the caller passes the time.
@@ -93,7 +93,7 @@
 	return time.Duration(ahead / max(slots, 1) * float64(time.Second))
 }
 
-// Push adds i. It returns false when there is no room for its account.
+// Push adds i. It returns false when the queue has no capacity left for its account.
 func (q *Queue) Push(i *Item) bool {
 	l := q.level(i.Priority)
 	f := l.flow(i.Account)
--- a/internal/admission/queue/queue_test.go
+++ b/internal/admission/queue/queue_test.go
@@ -97,7 +97,7 @@
 		}
 		return pushed
 	}
-	is.Equal(push("large", 1, 0, 5000), 500) // at most half of the room
+	is.Equal(push("large", 1, 0, 5000), 500) // at most half of the capacity
 	is.Equal(push("heavy", 3, 0, 300), 300)
 	is.Equal(push("urgent", 1, 5, 100), 100)
 	count := map[fleet.AccountID]int{}
--- a/internal/admission/share/exchange.go
+++ b/internal/admission/share/exchange.go
@@ -213,22 +213,22 @@
 // freshPeers returns the peers whose summary is not older than peerTimeout, in a fixed
 // order, and removes the others.
 func (l *Limiter) freshPeers(now time.Time) []*peer {
-	var heard []sender
+	var senders []sender
 	for o, p := range l.peers {
 		if now.Sub(p.receivedAt) <= peerTimeout {
-			heard = append(heard, o)
+			senders = append(senders, o)
 			continue
 		}
 		delete(l.peers, o)
 	}
-	sort.Slice(heard, func(i, j int) bool {
-		if heard[i].remote != heard[j].remote {
-			return heard[j].remote
+	sort.Slice(senders, func(i, j int) bool {
+		if senders[i].remote != senders[j].remote {
+			return senders[j].remote
 		}
-		return heard[i].id < heard[j].id
+		return senders[i].id < senders[j].id
 	})
-	fresh := make([]*peer, len(heard))
-	for i, o := range heard {
+	fresh := make([]*peer, len(senders))
+	for i, o := range senders {
 		fresh[i] = l.peers[o]
 	}
 	return fresh
@@ -293,9 +293,9 @@
 	if now.Sub(a.grownAt) < growthInterval {
 		return
 	}
-	room := max(1-v.othersShare-a.share, 0)
+	available := max(1-v.othersShare-a.share, 0)
 	want := v.target - a.share
-	a.share += min(want, room*want/max(v.totalGrowth, want))
+	a.share += min(want, available*want/max(v.totalGrowth, want))
 	a.grownAt = now
 }
 
@@ -308,17 +308,17 @@
 
 func (l *Limiter) fleetView(id fleet.AccountID, a *account, fresh []*peer) fleetView {
 	evenShare := l.evenShare()
-	heard := 1.0
+	reporting := 1.0
 	for _, p := range fresh {
-		heard += float64(p.instances)
+		reporting += float64(p.instances)
 	}
-	unheard := max(float64(l.instances.Load())-heard, 0)
-	v := fleetView{othersShare: unheard * evenShare}
+	missing := max(float64(l.instances.Load())-reporting, 0)
+	v := fleetView{othersShare: missing * evenShare}
 	demand := a.demand
 	for _, p := range fresh {
 		demand += p.entries[hash(id)].demand
 	}
-	distributable := max(1-unheard*evenShare-heard*floorShare*evenShare, 0)
+	distributable := max(1-missing*evenShare-reporting*floorShare*evenShare, 0)
 	target := func(own, instances float64) float64 {
 		if demand <= 0 {
 			return evenShare * instances
@@ -389,12 +389,12 @@
 	for _, p := range fresh {
 		total += p.entries[hash(id)].reserved
 	}
-	room := float64(limit.MaxInFlight - total)
+	headroom := float64(limit.MaxInFlight - total)
 	if !a.roundUp {
-		return l.random() < room/(propagationTicks*float64(l.instances.Load()))
+		return l.random() < headroom/(propagationTicks*float64(l.instances.Load()))
 	}
 	if a.demand < idleDemand && a.inFlight == 0 {
 		return false
 	}
-	return room >= 0 || l.random() >= -room/float64(max(total, 1))
+	return headroom >= 0 || l.random() >= -headroom/float64(max(total, 1))
 }
--- a/internal/admission/share/share.go
+++ b/internal/admission/share/share.go
@@ -71,8 +71,7 @@
 	// defaultBurstSeconds is the burst, in seconds of the request rate, of accounts
 	// without a configured burst.
 	defaultBurstSeconds = 1.0
-	// minRetryAfter is the shortest time after which a refused caller is told to
-	// retry.
+	// minRetryAfter is the smallest retry delay that is sent to a refused caller.
 	minRetryAfter = 100 * time.Millisecond
 )
 
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -153,7 +153,7 @@
 	Injection bool
 }
 
-// Repair configures how engines are told to load weights.
+// Repair configures the commands by which engines load weights.
 type Repair struct {
 	// LayerBytes is the size of the weights of one layer.
 	LayerBytes int64
--- a/internal/pipeline/estimate.go
+++ b/internal/pipeline/estimate.go
@@ -37,8 +37,8 @@
 	Replace(c Chain, exclude []fleet.UpstreamID, positions int) (Chain, error)
 }
 
-// Suspecter is told of engines that did not respond, so that they get no new work
-// until the upstream registry has newer information.
+// Suspecter receives reports of engines that did not respond, so that they get no new
+// work until the upstream registry has newer information.
 type Suspecter interface {
 	Suspect(id fleet.UpstreamID)
 }
--- a/internal/pipeline/repair/census.go
+++ b/internal/pipeline/repair/census.go
@@ -14,7 +14,7 @@
 	models  []document.Model
 	engines []upstream.Upstream // without those with a pending command, sorted by id
 	// serving counts the engines that hold a layer and have no pending command.
-	// Loading counts those that were told to load it.
+	// Loading counts those with a command to load it.
 	serving map[layerKey]int
 	loading map[layerKey]int
 }
--- a/internal/pipeline/repair/repair.go
+++ b/internal/pipeline/repair/repair.go
@@ -12,7 +12,7 @@
 // The rules, in order of precedence:
 //
 //   - An engine never leaves layers of which it is the last holder. It no longer
-//     counts as a holder of its old layers once it was told to load others.
+//     counts as a holder of its old layers once it has a command to load others.
 //   - Layers without a holder come first, then those with the smallest fraction of
 //     their required holders. Of equal moves the one with fewer bytes to load comes
 //     first.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -50,7 +50,7 @@
 	// slowest card in its data centre at which the card counts as fast.
 	fastStepRatio = 0.5
 	// minSharingChains is the number of chains, with memory for reservedStreams, that a
-	// data centre must have room for before its fast cards count as shared.
+	// data centre must have capacity for before its fast cards count as shared.
 	minSharingChains = 2
 )
 
--- a/internal/quorum/replica/replica.go
+++ b/internal/quorum/replica/replica.go
@@ -42,7 +42,7 @@
 
 // LostEntriesError reports that a replica no longer holds entries that it had
 // acknowledged, because its folder was restored to an older state or its disk lost
-// synced data. The votes of such a replica can't be trusted either.
+// synced data. The votes of such a replica can't be relied on either.
 type LostEntriesError struct {
 	Voter              quorum.VoterID
 	Acknowledged, Last quorum.Index
@@ -105,7 +105,7 @@
 	heartbeatElapsed int
 	electionTimeout  int
 	votes            map[quorum.VoterID]bool
-	yielded          bool // to another pre-candidate since it last heard from a leader
+	yielded          bool // to another pre-candidate since the last message of a leader
 
 	progress       map[quorum.VoterID]*progress
 	heartbeatRound uint64 // number of the current heartbeat round
--- a/internal/quorum/voter/form.go
+++ b/internal/quorum/voter/form.go
@@ -42,7 +42,7 @@
 	peers := len(v.config.initial) - 1
 	for polls := 0; polls < maxBootstrapPolls; {
 		v.identifyAll(state)
-		if state.idTaken {
+		if state.idInUse {
 			v.config.logger.Warn("The voter id is bound to another data folder; joining under a new id.", zap.Uint64("voter", uint64(state.own)))
 			return v.storeVoterIDAndStart(0)
 		}
@@ -68,7 +68,7 @@
 	bound      map[quorum.VoterID]bool // voters that bound the id to this folder
 	haveID     map[quorum.VoterID]bool // voters that have stored their own id
 	anyStarted bool                    // one of the others runs its replicas
-	idTaken    bool                    // the id is bound to another folder
+	idInUse    bool                    // the id is bound to another folder
 }
 
 // identifyAll asks each initial voter that is not known to have an id to bind the
@@ -84,7 +84,7 @@
 			continue
 		}
 		if journal.FolderID(r.GetFolder()) != v.identity.Folder {
-			state.idTaken = true
+			state.idInUse = true
 			return
 		}
 		state.bound[p.ID] = true
