--- a/internal/gateway/forward/stream.go
+++ b/internal/gateway/forward/stream.go
@@ -267,8 +267,9 @@
 }
 
 // recordRefusal reports the engine that refused a request to the planner. A refusal
-// within maxRefusalDelay means that the engine has no free memory or is releasing its layers.
-// A dead engine is noticed only after a timeout.
+// within maxRefusalDelay means that the engine has no free memory or is releasing its
+// layers. A later one counts as a failure of the engine, because a dead engine is
+// noticed only after a timeout.
 func (s *relay) recordRefusal(r gateway.ResponseHeaders, status int, took time.Duration) {
 	if r.At == "" || s.pool.Planner == nil {
 		return
