--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -43,9 +43,9 @@
 	// loss of power all gateways wait for a confirmation at that time.
 	startupConfirmInterval = 50 * time.Millisecond
 	startupPeriod          = 5 * time.Second
-	// slowConfirmation is the duration above which a confirmation is assumed to have
+	// slowConfirmationThreshold is the duration above which a confirmation is assumed to have
 	// waited for a leader. The next one then follows without a pause.
-	slowConfirmation = 100 * time.Millisecond
+	slowConfirmationThreshold = 100 * time.Millisecond
 	// confirmTimeout bounds one confirmation. It is longer than an election.
 	confirmTimeout = 1500 * time.Millisecond
 	// membersInterval is the pause between two updates of the group members.
@@ -129,7 +129,7 @@
 			start := c.clock.Now()
 			c.confirm(ctx)
 			switch now := c.clock.Now(); {
-			case now.Sub(start) > slowConfirmation:
+			case now.Sub(start) > slowConfirmationThreshold:
 				// Stamps of followers that arrived in the meantime are not confirmed yet,
 				// so confirm again without a pause.
 			case now.Sub(started) < startupPeriod:
--- a/internal/membership/gossip/core.go
+++ b/internal/membership/gossip/core.go
@@ -35,7 +35,7 @@
 // # Data centres
 //
 // A data centre elects three contacts by rendezvous hashing. Only contacts
-// probe contacts of other data centres. Up to DetailLimit live instances, the
+// probe contacts of other data centres. Up to MaxDetailedInstances live instances, the
 // records of all members are exchanged between data centres, so that every
 // instance of a fleet of the present size knows the revision of every other.
 // Above that limit only the records of voters, one Summary for each data centre
@@ -60,11 +60,11 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// DetailLimit is the maximum number of live instances with which the records of
+// MaxDetailedInstances is the maximum number of live instances with which the records of
 // all members are exchanged between data centres. It is twice the size of present
 // fleets. A report takes about 8 bytes in every ack, so 32 members cost 0.8 KB/s;
 // 60 would cost 1.5 KB/s, half of the budget of 3 KB/s.
-const DetailLimit = 32
+const MaxDetailedInstances = 32
 
 // MaxMessageBytes is the maximum encoded size of a message in bytes. Together with its
 // frame a message stays below 1400 bytes, so that no link fragments it.
--- a/internal/membership/gossip/members.go
+++ b/internal/membership/gossip/members.go
@@ -94,7 +94,7 @@
 
 // keepsRecord reports whether this instance keeps the record: its retention has
 // not passed, and it belongs to this data centre, to a voter, or to a fleet of at
-// most DetailLimit instances.
+// most MaxDetailedInstances instances.
 func (c *Core) keepsRecord(u *gossipv1.Member) bool {
 	if deadOrLeft(u) && time.Duration(u.AgeSeconds)*time.Second > DeadRetention {
 		return false
@@ -267,14 +267,14 @@
 
 // prune deletes members and upstreams whose retention period has passed, and
 // members that this instance no longer keeps because the fleet exceeds
-// DetailLimit.
+// MaxDetailedInstances.
 func (c *Core) prune(now time.Time) {
 	if now.Before(c.nextPrune) {
 		return
 	}
 	c.nextPrune = now.Add(time.Second)
 	c.digests.stale = true
-	c.largeFleet = c.fleetSize() > DetailLimit
+	c.largeFleet = c.fleetSize() > MaxDetailedInstances
 	for _, m := range slices.Clone(c.membersByID()) {
 		if m == c.self {
 			continue
--- a/internal/quorum/replica/election.go
+++ b/internal/quorum/replica/election.go
@@ -84,8 +84,8 @@
 // yieldPreCampaign withdraws the pre-campaign of this replica in favour of another
 // voter with a newer log, or with an equal log and a higher ID. Otherwise two
 // voters that time out in the same tick would split the votes. The replica yields
-// only once until it receives a message of a leader, so that a voter that can't win does not
-// keep it from trying again.
+// only once until it receives a message of a leader, so that a voter that can't win
+// does not keep it from trying again.
 func (r *Replica) yieldPreCampaign(m Message) {
 	if r.role != PreCandidate || m.Kind != PreVote || r.yielded || m.Term <= r.term {
 		return
--- a/internal/quorum/replica/leader.go
+++ b/internal/quorum/replica/leader.go
@@ -140,7 +140,7 @@
 	if r.transferee != 0 {
 		return ErrTransferInProgress
 	}
-	if r.log.last()-r.log.commit >= quorum.Index(r.options.MaxUncommitted) {
+	if r.log.last()-r.log.commit >= quorum.Index(r.options.MaxUncommittedEntries) {
 		return ErrBusy
 	}
 	return nil
--- a/internal/quorum/replica/replica.go
+++ b/internal/quorum/replica/replica.go
@@ -72,19 +72,19 @@
 	MaxAppendBytes int
 	// MaxInFlight is the maximum number of unanswered Append messages to one member.
 	MaxInFlight int
-	// MaxUncommitted is the maximum number of uncommitted entries of the leader.
-	MaxUncommitted int
+	// MaxUncommittedEntries is the maximum number of uncommitted entries of the leader.
+	MaxUncommittedEntries int
 	// Seed makes the random election timeouts reproducible.
 	Seed uint64
 }
 
 // Default values of Options.
 const (
-	DefaultElectionTicks  = 10
-	DefaultHeartbeatTicks = 2
-	DefaultMaxAppendBytes = 256 << 10
-	DefaultMaxInFlight    = 16
-	DefaultMaxUncommitted = 16384
+	DefaultElectionTicks         = 10
+	DefaultHeartbeatTicks        = 2
+	DefaultMaxAppendBytes        = 256 << 10
+	DefaultMaxInFlight           = 16
+	DefaultMaxUncommittedEntries = 16384
 )
 
 // Replica is the state of one member of a group. It is not safe for concurrent
@@ -397,7 +397,7 @@
 	setDefault(&o.HeartbeatTicks, DefaultHeartbeatTicks)
 	setDefault(&o.MaxAppendBytes, DefaultMaxAppendBytes)
 	setDefault(&o.MaxInFlight, DefaultMaxInFlight)
-	setDefault(&o.MaxUncommitted, DefaultMaxUncommitted)
+	setDefault(&o.MaxUncommittedEntries, DefaultMaxUncommittedEntries)
 	return o
 }
 
--- a/internal/quorum/voter/member.go
+++ b/internal/quorum/voter/member.go
@@ -19,7 +19,7 @@
 // Therefore its size in bytes is bounded as well as the number of its entries.
 const (
 	maxBytesBetweenSnapshots = 32 << 20
-	maxKeptBytes             = 4 << 20
+	maxRetainedBytes         = 4 << 20
 )
 
 // doneFunc is called with the outcome of a proposal or read. It must not block.
@@ -51,9 +51,9 @@
 	// work returned in the goroutine that drives the member.
 	background func(work func() (finish func()))
 	// snapshotEntries is the number of applied entries between snapshots, and
-	// keepEntries the number that the log keeps before a snapshot.
+	// retainedEntries the number that the log retains before a snapshot.
 	snapshotEntries int
-	keepEntries     int
+	retainedEntries int
 	// allowJoin lets instances without a voter join.
 	allowJoin bool
 }
@@ -312,7 +312,7 @@
 	if p.Snapshot.Index <= m.snapshotIndex {
 		return // The leader has sent a newer snapshot meanwhile.
 	}
-	m.replica.Compact(p.Snapshot, m.entriesToKeep(p.Snapshot.Index))
+	m.replica.Compact(p.Snapshot, m.entriesToRetain(p.Snapshot.Index))
 	if err := m.journal.Compact(p, m.replica.Retained()); err != nil {
 		m.fail(err)
 		return
@@ -320,9 +320,9 @@
 	m.snapshotIndex = p.Snapshot.Index
 }
 
-// entriesToKeep returns how many entries before a snapshot stay in the log: at most
-// keepEntries of at most maxKeptBytes.
-func (m *member) entriesToKeep(snapshot quorum.Index) int {
+// entriesToRetain returns how many entries before a snapshot stay in the log: at most
+// retainedEntries of at most maxRetainedBytes.
+func (m *member) entriesToRetain(snapshot quorum.Index) int {
 	size := 0
 	n := 0
 	for _, e := range slices.Backward(m.replica.Retained()) {
@@ -330,7 +330,7 @@
 			continue
 		}
 		size += len(e.Data)
-		if n >= m.keepEntries || size > maxKeptBytes {
+		if n >= m.retainedEntries || size > maxRetainedBytes {
 			break
 		}
 		n++
--- a/internal/quorum/voter/options.go
+++ b/internal/quorum/voter/options.go
@@ -20,7 +20,7 @@
 const (
 	DefaultTickInterval    = 50 * time.Millisecond
 	DefaultSnapshotEntries = 10000
-	DefaultKeepEntries     = 1000
+	DefaultRetainedEntries = 1000
 	// DefaultAttemptTimeout limits one attempt to propose or read. It is longer than
 	// an election, so that a caller does not give up on a leader that is running.
 	DefaultAttemptTimeout = 1500 * time.Millisecond
@@ -65,7 +65,7 @@
 	tickInterval     time.Duration
 	replicaOptions   replica.Options
 	snapshotEntries  int
-	keepEntries      int
+	retainedEntries  int
 	attemptTimeout   time.Duration
 	cut              func(from, to fleet.InstanceID) bool
 	extraDialOptions []grpc.DialOption
@@ -118,7 +118,7 @@
 // SnapshotEntries sets the number of entries between snapshots, and the number of
 // entries before a snapshot that the log keeps for members that lag.
 func SnapshotEntries(between, keep int) Option {
-	return func(c *config) { c.snapshotEntries, c.keepEntries = between, keep }
+	return func(c *config) { c.snapshotEntries, c.retainedEntries = between, keep }
 }
 
 // AttemptTimeout limits one attempt to propose or read. When it has passed, a
@@ -154,7 +154,7 @@
 	c := &config{
 		disk: journal.OS{}, clock: systemclock.Clock{}, tickInterval: DefaultTickInterval,
 		stateMachines:   make(map[quorum.GroupID]quorum.QueryableStateMachine),
-		snapshotEntries: DefaultSnapshotEntries, keepEntries: DefaultKeepEntries,
+		snapshotEntries: DefaultSnapshotEntries, retainedEntries: DefaultRetainedEntries,
 		attemptTimeout: DefaultAttemptTimeout,
 		cut:            func(_, _ fleet.InstanceID) bool { return false },
 		logger:         zap.NewNop(),
--- a/internal/quorum/voter/world_test.go
+++ b/internal/quorum/voter/world_test.go
@@ -157,7 +157,7 @@
 	c := memberConfig{
 		group: "test", machine: &p.machine, disk: p.disk, dir: "data",
 		options: replica.Options{ID: p.id, Seed: p.sim.random.Uint64(), MaxInFlight: 4, MaxAppendBytes: 64},
-		send:    p.send, snapshotEntries: 20, keepEntries: 5,
+		send:    p.send, snapshotEntries: 20, retainedEntries: 5,
 		background: p.background, allowJoin: p.sim.allowJoin,
 	}
 	c.options.ElectionTicks, c.options.HeartbeatTicks = electionTicks, 1
