--- a/internal/membership/gossip/core.go
+++ b/internal/membership/gossip/core.go
@@ -35,7 +35,7 @@
 // # Data centres
 //
 // A data centre elects three contacts by rendezvous hashing. Only contacts
-// probe contacts of other data centres. Up to DetailLimit live instances, the
+// probe contacts of other data centres. Up to MaxDetailedInstances live instances, the
 // records of all members are exchanged between data centres, so that every
 // instance of a fleet of the present size knows the revision of every other.
 // Above that limit only the records of voters, one Summary for each data centre
@@ -60,19 +60,19 @@
 	"github.com/bilberryrock/bilberryrock/internal/upstream"
 )
 
-// DetailLimit is the maximum number of live instances with which the records of
+// MaxDetailedInstances is the maximum number of live instances with which the records of
 // all members are exchanged between data centres. It is twice the size of present
 // fleets. A report takes about 8 bytes in every ack, so 32 members cost 0.8 KB/s;
 // 60 would cost 1.5 KB/s, half of the budget of 3 KB/s.
-const DetailLimit = 32
+const MaxDetailedInstances = 32
 
-// MaxMessage is the maximum encoded size of a message in bytes. Together with its
+// MaxMessageBytes is the maximum encoded size of a message in bytes. Together with its
 // frame a message stays below 1400 bytes, so that no link fragments it.
-const MaxMessage = 1300
+const MaxMessageBytes = 1300
 
-// MaxUsage is the maximum size of the opaque account usage of an instance or a
+// MaxUsageBytes is the maximum size of the opaque account usage of an instance or a
 // data centre in bytes.
-const MaxUsage = 128
+const MaxUsageBytes = 128
 
 // DeadRetention is the period for which dead and left members are kept. After a
 // partition of up to an hour, each side still knows the members of the other side
@@ -355,9 +355,9 @@
 func (c *Core) SetPools(counts map[fleet.PoolID]int) { c.ownPools = counts }
 
 // SetUsage sets the account usage of this instance. It reports whether the usage
-// was accepted, that is, has at most MaxUsage bytes.
+// was accepted, that is, has at most MaxUsageBytes bytes.
 func (c *Core) SetUsage(data []byte) bool {
-	if len(data) > MaxUsage {
+	if len(data) > MaxUsageBytes {
 		return false
 	}
 	c.ownUsage = data
--- a/internal/quorum/replica/replica.go
+++ b/internal/quorum/replica/replica.go
@@ -42,7 +42,7 @@
 
 // LostEntriesError reports that a replica no longer holds entries that it had
 // acknowledged, because its folder was restored to an older state or its disk lost
-// synced data. The votes of such a replica can't be trusted either.
+// synced data. The votes of such a replica can't be relied on either.
 type LostEntriesError struct {
 	Voter              quorum.VoterID
 	Acknowledged, Last quorum.Index
@@ -72,19 +72,19 @@
 	MaxAppendBytes int
 	// MaxInFlight is the maximum number of unanswered Append messages to one member.
 	MaxInFlight int
-	// MaxUncommitted is the maximum number of uncommitted entries of the leader.
-	MaxUncommitted int
+	// MaxUncommittedEntries is the maximum number of uncommitted entries of the leader.
+	MaxUncommittedEntries int
 	// Seed makes the random election timeouts reproducible.
 	Seed uint64
 }
 
 // Default values of Options.
 const (
-	DefaultElectionTicks  = 10
-	DefaultHeartbeatTicks = 2
-	DefaultMaxAppendBytes = 256 << 10
-	DefaultMaxInFlight    = 16
-	DefaultMaxUncommitted = 16384
+	DefaultElectionTicks         = 10
+	DefaultHeartbeatTicks        = 2
+	DefaultMaxAppendBytes        = 256 << 10
+	DefaultMaxInFlight           = 16
+	DefaultMaxUncommittedEntries = 16384
 )
 
 // Replica is the state of one member of a group. It is not safe for concurrent
@@ -105,7 +105,7 @@
 	heartbeatElapsed int
 	electionTimeout  int
 	votes            map[quorum.VoterID]bool
-	yielded          bool // to another pre-candidate since it last heard from a leader
+	yielded          bool // to another pre-candidate since the last message of a leader
 
 	progress       map[quorum.VoterID]*progress
 	heartbeatRound uint64 // number of the current heartbeat round
@@ -397,7 +397,7 @@
 	setDefault(&o.HeartbeatTicks, DefaultHeartbeatTicks)
 	setDefault(&o.MaxAppendBytes, DefaultMaxAppendBytes)
 	setDefault(&o.MaxInFlight, DefaultMaxInFlight)
-	setDefault(&o.MaxUncommitted, DefaultMaxUncommitted)
+	setDefault(&o.MaxUncommittedEntries, DefaultMaxUncommittedEntries)
 	return o
 }
 
